--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,90 @@
+"""Stored data written by version 0.2.0 stays readable: records, a supervisor's state, a capture, a bundle."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+import msgspec
+import pytest
+
+from granitepoint.control import bundle
+from granitepoint.control.keys import Keys
+from granitepoint.coordination import records
+from granitepoint.coordination.records import Record
+from granitepoint.replay import differences
+from granitepoint.supervisor.run import State
+
+STORED = Path(__file__).parent / "data" / "stored"
+INCARNATION = "a1b2c3d4e5f60718"
+DIGEST = "0123456789abcdef01234567"
+KEYS = Keys("gladegw/kochi")
+
+# Each key of the store, with the form of its record, in the order of the file.
+FORMS: list[tuple[bytes, type[Record]]] = [
+    (KEYS.member("p1", INCARNATION), records.Member),
+    (KEYS.known("p1"), records.Known),
+    (KEYS.duty("policy"), records.Holder),
+    (KEYS.heir("policy"), records.Heir),
+    (KEYS.figures("p1"), records.Figures),
+    (KEYS.fleet("digest"), records.Fleet),
+    (KEYS.fleet("compare"), records.Differences),
+    (KEYS.force, records.InForce),
+    (KEYS.history(6), records.InForce),
+    (KEYS.change, records.Change),
+    (KEYS.vote("p1", INCARNATION), records.Ballot),
+    (KEYS.ended("c-9"), records.Ended),
+    (KEYS.tries(DIGEST, "p1"), records.Tries),
+    (KEYS.rollout, records.Rollout),
+    (KEYS.rolled("r-0"), records.Rollout),
+    (KEYS.program, records.Program),
+    (KEYS.supervisor("p1"), records.Supervised),
+    (KEYS.sign, records.Sign),
+    (KEYS.weighed, records.Weighed),
+    (KEYS.point("r-1", 1, 6), records.Point),
+]
+
+
+def stored() -> list[tuple[str, bytes]]:
+    entries = json.loads((STORED / "records.json").read_text(encoding="utf-8"))
+    return [(entry["key"], entry["bytes"].encode()) for entry in entries]
+
+
+def test_keys_of_the_store_are_the_stored_ones() -> None:
+    assert [key.decode() for key, _ in FORMS] == [key for key, _ in stored()]
+
+
+@pytest.mark.parametrize("number", range(len(FORMS)))
+def test_a_stored_record_is_read_and_written_to_the_same_bytes(number: int) -> None:
+    raw = stored()[number][1]
+    record = records.decode(raw, FORMS[number][1])
+    assert records.encode(record) == raw
+
+
+@pytest.mark.parametrize("number", range(len(FORMS)))
+def test_a_stored_record_keeps_fields_of_a_newer_version(number: int) -> None:
+    raw = stored()[number][1]
+    newer = msgspec.json.encode({**json.loads(raw), "v": 2, "added": ["later"]})
+    written = json.loads(records.encode(records.decode(raw, FORMS[number][1]), newer))
+    assert written == {**json.loads(raw), "v": 2, "added": ["later"]}
+
+
+def test_a_stored_state_file_is_read_and_written_to_the_same_bytes() -> None:
+    raw = (STORED / "supervisor-state.json").read_bytes()
+    assert msgspec.json.encode(msgspec.json.decode(raw, type=State)) == raw
+
+
+def test_a_stored_capture_replays_without_a_difference() -> None:
+    path = STORED / "capture.jsonl"
+    assert path.read_text(encoding="utf-8").count('"kind":"req"') > 15
+    assert list(differences(str(path))) == []
+
+
+def test_a_stored_bundle_keeps_its_bytes_and_its_digest() -> None:
+    raw = (STORED / "bundle.json").read_bytes()
+    digest = (STORED / "bundle.digest").read_text(encoding="utf-8").strip()
+    files = bundle.whole(digest, [raw[:40], raw[40:]])
+    assert sorted(files) == ["north.routes.hcl", "routes.hcl"]
+    assert bundle.packed(files) == raw
+    assert bundle.digest_of(raw) == digest
+    assert bundle.chosen(files, "deploy/routes.hcl") == ("routes.hcl", files["routes.hcl"])
