--- a/benchmarks/regress.py
+++ b/benchmarks/regress.py
@@ -20,11 +20,11 @@
 SPREAD = 5  # last figures of which the spread is shown
 # What `run` executes; nothing else can move a figure.
 SERVING = (
-    "deploy", "requirements.txt", "granitepoint/__main__.py", "granitepoint/benchlink.py",
-    "granitepoint/interface.py", "granitepoint/logic.py", "granitepoint/limits", "granitepoint/net",
-    "granitepoint/operators", "granitepoint/replay.py",
+    "deploy", "requirements.txt", "gladegw/__main__.py", "gladegw/benchlink.py",
+    "gladegw/interface.py", "gladegw/logic.py", "gladegw/limits", "gladegw/net",
+    "gladegw/operators", "gladegw/replay.py",
 )  # fmt: skip
-MODULE = ("granitepoint/interface.py", "granitepoint/logic.py", "granitepoint/benchlink.py")
+MODULE = ("gladegw/interface.py", "gladegw/logic.py", "gladegw/benchlink.py")
 
 
 @dataclass(frozen=True)
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -14,14 +14,14 @@
 import tracemalloc
 from typing import Any
 
-from granitepoint.apps.check import check
-from granitepoint.apps.read import read_texts
-from granitepoint.apps.sidecar import sidecar
-from granitepoint.apps.write import file_of
-from granitepoint.routing.checks import check_table
-from granitepoint.routing.matcher import Table
-from granitepoint.routing.model import Ask
-from granitepoint.routing.read import read_text
+from gladegw.apps.check import check
+from gladegw.apps.read import read_texts
+from gladegw.apps.sidecar import sidecar
+from gladegw.apps.write import file_of
+from gladegw.routing.checks import check_table
+from gladegw.routing.matcher import Table
+from gladegw.routing.model import Ask
+from gladegw.routing.read import read_text
 
 SIZES = (10, 500, 5000)
 HOSTS, AREAS = 50, 40
--- a/benchmarks/stamps.py
+++ b/benchmarks/stamps.py
@@ -15,11 +15,11 @@
 from types import SimpleNamespace
 from typing import Any
 
-from granitepoint.control.clock import boot
-from granitepoint.coordination.gate import Gate
-from granitepoint.coordination.stamps import HEADER
-from granitepoint.net.features import PolicySettings
-from granitepoint.net.stamped import Stamped
+from gladegw.control.clock import boot
+from gladegw.coordination.gate import Gate
+from gladegw.coordination.stamps import HEADER
+from gladegw.net.features import PolicySettings
+from gladegw.net.stamped import Stamped
 
 ASKS, ROUNDS = 20_000, 9
 HEADERS = [(b"host", b"x"), (b"x-call-id", b"c1"), (b"x-budget", b"2000m"), (b"accept", b"*/*")]
--- a/granitepoint/__init__.py
+++ b/gladegw/__init__.py
@@ -1,6 +1,6 @@
-"""granitepoint: the decisions of a load balancer for services that call services."""
+"""gladegw: an HTTP proxy and load balancer for services that call services."""
 
-from granitepoint.interface import (
+from gladegw.interface import (
     Action,
     Arrival,
     CallFailure,
@@ -32,7 +32,7 @@
     Timer,
     Watch,
 )
-from granitepoint.logic import Balancer
+from gladegw.logic import Balancer
 
 __all__ = [
     "Action",
--- a/granitepoint/__main__.py
+++ b/gladegw/__main__.py
@@ -31,26 +31,26 @@
 
 
 def replay_file(file: str | None, path: str) -> int:
-    from granitepoint.net import features
-    from granitepoint.net.config import ConfigError
-    from granitepoint.replay import Unusable, replay
+    from gladegw.net import features
+    from gladegw.net.config import ConfigError
+    from gladegw.replay import Unusable, replay
 
     try:
         if file is not None:
             features.read(file)
         return replay(path)
     except (ConfigError, Unusable) as fault:
-        print(f"granitepoint: {fault}", file=sys.stderr)
+        print(f"gladegw: {fault}", file=sys.stderr)
         return 2
 
 
 def tools(arguments: list[str]) -> int:
     try:
-        from granitepoint.cli import run
+        from gladegw.cli import run
     except ModuleNotFoundError as fault:
         if fault.name != "click":
             raise
-        print("granitepoint: this command needs the tools: pip install 'granitepoint[rig]'", file=sys.stderr)
+        print("gladegw: this command needs the tools: pip install 'gladegw[rig]'", file=sys.stderr)
         return 2
     return run(arguments)
 
@@ -62,7 +62,7 @@
     file, words = found
     if words[:1] == ["replay"]:
         return replay_file(file, words[1])
-    from granitepoint.net.serve import run
+    from gladegw.net.serve import run
 
     return run(file)
 
--- a/granitepoint/apps/check.py
+++ b/gladegw/apps/check.py
@@ -5,14 +5,14 @@
 from collections.abc import Iterable
 from itertools import chain
 
-from granitepoint.apps.model import App, Landscape
-from granitepoint.apps.sidecar import effective
-from granitepoint.routing.checks import check_classes, check_endpoints, check_table, classes_of
-from granitepoint.routing.findings import Finding, Place, nearest
-from granitepoint.routing.matcher import Table
-from granitepoint.routing.model import Description, Route
-from granitepoint.routing.overlap import overlaps
-from granitepoint.routing.read import check_references, circles
+from gladegw.apps.model import App, Landscape
+from gladegw.apps.sidecar import effective
+from gladegw.routing.checks import check_classes, check_endpoints, check_table, classes_of
+from gladegw.routing.findings import Finding, Place, nearest
+from gladegw.routing.matcher import Table
+from gladegw.routing.model import Description, Route
+from gladegw.routing.overlap import overlaps
+from gladegw.routing.read import check_references, circles
 
 
 def check(landscape: Landscape) -> list[Finding]:
--- a/granitepoint/apps/files.py
+++ b/gladegw/apps/files.py
@@ -5,9 +5,9 @@
 import os
 from pathlib import Path
 
-from granitepoint.apps.model import Landscape
-from granitepoint.apps.read import read_texts
-from granitepoint.routing.findings import Finding, Place
+from gladegw.apps.model import Landscape
+from gladegw.apps.read import read_texts
+from gladegw.routing.findings import Finding, Place
 
 MOST_FILES = 10_000
 
--- a/granitepoint/apps/layout.py
+++ b/gladegw/apps/layout.py
@@ -5,8 +5,8 @@
 
 from itertools import groupby
 
-from granitepoint.routing.findings import Finding, Place, RoutingError
-from granitepoint.routing.source import TOKEN
+from gladegw.routing.findings import Finding, Place, RoutingError
+from gladegw.routing.source import TOKEN
 
 OPEN, CLOSE = "{[", "}]"
 
--- a/granitepoint/apps/model.py
+++ b/gladegw/apps/model.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 from functools import cached_property
 
-from granitepoint.routing.expect import Expectation
-from granitepoint.routing.findings import Place
-from granitepoint.routing.model import NO_PLACE, ClassRule, Endpoint, Pool, Route
+from gladegw.routing.expect import Expectation
+from gladegw.routing.findings import Place
+from gladegw.routing.model import NO_PLACE, ClassRule, Endpoint, Pool, Route
 
 MOST_ATTEMPTS = 16  # of one request over all tiers, where the platform says nothing
 
--- a/granitepoint/apps/read.py
+++ b/gladegw/apps/read.py
@@ -6,13 +6,13 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import replace
 
-from granitepoint.apps.model import MOST_ATTEMPTS, App, Landscape, Platform
-from granitepoint.routing.expect import read_expect
-from granitepoint.routing.fields import Fields
-from granitepoint.routing.findings import Finding, Place, RoutingError, nearest
-from granitepoint.routing.model import ClassRule, Endpoint
-from granitepoint.routing.read import read_pool, read_route, unique
-from granitepoint.routing.source import Block, Document, read_source
+from gladegw.apps.model import MOST_ATTEMPTS, App, Landscape, Platform
+from gladegw.routing.expect import read_expect
+from gladegw.routing.fields import Fields
+from gladegw.routing.findings import Finding, Place, RoutingError, nearest
+from gladegw.routing.model import ClassRule, Endpoint
+from gladegw.routing.read import read_pool, read_route, unique
+from gladegw.routing.source import Block, Document, read_source
 
 BLOCKS = ("app", "class", "tenant", "pool", "route", "expect", "platform")
 EFFECTS = ("repeatable", "by_key", "once")
--- a/granitepoint/apps/sarif.py
+++ b/gladegw/apps/sarif.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from granitepoint.routing.findings import CODES, Finding, Place
+from gladegw.routing.findings import CODES, Finding, Place
 
 SCHEMA = "https://json.schemastore.org/sarif-2.1.0.json"
 
--- a/granitepoint/apps/sidecar.py
+++ b/gladegw/apps/sidecar.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, replace
 from hashlib import blake2b
 
-from granitepoint.apps.model import App, Landscape
-from granitepoint.routing.cells import Undecided, cells
-from granitepoint.routing.checks import classes_of
-from granitepoint.routing.expect import outcome
-from granitepoint.routing.matcher import Table, refusals
-from granitepoint.routing.model import Ask, Description, Match, Pool, Route
+from gladegw.apps.model import App, Landscape
+from gladegw.routing.cells import Undecided, cells
+from gladegw.routing.checks import classes_of
+from gladegw.routing.expect import outcome
+from gladegw.routing.matcher import Table, refusals
+from gladegw.routing.model import Ask, Description, Match, Pool, Route
 
 MOST_MOVED = 50  # examples of requests that a change moves
 
--- a/granitepoint/apps/write.py
+++ b/gladegw/apps/write.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable, Sequence
 from typing import Any
 
-from granitepoint.apps.model import App
-from granitepoint.routing.model import EVERY, Description, Match, Pool, Route, Text
+from gladegw.apps.model import App
+from gladegw.routing.model import EVERY, Description, Match, Pool, Route, Text
 
 
 def value(found: Any) -> str:
--- a/granitepoint/benchlink.py
+++ b/gladegw/benchlink.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterable
 from typing import IO, Any
 
-from granitepoint import interface as api
-from granitepoint.logic import Balancer
+from gladegw import interface as api
+from gladegw.logic import Balancer
 
 Fields = dict[str, str]
 
@@ -466,7 +466,7 @@
         host.run()
     except (WireError, ValueError) as fault:
         shown = host.line[:300].encode("ascii", "backslashreplace").decode()
-        print(f"granitepoint: {fault} in line: {shown}", file=sys.stderr)
+        print(f"gladegw: {fault} in line: {shown}", file=sys.stderr)
         return 2
     return 0
 
--- a/granitepoint/cli/__init__.py
+++ b/gladegw/cli/__init__.py
@@ -8,19 +8,19 @@
 import click
 
 COMMANDS = {
-    "serve": ("granitepoint.cli.serving", "serve"),
-    "replay": ("granitepoint.cli.serving", "replay"),
-    "check-config": ("granitepoint.cli.serving", "check_config"),
-    "rig": ("granitepoint.cli.rig", "rig"),
-    "load": ("granitepoint.cli.load", "load"),
-    "experiment": ("granitepoint.cli.experiment", "experiment"),
-    "apps": ("granitepoint.cli.apps", "apps"),
-    "routes": ("granitepoint.cli.routes", "routes"),
-    "fleet": ("granitepoint.cli.fleet", "fleet"),
-    "policy": ("granitepoint.cli.policy", "policy"),
-    "rollout": ("granitepoint.cli.rollout", "rollout"),
-    "supervise": ("granitepoint.cli.supervise", "supervise"),
-    "demo": ("granitepoint.cli.demo", "demo"),
+    "serve": ("gladegw.cli.serving", "serve"),
+    "replay": ("gladegw.cli.serving", "replay"),
+    "check-config": ("gladegw.cli.serving", "check_config"),
+    "rig": ("gladegw.cli.rig", "rig"),
+    "load": ("gladegw.cli.load", "load"),
+    "experiment": ("gladegw.cli.experiment", "experiment"),
+    "apps": ("gladegw.cli.apps", "apps"),
+    "routes": ("gladegw.cli.routes", "routes"),
+    "fleet": ("gladegw.cli.fleet", "fleet"),
+    "policy": ("gladegw.cli.policy", "policy"),
+    "rollout": ("gladegw.cli.rollout", "rollout"),
+    "supervise": ("gladegw.cli.supervise", "supervise"),
+    "demo": ("gladegw.cli.demo", "demo"),
 }
 NEEDED = {"msgspec", "hdrh", "numpy", "matplotlib", "rich", "click", "re2", "xxhash", "grpclib", "google"}
 
@@ -41,13 +41,13 @@
 
 @click.group(cls=Lazy, invoke_without_command=True, context_settings={"help_option_names": ["-h", "--help"]})
 @click.option("-f", "file", metavar="FILE", help="Settings of the features, in HCL blocks.")
-@click.version_option(package_name="granitepoint", prog_name="gladegw")
+@click.version_option(package_name="gladegw", prog_name="gladegw")
 @click.pass_context
 def gladegw(ctx: click.Context, file: str | None) -> None:
     """The proxy, as EDGE_CONFIG says, and its tools. Without a command it serves."""
     ctx.obj = file
     if ctx.invoked_subcommand is None:
-        from granitepoint.net.serve import run as serve
+        from gladegw.net.serve import run as serve
 
         ctx.exit(serve(file))
 
@@ -66,7 +66,7 @@
         if (fault.name or "").partition(".")[0] not in NEEDED:
             raise
         extra = "coordination" if (fault.name or "").startswith(("grpclib", "google")) else "rig"
-        told = f"this command needs {fault.name}: pip install 'granitepoint[{extra}]'"
+        told = f"this command needs {fault.name}: pip install 'gladegw[{extra}]'"
         print(f"gladegw: {told}", file=sys.stderr)
         return 2
     return code if isinstance(code, int) else 0
--- a/granitepoint/cli/apps.py
+++ b/gladegw/cli/apps.py
@@ -7,15 +7,15 @@
 
 import click
 
-from granitepoint.apps.check import check as check_all
-from granitepoint.apps.files import read_folder, texts_of, write_all
-from granitepoint.apps.layout import laid_out
-from granitepoint.apps.model import Landscape
-from granitepoint.apps.sarif import sarif
-from granitepoint.apps.sidecar import asked, difference, explain, sidecar
-from granitepoint.apps.write import file_of
-from granitepoint.cli.common import mendable, show_json, show_routes_changed
-from granitepoint.routing.findings import Finding, RoutingError
+from gladegw.apps.check import check as check_all
+from gladegw.apps.files import read_folder, texts_of, write_all
+from gladegw.apps.layout import laid_out
+from gladegw.apps.model import Landscape
+from gladegw.apps.sarif import sarif
+from gladegw.apps.sidecar import asked, difference, explain, sidecar
+from gladegw.apps.write import file_of
+from gladegw.cli.common import mendable, show_json, show_routes_changed
+from gladegw.routing.findings import Finding, RoutingError
 
 folder_argument = click.argument("folder", metavar="DIR", type=click.Path(file_okay=False))
 endpoints_option = click.option(
--- a/granitepoint/cli/common.py
+++ b/gladegw/cli/common.py
@@ -10,10 +10,10 @@
 
 import click
 
-from granitepoint.apps.files import FolderError
-from granitepoint.net.config import ConfigError
-from granitepoint.rig.errors import RigError
-from granitepoint.routing.findings import RoutingError
+from gladegw.apps.files import FolderError
+from gladegw.net.config import ConfigError
+from gladegw.rig.errors import RigError
+from gladegw.routing.findings import RoutingError
 
 P = ParamSpec("P")
 R = TypeVar("R")
--- a/granitepoint/cli/demo.py
+++ b/gladegw/cli/demo.py
@@ -13,16 +13,16 @@
 from rich.live import Live
 from rich.table import Table
 
-from granitepoint.cli.common import mendable, run_async, show_json
-from granitepoint.cli.rig import told
-from granitepoint.rig import scenario as scenarios
-from granitepoint.rig.judging.judge import Verdict, judge_folder
-from granitepoint.rig.judging.ledger import Sample
-from granitepoint.rig.play import play
-from granitepoint.rig.process import ROOT
-from granitepoint.rig.scenario import Scenario
-from granitepoint.rig.traffic.load import Loaded
-from granitepoint.rig.trouble.faults import bands
+from gladegw.cli.common import mendable, run_async, show_json
+from gladegw.cli.rig import told
+from gladegw.rig import scenario as scenarios
+from gladegw.rig.judging.judge import Verdict, judge_folder
+from gladegw.rig.judging.ledger import Sample
+from gladegw.rig.play import play
+from gladegw.rig.process import ROOT
+from gladegw.rig.scenario import Scenario
+from gladegw.rig.traffic.load import Loaded
+from gladegw.rig.trouble.faults import bands
 
 FILE = Path(scenarios.__file__).with_name("demo.hcl")
 LENGTH = 30.0  # s for which the file is written
@@ -133,8 +133,8 @@
             )
         verdict = judge_folder(where)
         if report_file:
-            from granitepoint.rig.measures.pages import run_page
-            from granitepoint.rig.measures.report import write
+            from gladegw.rig.measures.pages import run_page
+            from gladegw.rig.measures.report import write
 
             write(Path(report_file), run_page("gladegw demo", where, summary(loaded, verdict), told(verdict)))
     if as_json:
--- a/granitepoint/cli/experiment.py
+++ b/gladegw/cli/experiment.py
@@ -10,9 +10,9 @@
 from rich.console import Console
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 
-from granitepoint.cli.common import mendable, run_async, show_json
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.measures.experiment import Results, carry_out, load
+from gladegw.cli.common import mendable, run_async, show_json
+from gladegw.rig.errors import RigError
+from gladegw.rig.measures.experiment import Results, carry_out, load
 
 
 class OrRun(click.Group):
@@ -81,7 +81,7 @@
     elif made.capacity is not None:
         click.echo(capacity_text(results))
     else:
-        from granitepoint.rig.measures.pages import HEAD, as_text, medians
+        from gladegw.rig.measures.pages import HEAD, as_text, medians
 
         click.echo(as_text(medians(results), HEAD))
     ctx.exit(1 if any(result.get("broken") for result in results) else 0)
@@ -99,8 +99,8 @@
     results = Results(Path(folder)).found
     if not results:
         raise RigError(f"{folder}: holds no results yet")
-    from granitepoint.rig.measures import pages
-    from granitepoint.rig.measures import report as pages_of
+    from gladegw.rig.measures import pages
+    from gladegw.rig.measures import report as pages_of
 
     if "most_rate" in results[0]:
         text = capacity_text(results)
--- a/granitepoint/cli/load.py
+++ b/gladegw/cli/load.py
@@ -12,15 +12,15 @@
 
 import click
 
-from granitepoint.cli.common import mendable, milliseconds, run_async, show_json
-from granitepoint.rig import play, scenario
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.traffic.arrivals import PROCESSES, SHAPES, Shape, Surge
-from granitepoint.rig.traffic.load import VALID_P99, Loaded, once
-from granitepoint.rig.traffic.traces import FOREVER, FORMATS, Options
-from granitepoint.rig.traffic.worker import Plan
-from granitepoint.rig.traffic.workload import CallClass, Mix
-from granitepoint.rig.trouble import faults
+from gladegw.cli.common import mendable, milliseconds, run_async, show_json
+from gladegw.rig import play, scenario
+from gladegw.rig.errors import RigError
+from gladegw.rig.traffic.arrivals import PROCESSES, SHAPES, Shape, Surge
+from gladegw.rig.traffic.load import VALID_P99, Loaded, once
+from gladegw.rig.traffic.traces import FOREVER, FORMATS, Options
+from gladegw.rig.traffic.worker import Plan
+from gladegw.rig.traffic.workload import CallClass, Mix
+from gladegw.rig.trouble import faults
 
 
 def target_of(text: str, remote: bool) -> str:
--- a/granitepoint/cli/policy.py
+++ b/gladegw/cli/policy.py
@@ -10,13 +10,13 @@
 import click
 import msgspec
 
-from granitepoint.cli.common import mendable, run_async, show_json, show_routes_changed
-from granitepoint.cli.fleet import file_option, json_option
-from granitepoint.net import features
-from granitepoint.net.config import ConfigError
+from gladegw.cli.common import mendable, run_async, show_json, show_routes_changed
+from gladegw.cli.fleet import file_option, json_option
+from gladegw.net import features
+from gladegw.net.config import ConfigError
 
 if TYPE_CHECKING:
-    from granitepoint.control.propose import Operator, Result
+    from gladegw.control.propose import Operator, Result
 
 T = TypeVar("T")
 why_option = click.option("--why", default="", help="Is kept with the change.")
@@ -44,9 +44,9 @@
     named, found = settings_of(ctx, file)
     settings = found.coordination
     assert settings is not None
-    from granitepoint.control.client import Client
-    from granitepoint.control.errors import StoreFault
-    from granitepoint.control.propose import Operator
+    from gladegw.control.client import Client
+    from gladegw.control.errors import StoreFault
+    from gladegw.control.propose import Operator
 
     async def ask() -> T:
         client = Client(settings.addresses, settings.timeout_ms / 1000, settings.token_file)
@@ -69,11 +69,11 @@
 
 def checked(folder: str) -> dict[str, str]:
     """The bundle's files, each of which can be read as routes; raises ConfigError or RoutingError."""
-    from granitepoint.control import bundle
-    from granitepoint.routing.checks import tied
-    from granitepoint.routing.findings import RoutingError
-    from granitepoint.routing.matcher import Table
-    from granitepoint.routing.read import read_text
+    from gladegw.control import bundle
+    from gladegw.routing.checks import tied
+    from gladegw.routing.findings import RoutingError
+    from gladegw.routing.matcher import Table
+    from gladegw.routing.read import read_text
 
     try:
         files = bundle.read(folder)
@@ -95,7 +95,7 @@
     deadline, everyone = found.policy.deadline_s, found.policy.when_cut_off == "serve"
 
     async def propose(operator: Operator) -> Result:
-        from granitepoint.control.propose import Result
+        from gladegw.control.propose import Result
 
         named = await operator.send(files) if files is not None else digest
         try:
@@ -150,7 +150,7 @@
 
 
 def by_epoch(ctx: click.Context, file: str | None, epoch: int) -> str:
-    from granitepoint.control.propose import history
+    from gladegw.control.propose import history
 
     async def look(operator: Operator) -> list[dict[str, Any]]:
         return history(await operator.view())
@@ -169,7 +169,7 @@
 @mendable
 def status(ctx: click.Context, file: str | None, as_json: bool, watch: bool) -> None:
     """What is in force, which change is open, who has voted what, and who serves by what."""
-    from granitepoint.control import propose as told
+    from gladegw.control import propose as told
 
     async def look(operator: Operator) -> dict[str, Any]:
         return told.status(await operator.view())
@@ -222,7 +222,7 @@
 @mendable
 def history(ctx: click.Context, file: str | None, as_json: bool) -> None:
     """What was in force, epoch by epoch."""
-    from granitepoint.control.propose import history as told
+    from gladegw.control.propose import history as told
 
     async def look(operator: Operator) -> list[dict[str, Any]]:
         return told(await operator.view())
@@ -244,7 +244,7 @@
 def show(ctx: click.Context, epoch: int, file: str | None, as_json: bool) -> None:
     """The files of an epoch's bundle."""
     digest = by_epoch(ctx, file, epoch)
-    from granitepoint.control.bundle import BundleError
+    from gladegw.control.bundle import BundleError
 
     try:
         files = asked(ctx, file, lambda operator: operator.files(digest))
@@ -265,10 +265,10 @@
 @mendable
 def diff(ctx: click.Context, old: int, new: int, file: str | None, as_json: bool) -> None:
     """What went another way from epoch A to epoch B. Exit code 1 if anything did."""
-    from granitepoint.apps.sidecar import difference
-    from granitepoint.control.bundle import BundleError
-    from granitepoint.routing.model import Description
-    from granitepoint.routing.read import read_text
+    from gladegw.apps.sidecar import difference
+    from gladegw.control.bundle import BundleError
+    from gladegw.routing.model import Description
+    from gladegw.routing.read import read_text
 
     try:
         before, after = (
--- a/granitepoint/cli/rig.py
+++ b/gladegw/cli/rig.py
@@ -9,14 +9,14 @@
 import click
 import msgspec
 
-from granitepoint.cli import simulate as simulating
-from granitepoint.cli import soak as soaking
-from granitepoint.cli.common import mendable, run_async, show_json
-from granitepoint.rig import scenario as scenarios
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.judging.judge import RULES, Verdict, judge_folder
-from granitepoint.rig.play import Play, play
-from granitepoint.rig.trouble import faults
+from gladegw.cli import simulate as simulating
+from gladegw.cli import soak as soaking
+from gladegw.cli.common import mendable, run_async, show_json
+from gladegw.rig import scenario as scenarios
+from gladegw.rig.errors import RigError
+from gladegw.rig.judging.judge import RULES, Verdict, judge_folder
+from gladegw.rig.play import Play, play
+from gladegw.rig.trouble import faults
 
 file_argument = click.argument("file", type=click.Path(dir_okay=False))
 json_option = click.option("--json", "as_json", is_flag=True, help="Print one object.")
@@ -132,7 +132,7 @@
     members: int, port: int, least_ttl: int, orders: bool, one_process: bool, record: Path | None
 ) -> None:
     """A stand-in for the coordination store: the etcd v3 API over gRPC, on 127.0.0.1."""
-    from granitepoint.rig.store.orders import serve
+    from gladegw.rig.store.orders import serve
 
     try:
         run_async(serve(members, port, least_ttl, orders, not one_process, record))
@@ -157,7 +157,7 @@
     as_json: bool,
 ) -> None:  # fmt: skip
     """Lose a duty's holder again and again: s without a holder, and whether two ever held it."""
-    from granitepoint.rig.measures import losses as lost
+    from gladegw.rig.measures import losses as lost
 
     for kind in kinds:
         if kind not in lost.KINDS:
@@ -205,7 +205,7 @@
     as_json: bool,
 ) -> None:  # fmt: skip
     """What a fleet costs its store and its members, before the stand-in: calls, bytes, CPU, a loss."""
-    from granitepoint.rig.measures import scale as scales
+    from gladegw.rig.measures import scale as scales
 
     rows = [run_async(scales.fleet_of(count, ttl, lasts)) for count in proxies]
     rows += [run_async(scales.crowd(count, duties, ttl, lasts, changes)) for count in members]
@@ -238,7 +238,7 @@
 @mendable
 def cost(rate: float, plays: int, lasts: float, ttl: int, as_json: bool) -> None:
     """The same load on a proxy with the block `coordination` and without, by turns."""
-    from granitepoint.rig.measures import cost as costs
+    from gladegw.rig.measures import cost as costs
 
     found = run_async(costs.measure(rate, plays, lasts, ttl))
     if as_json:
@@ -260,7 +260,7 @@
 @mendable
 def stall(busy: float, free: float, lasts: float, ttl: int, as_json: bool) -> None:
     """A loop that is busy for long at a time, and a duty held beside it: on a thread, and on that loop."""
-    from granitepoint.rig.measures import stall as stalls
+    from gladegw.rig.measures import stall as stalls
 
     rows = run_async(stalls.measure(busy, free, lasts, ttl))
     if as_json:
@@ -291,7 +291,7 @@
     clocks: bool, seed: int, as_json: bool,
 ) -> None:  # fmt: skip
     """Change the policy of serving proxies again and again, with requests flowing."""
-    from granitepoint.rig.measures import changes as course
+    from gladegw.rig.measures import changes as course
 
     for kind in kinds:
         if kind not in course.FAULTS:
@@ -330,8 +330,8 @@
     """Search the duty's machine in all orders of steps and faults, then by long random runs."""
     from dataclasses import asdict
 
-    from granitepoint.rig.explore.duties import Duties
-    from granitepoint.rig.explore.search import Search, walk
+    from gladegw.rig.explore.duties import Duties
+    from gladegw.rig.explore.search import Search, walk
 
     found = [Search(Duties(members), liveness=10).run(depth, most)] if depth else []
     for number in range(walks):
@@ -364,7 +364,7 @@
 @mendable
 def replacements(proxies: int, count: int, as_json: bool) -> None:
     """Replace processes under their supervisors again and again, with requests flowing: what is lost."""
-    from granitepoint.rig.measures import replacements as course
+    from gladegw.rig.measures import replacements as course
 
     found = run_async(course.measure(proxies, count))
     if as_json:
@@ -399,7 +399,7 @@
     """Roll bundles out over serving proxies: how soon a worse one is taken back, and whom it harms."""
     if simulated:
         return simulating.rolled(proxies, bake, seed, as_json)
-    from granitepoint.rig.measures import rollouts as course
+    from gladegw.rig.measures import rollouts as course
 
     wanted = list(harms) or ["none", "fails 5%"]
     rows = run_async(course.run(wanted, program, proxies, plays, rate, ttl, bake, seed, troubled))
--- a/granitepoint/cli/rollout.py
+++ b/gladegw/cli/rollout.py
@@ -9,16 +9,16 @@
 
 import click
 
-from granitepoint.cli.common import mendable, show_json
-from granitepoint.cli.fleet import file_option, json_option
-from granitepoint.cli.policy import asked, checked, me, settings_of, wait_option, why_option
-from granitepoint.net.config import ConfigError
+from gladegw.cli.common import mendable, show_json
+from gladegw.cli.fleet import file_option, json_option
+from gladegw.cli.policy import asked, checked, me, settings_of, wait_option, why_option
+from gladegw.net.config import ConfigError
 
 if TYPE_CHECKING:
-    from granitepoint.control.plan import Plan
-    from granitepoint.control.propose import Operator
-    from granitepoint.control.rollouts import Rollouts
-    from granitepoint.coordination.records import Point, Rollout
+    from gladegw.control.plan import Plan
+    from gladegw.control.propose import Operator
+    from gladegw.control.rollouts import Rollouts
+    from gladegw.coordination.records import Point, Rollout
 
 
 @click.group()
@@ -28,8 +28,8 @@
 
 def plan_of(path: str) -> tuple[Plan, dict[str, str]]:
     """Raises ConfigError or RoutingError."""
-    from granitepoint.control import plan
-    from granitepoint.control.errors import PlanError
+    from gladegw.control import plan
+    from gladegw.control.errors import PlanError
 
     try:
         found = plan.read(path)
@@ -47,7 +47,7 @@
         raise ConfigError(f"bad settings: {named}: no block rollout")
 
     async def ask(operator: Operator) -> tuple[str, dict[str, Any]]:
-        from granitepoint.control.rollouts import Refused, Rollouts, last, status
+        from gladegw.control.rollouts import Refused, Rollouts, last, status
 
         try:
             record = await what(Rollouts(operator))
@@ -95,7 +95,7 @@
     found, _ = plan_of(plan)
     stages: tuple[tuple[str, ...], ...] = ()
     if file or ctx.obj:
-        from granitepoint.coordination.rollout import staged
+        from gladegw.coordination.rollout import staged
 
         async def look(operator: Operator) -> dict[str, str]:
             return {member.name: member.zone for _, member in (await operator.view()).members()}
@@ -151,8 +151,8 @@
     """Which stage, what was seen so far, and who serves by what."""
 
     async def look(operator: Operator) -> dict[str, Any]:
-        from granitepoint.control.rollouts import last
-        from granitepoint.control.rollouts import status as told
+        from gladegw.control.rollouts import last
+        from gladegw.control.rollouts import status as told
 
         view = await operator.view()
         return told(view, last(view))
@@ -213,7 +213,7 @@
     """What was rolled out, and what became of it."""
 
     async def look(operator: Operator) -> list[Rollout]:
-        from granitepoint.control.rollouts import history as told
+        from gladegw.control.rollouts import history as told
 
         return told(await operator.view())
 
@@ -240,8 +240,8 @@
     """Write one page of a rollout, the last one if none is named: stages, figures judged, evidence, plots."""
 
     async def look(operator: Operator) -> tuple[Rollout | None, list[Point]]:
-        from granitepoint.control.rollouts import history as told
-        from granitepoint.control.rollouts import last, points
+        from gladegw.control.rollouts import history as told
+        from gladegw.control.rollouts import last, points
 
         view = await operator.view()
         named = [one for one in told(view) if one.id == id] if id else []
@@ -251,7 +251,7 @@
     record, found = asked(ctx, file, look)
     if record is None:
         raise ConfigError(f"no rollout {id or 'yet'}: see `gladegw rollout history`")
-    from granitepoint.rig.measures import report, rolled
+    from gladegw.rig.measures import report, rolled
 
     try:
         report.write(Path(output), rolled.page(record, found))
--- a/granitepoint/cli/routes.py
+++ b/gladegw/cli/routes.py
@@ -6,15 +6,15 @@
 
 import click
 
-from granitepoint.apps.files import read_folder, texts_of
-from granitepoint.apps.sidecar import sidecar
-from granitepoint.cli.apps import folder_argument, json_option
-from granitepoint.cli.common import mendable, show_json
-from granitepoint.routing.expect import Failure, Result, decide_all, read_expect
-from granitepoint.routing.findings import Finding, Place, RoutingError
-from granitepoint.routing.matcher import Table
-from granitepoint.routing.read import describe
-from granitepoint.routing.source import Document, read_source
+from gladegw.apps.files import read_folder, texts_of
+from gladegw.apps.sidecar import sidecar
+from gladegw.cli.apps import folder_argument, json_option
+from gladegw.cli.common import mendable, show_json
+from gladegw.routing.expect import Failure, Result, decide_all, read_expect
+from gladegw.routing.findings import Finding, Place, RoutingError
+from gladegw.routing.matcher import Table
+from gladegw.routing.read import describe
+from gladegw.routing.source import Document, read_source
 
 
 @click.group()
--- a/granitepoint/cli/serving.py
+++ b/gladegw/cli/serving.py
@@ -6,7 +6,7 @@
 
 import click
 
-from granitepoint.cli.common import mendable, show_json
+from gladegw.cli.common import mendable, show_json
 
 about_file = "Settings of the features, in HCL blocks."
 
@@ -16,7 +16,7 @@
 @click.pass_context
 def serve(ctx: click.Context, file: str | None) -> None:
     """Serve as EDGE_CONFIG says (the same as no command)."""
-    from granitepoint.net.serve import run
+    from gladegw.net.serve import run
 
     ctx.exit(run(file or ctx.obj))
 
@@ -27,7 +27,7 @@
 @click.pass_context
 def replay(ctx: click.Context, file: str | None, capture: str) -> None:
     """Ask the decision module again what a capture recorded."""
-    from granitepoint.__main__ import replay_file
+    from gladegw.__main__ import replay_file
 
     ctx.exit(replay_file(file or ctx.obj, capture))
 
@@ -40,8 +40,8 @@
 @mendable
 def check_config(ctx: click.Context, file: str | None, as_json: bool, config: str | None) -> None:
     """Check a configuration (EDGE_CONFIG's, if none is named) and a file of features, and start nothing."""
-    from granitepoint.net import features
-    from granitepoint.net.config import load
+    from gladegw.net import features
+    from gladegw.net.config import load
 
     environ = {**os.environ, "EDGE_CONFIG": config} if config else dict(os.environ)
     found = load(environ)
--- a/granitepoint/cli/simulate.py
+++ b/gladegw/cli/simulate.py
@@ -8,10 +8,10 @@
 import click
 import msgspec
 
-from granitepoint.cli.common import mendable, run_async, show_json
+from gladegw.cli.common import mendable, run_async, show_json
 
 if TYPE_CHECKING:
-    from granitepoint.rig.simulate.course import Simulated
+    from gladegw.rig.simulate.course import Simulated
 
 
 def shown(one: Simulated) -> None:
@@ -40,8 +40,8 @@
     as_json: bool,
 ) -> None:  # fmt: skip
     """Live through changes, rollouts and faults on a clock that jumps; a seed is a course."""
-    from granitepoint.rig.simulate.many import Asked, courses
-    from granitepoint.rig.simulate.planted import DEFECTS
+    from gladegw.rig.simulate.many import Asked, courses
+    from gladegw.rig.simulate.planted import DEFECTS
 
     if planted == "list":
         for name, defect in DEFECTS.items():
@@ -78,7 +78,7 @@
     """Take the store away from proxies with either `when_cut_off`: what is refused, and for how long."""
     if simulated:
         return simulated_outages(aways or (1.0, 60.0, 3600.0), as_json)
-    from granitepoint.rig.measures import outages as course
+    from gladegw.rig.measures import outages as course
 
     rows = run_async(course.measure(("serve", "refuse"), aways or (1.0, 10.0), proxies, ttl))
     if as_json:
@@ -90,7 +90,7 @@
 
 def simulated_outages(aways: tuple[float, ...], as_json: bool) -> None:
     """Exit code 1 where something broke, or is not whole afterwards."""
-    from granitepoint.rig.simulate.outages import PHASES, Asked, measure
+    from gladegw.rig.simulate.outages import PHASES, Asked, measure
 
     wanted = [Asked(when_cut_off=mode, away=away, phase=phase)
               for away in aways for mode in ("serve", "refuse") for phase in PHASES]  # fmt: skip
@@ -110,7 +110,7 @@
 
 def rolled(members: int, bake: float, seed: int, as_json: bool) -> None:
     """Exit code 1 where the good bundle was not done, the bad one was not taken back, or something broke."""
-    from granitepoint.rig.simulate.rollouts import Asked, measure
+    from gladegw.rig.simulate.rollouts import Asked, measure
 
     wanted = [Asked(members=members, bad=bad, bake=bake, seed=seed) for bad in (False, True)]
     found = run_async(measure(wanted, len(wanted)))
--- a/granitepoint/cli/soak.py
+++ b/gladegw/cli/soak.py
@@ -10,10 +10,10 @@
 import click
 import msgspec
 
-from granitepoint.cli.common import mendable, run_async, show_json
+from gladegw.cli.common import mendable, run_async, show_json
 
 if TYPE_CHECKING:
-    from granitepoint.rig.soak import Verdict
+    from gladegw.rig.soak import Verdict
 
 
 def shown(one: Verdict) -> None:
@@ -39,8 +39,8 @@
     seed: int, seeds: int, servers: int | None, at_once: int, harm: str, as_json: bool
 ) -> None:  # fmt: skip
     """Play days of failing calls, stepped clocks, crowded discovery, drains and signals; a seed is a day."""
-    from granitepoint.rig import soak as days
-    from granitepoint.rig.bad import HARMS
+    from gladegw.rig import soak as days
+    from gladegw.rig.bad import HARMS
 
     if harm and harm not in HARMS:
         raise click.BadParameter(f"{harm} is none of {', '.join(HARMS)}", param_hint="--harm")
--- a/granitepoint/cli/supervise.py
+++ b/gladegw/cli/supervise.py
@@ -8,9 +8,9 @@
 
 import click
 
-from granitepoint.cli.common import mendable, show_json
-from granitepoint.cli.fleet import file_option
-from granitepoint.net.config import ConfigError, load
+from gladegw.cli.common import mendable, show_json
+from gladegw.cli.fleet import file_option
+from gladegw.net.config import ConfigError, load
 
 
 @click.command()
@@ -31,9 +31,9 @@
     """
     import msgspec
 
-    from granitepoint.net import features
-    from granitepoint.supervisor import run
-    from granitepoint.supervisor import settings as file_of
+    from gladegw.net import features
+    from gladegw.supervisor import run
+    from gladegw.supervisor import settings as file_of
 
     found = file_of.read(settings)
     config = load(os.environ)
@@ -58,7 +58,7 @@
         return click.echo("  ".join(f"{key} {value}" for key, value in told.items()))
     options = None
     if coordination is not None:
-        from granitepoint.control.agent import Options
+        from gladegw.control.agent import Options
 
         options = Options(coordination.addresses, coordination.prefix, coordination.ttl_s,
                           coordination.timeout_ms / 1000, coordination.token_file)  # fmt: skip
--- a/granitepoint/control/agent.py
+++ b/gladegw/control/agent.py
@@ -19,26 +19,26 @@
 
 import msgspec
 
-from granitepoint.control.backoff import Backoff
-from granitepoint.control.client import Client
-from granitepoint.control.clock import boot
-from granitepoint.control.duties.base import Work
-from granitepoint.control.errors import RefusedByStore, StoreFault
-from granitepoint.control.follower import RANKED, Changed, Follower, Live, Reader
-from granitepoint.control.keeper import Keeper
-from granitepoint.control.keys import Keys, Range
-from granitepoint.control.view import View
-from granitepoint.coordination import lease as leases
-from granitepoint.coordination import turns
-from granitepoint.coordination.duty import Event
-from granitepoint.coordination.lease import Lease
-from granitepoint.coordination.records import Figures, Known, Member, encode
-from granitepoint.coordination.store import Event as Change
-from granitepoint.coordination.store import Put, Txn
+from gladegw.control.backoff import Backoff
+from gladegw.control.client import Client
+from gladegw.control.clock import boot
+from gladegw.control.duties.base import Work
+from gladegw.control.errors import RefusedByStore, StoreFault
+from gladegw.control.follower import RANKED, Changed, Follower, Live, Reader
+from gladegw.control.keeper import Keeper
+from gladegw.control.keys import Keys, Range
+from gladegw.control.view import View
+from gladegw.coordination import lease as leases
+from gladegw.coordination import turns
+from gladegw.coordination.duty import Event
+from gladegw.coordination.lease import Lease
+from gladegw.coordination.records import Figures, Known, Member, encode
+from gladegw.coordination.store import Event as Change
+from gladegw.coordination.store import Put, Txn
 
 if TYPE_CHECKING:
-    from granitepoint.control.policy import Carrier, Policies
-    from granitepoint.coordination.gate import Gate
+    from gladegw.control.policy import Carrier, Policies
+    from gladegw.coordination.gate import Gate
 
 log = logging.getLogger(__name__)
 
@@ -93,7 +93,7 @@
         self.on_record: Member | None = None  # what the store has of this process, as far as it has answered
         self.policies: Policies | None = None
         if carrier is not None:
-            from granitepoint.control.policy import Policies
+            from gladegw.control.policy import Policies
 
             self.policies = Policies(self, carrier)
         self.ready = threading.Event()
--- a/granitepoint/control/client.py
+++ b/gladegw/control/client.py
@@ -16,11 +16,11 @@
 from grpclib.const import Status
 from grpclib.exceptions import GRPCError, ProtocolError, StreamTerminatedError
 
-from granitepoint.control import messages
-from granitepoint.control.errors import RefusedByStore, StoreFault, Unreachable, WatchLost
-from granitepoint.control.wire import store_grpc as services
-from granitepoint.control.wire import store_pb2 as pb
-from granitepoint.coordination.store import Done, Event, Get, KeyValue, Operation, Txn
+from gladegw.control import messages
+from gladegw.control.errors import RefusedByStore, StoreFault, Unreachable, WatchLost
+from gladegw.control.wire import store_grpc as services
+from gladegw.control.wire import store_pb2 as pb
+from gladegw.coordination.store import Done, Event, Get, KeyValue, Operation, Txn
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/control/companion.py
+++ b/gladegw/control/companion.py
@@ -10,17 +10,17 @@
 from dataclasses import replace
 from random import Random
 
-from granitepoint.control.agent import SAID, Options
-from granitepoint.control.backoff import Backoff
-from granitepoint.control.client import Client
-from granitepoint.control.clock import boot
-from granitepoint.control.errors import RefusedByStore, StoreFault
-from granitepoint.control.follower import Follower
-from granitepoint.control.keys import Keys
-from granitepoint.control.view import View
-from granitepoint.coordination.records import Program, Supervised, encode
-from granitepoint.coordination.store import Put
-from granitepoint.coordination.supervision import Order, ordered
+from gladegw.control.agent import SAID, Options
+from gladegw.control.backoff import Backoff
+from gladegw.control.client import Client
+from gladegw.control.clock import boot
+from gladegw.control.errors import RefusedByStore, StoreFault
+from gladegw.control.follower import Follower
+from gladegw.control.keys import Keys
+from gladegw.control.view import View
+from gladegw.coordination.records import Program, Supervised, encode
+from gladegw.coordination.store import Put
+from gladegw.coordination.supervision import Order, ordered
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/gladegw/control/duties/__init__.py
@@ -0,0 +1,10 @@
+"""The duties that there are. One more is a file with a class and its line here."""
+
+from __future__ import annotations
+
+from gladegw.control.duties.base import Work
+from gladegw.control.duties.compare import Compare
+from gladegw.control.duties.digest import Digest
+from gladegw.control.duties.sweeper import Sweeper
+
+ALL: tuple[type[Work], ...] = (Digest, Sweeper, Compare)
--- a/granitepoint/control/duties/base.py
+++ b/gladegw/control/duties/base.py
@@ -5,8 +5,8 @@
 from abc import ABC, abstractmethod
 from typing import Protocol
 
-from granitepoint.control.view import View
-from granitepoint.coordination.store import Compare, Done, Operation
+from gladegw.control.view import View
+from gladegw.coordination.store import Compare, Done, Operation
 
 
 class NotHeld(Exception):
--- a/granitepoint/control/duties/bundles.py
+++ b/gladegw/control/duties/bundles.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Iterable
 
-from granitepoint.control.clock import boot
-from granitepoint.control.duties.base import Holding, Work
-from granitepoint.control.view import View
-from granitepoint.coordination.records import Change, Ended, InForce, Rollout
-from granitepoint.coordination.store import Compare, Delete, Operation, Target
+from gladegw.control.clock import boot
+from gladegw.control.duties.base import Holding, Work
+from gladegw.control.view import View
+from gladegw.coordination.records import Change, Ended, InForce, Rollout
+from gladegw.coordination.store import Compare, Delete, Operation, Target
 
 UNNAMED = 3600.0  # s for which a bundle was named by nothing: whoever has just sent it is about to propose it
 OUTCOMES = 200  # of changes, and of rollouts, that are kept
--- a/granitepoint/control/duties/compare.py
+++ b/gladegw/control/duties/compare.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from granitepoint.control.duties.base import Holding, Work
-from granitepoint.control.view import View
-from granitepoint.coordination.records import Differences, encode
-from granitepoint.coordination.store import Put
+from gladegw.control.duties.base import Holding, Work
+from gladegw.control.view import View
+from gladegw.coordination.records import Differences, encode
+from gladegw.coordination.store import Put
 
 
 def groups(view: View, field: str) -> dict[str, tuple[str, ...]]:
--- a/granitepoint/control/duties/digest.py
+++ b/gladegw/control/duties/digest.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from granitepoint.control.duties.base import Holding, Work
-from granitepoint.control.view import View
-from granitepoint.coordination.records import Figures, Fleet, encode
-from granitepoint.coordination.store import Put
+from gladegw.control.duties.base import Holding, Work
+from gladegw.control.view import View
+from gladegw.coordination.records import Figures, Fleet, encode
+from gladegw.coordination.store import Put
 
 WORST = 5
 
--- a/granitepoint/control/duties/policy.py
+++ b/gladegw/control/duties/policy.py
@@ -7,13 +7,13 @@
 import time
 from dataclasses import replace
 
-from granitepoint.control.duties.base import Holding, Work
-from granitepoint.control.policy import own
-from granitepoint.control.view import View
-from granitepoint.coordination import policy
-from granitepoint.coordination.policy import Outcome, Verdict, Vote
-from granitepoint.coordination.records import Ballot, Change, Ended, InForce, encode
-from granitepoint.coordination.store import Compare, Delete, KeyValue, Operation, Put, Target
+from gladegw.control.duties.base import Holding, Work
+from gladegw.control.policy import own
+from gladegw.control.view import View
+from gladegw.coordination import policy
+from gladegw.coordination.policy import Outcome, Verdict, Vote
+from gladegw.coordination.records import Ballot, Change, Ended, InForce, encode
+from gladegw.coordination.store import Compare, Delete, KeyValue, Operation, Put, Target
 
 LOOK = 1.0  # s without news after which it is looked at all the same
 HISTORY = 100  # epochs that are kept
--- a/granitepoint/control/duties/rollout.py
+++ b/gladegw/control/duties/rollout.py
@@ -11,16 +11,16 @@
 
 import msgspec
 
-from granitepoint.control import programs
-from granitepoint.control.duties.base import Holding, Work
-from granitepoint.control.rollouts import change_id, ended, move, pure, returned, world_of
-from granitepoint.control.view import View
-from granitepoint.control.windows import Windows
-from granitepoint.coordination import quiet, verdict
-from granitepoint.coordination.records import Change, InForce, Point, Rollout, Sign, Weighed, encode
-from granitepoint.coordination.rollout import Do, Phase, World, step
-from granitepoint.coordination.store import Compare, KeyValue, Operation, Put, Target
-from granitepoint.coordination.verdict import Answer, Evidence, Judged, Limits, Sample
+from gladegw.control import programs
+from gladegw.control.duties.base import Holding, Work
+from gladegw.control.rollouts import change_id, ended, move, pure, returned, world_of
+from gladegw.control.view import View
+from gladegw.control.windows import Windows
+from gladegw.coordination import quiet, verdict
+from gladegw.coordination.records import Change, InForce, Point, Rollout, Sign, Weighed, encode
+from gladegw.coordination.rollout import Do, Phase, World, step
+from gladegw.coordination.store import Compare, KeyValue, Operation, Put, Target
+from gladegw.coordination.verdict import Answer, Evidence, Judged, Limits, Sample
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/control/duties/sweeper.py
+++ b/gladegw/control/duties/sweeper.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from granitepoint.control.duties.base import Holding, Work
-from granitepoint.coordination.records import encode
-from granitepoint.coordination.store import Delete, Operation, Put
+from gladegw.control.duties.base import Holding, Work
+from gladegw.coordination.records import encode
+from gladegw.coordination.store import Delete, Operation, Put
 
 KEEP = 24 * 3600.0  # s for which a member that was lost is missed
 MOST = 32  # members looked after in one step, well below the operations of one transaction
--- a/granitepoint/control/fleet.py
+++ b/gladegw/control/fleet.py
@@ -5,11 +5,11 @@
 import time
 from typing import Any
 
-from granitepoint.control.client import Client
-from granitepoint.control.keys import Keys
-from granitepoint.control.view import View
-from granitepoint.coordination.records import Differences, Fleet
-from granitepoint.coordination.store import Get
+from gladegw.control.client import Client
+from gladegw.control.keys import Keys
+from gladegw.control.view import View
+from gladegw.coordination.records import Differences, Fleet
+from gladegw.coordination.store import Get
 
 
 async def read(client: Client, prefix: str) -> View:
--- a/granitepoint/control/follower.py
+++ b/gladegw/control/follower.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from granitepoint.control.backoff import Backoff
-from granitepoint.control.client import Client
-from granitepoint.control.errors import RefusedByStore, StoreFault, WatchLost
-from granitepoint.control.keys import Range
-from granitepoint.control.view import View
-from granitepoint.coordination.store import Event, Get
+from gladegw.control.backoff import Backoff
+from gladegw.control.client import Client
+from gladegw.control.errors import RefusedByStore, StoreFault, WatchLost
+from gladegw.control.keys import Range
+from gladegw.control.view import View
+from gladegw.coordination.store import Event, Get
 
 if TYPE_CHECKING:
-    from granitepoint.control.agent import Agent
+    from gladegw.control.agent import Agent
 
 RANKED = 64  # members up to which each knows all
 MANY = 2 * RANKED  # of them, from which one that knew all does no more
--- a/granitepoint/control/keeper.py
+++ b/gladegw/control/keeper.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from granitepoint.control.duties.base import NotHeld, Work
-from granitepoint.control.errors import StoreFault
-from granitepoint.coordination import duty as duties
-from granitepoint.coordination.duty import Action, Duty, Event, Phase
-from granitepoint.coordination.records import Heir, Holder, encode
-from granitepoint.coordination.store import Compare, Done, Get, KeyValue, Operation, Put
+from gladegw.control.duties.base import NotHeld, Work
+from gladegw.control.errors import StoreFault
+from gladegw.coordination import duty as duties
+from gladegw.coordination.duty import Action, Duty, Event, Phase
+from gladegw.coordination.records import Heir, Holder, encode
+from gladegw.coordination.store import Compare, Done, Get, KeyValue, Operation, Put
 
 if TYPE_CHECKING:
-    from granitepoint.control.agent import Agent
+    from gladegw.control.agent import Agent
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/control/keys.py
+++ b/gladegw/control/keys.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from granitepoint.coordination.store import prefix_end
+from gladegw.coordination.store import prefix_end
 
 LIVE, TOLD, KEPT = "live", "told", "kept"
 Range = tuple[bytes, bytes]
--- a/granitepoint/control/messages.py
+++ b/gladegw/control/messages.py
@@ -5,9 +5,9 @@
 
 from typing import Any
 
-from granitepoint.control.wire import store_pb2 as pb
-from granitepoint.coordination import store
-from granitepoint.coordination.store import Compare, Delete, Get, KeyValue, Operation, Put, Target, Txn
+from gladegw.control.wire import store_pb2 as pb
+from gladegw.coordination import store
+from gladegw.coordination.store import Compare, Delete, Get, KeyValue, Operation, Put, Target, Txn
 
 TARGETS = [Target.VERSION, Target.CREATE, Target.MOD, Target.VALUE, Target.LEASE]  # by their numbers
 RELATIONS = ["=", ">", "<", "!="]
--- a/granitepoint/control/plan.py
+++ b/gladegw/control/plan.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from granitepoint.control.errors import PlanError
-from granitepoint.coordination import quiet
-from granitepoint.coordination.records import Limits
-from granitepoint.coordination.rollout import staged
-from granitepoint.net.hcl import LARGEST, Block, blocks_of
+from gladegw.control.errors import PlanError
+from gladegw.coordination import quiet
+from gladegw.coordination.records import Limits
+from gladegw.coordination.rollout import staged
+from gladegw.net.hcl import LARGEST, Block, blocks_of
 
 WORSE, THIN = ("back", "stop"), ("stop", "go on")
 
--- a/granitepoint/control/policy.py
+++ b/gladegw/control/policy.py
@@ -12,20 +12,20 @@
 
 import msgspec
 
-from granitepoint.control import bundle
-from granitepoint.control.backoff import Backoff
-from granitepoint.control.bundle import BundleError
-from granitepoint.control.errors import RefusedByStore, StoreFault
-from granitepoint.coordination import policy, rollout
-from granitepoint.coordination.gate import Gate
-from granitepoint.coordination.lease import DRIFT
-from granitepoint.coordination.policy import Action, Force, Member, Open, Phase
-from granitepoint.coordination.records import Ballot, Change, InForce, Tries, decode, encode
-from granitepoint.coordination.records import Member as MemberRecord
-from granitepoint.coordination.store import Compare, Delete, Get, KeyValue, Put, Target, Txn
+from gladegw.control import bundle
+from gladegw.control.backoff import Backoff
+from gladegw.control.bundle import BundleError
+from gladegw.control.errors import RefusedByStore, StoreFault
+from gladegw.coordination import policy, rollout
+from gladegw.coordination.gate import Gate
+from gladegw.coordination.lease import DRIFT
+from gladegw.coordination.policy import Action, Force, Member, Open, Phase
+from gladegw.coordination.records import Ballot, Change, InForce, Tries, decode, encode
+from gladegw.coordination.records import Member as MemberRecord
+from gladegw.coordination.store import Compare, Delete, Get, KeyValue, Put, Target, Txn
 
 if TYPE_CHECKING:
-    from granitepoint.control.agent import Agent
+    from gladegw.control.agent import Agent
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/control/programs.py
+++ b/gladegw/control/programs.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from granitepoint.control.plan import Plan
-from granitepoint.control.view import View
-from granitepoint.coordination import rollout as table
-from granitepoint.coordination.records import Member, Program, Rollout, Supervised, encode
-from granitepoint.coordination.rollout import Phase, World
-from granitepoint.coordination.store import Compare, Operation, Put, Target
+from gladegw.control.plan import Plan
+from gladegw.control.view import View
+from gladegw.coordination import rollout as table
+from gladegw.coordination.records import Member, Program, Rollout, Supervised, encode
+from gladegw.coordination.rollout import Phase, World
+from gladegw.coordination.store import Compare, Operation, Put, Target
 
 KIND = "program"
 CAN = "program rollouts"  # what members say that they know who know these
--- a/granitepoint/control/propose.py
+++ b/gladegw/control/propose.py
@@ -9,16 +9,16 @@
 from dataclasses import dataclass, field
 from typing import Any, TypeVar
 
-from granitepoint.control import bundle
-from granitepoint.control.client import Client
-from granitepoint.control.duties.policy import looked, registered, told, votes
-from granitepoint.control.errors import RefusedByStore, StoreFault
-from granitepoint.control.fleet import read
-from granitepoint.control.keys import Keys
-from granitepoint.control.policy import state
-from granitepoint.control.view import View
-from granitepoint.coordination.records import Change, Ended, InForce, Rollout, decode, encode
-from granitepoint.coordination.store import Compare, Delete, Get, Put, Target, Txn
+from gladegw.control import bundle
+from gladegw.control.client import Client
+from gladegw.control.duties.policy import looked, registered, told, votes
+from gladegw.control.errors import RefusedByStore, StoreFault
+from gladegw.control.fleet import read
+from gladegw.control.keys import Keys
+from gladegw.control.policy import state
+from gladegw.control.view import View
+from gladegw.coordination.records import Change, Ended, InForce, Rollout, decode, encode
+from gladegw.coordination.store import Compare, Delete, Get, Put, Target, Txn
 
 T = TypeVar("T")
 LOOK = 0.02  # s between looks at what became of a change
--- a/granitepoint/control/rollouts.py
+++ b/gladegw/control/rollouts.py
@@ -10,15 +10,15 @@
 
 import msgspec
 
-from granitepoint.control import programs
-from granitepoint.control.plan import Plan
-from granitepoint.control.policy import own
-from granitepoint.control.propose import Operator
-from granitepoint.control.view import View
-from granitepoint.coordination import rollout as table
-from granitepoint.coordination.records import Change, Ended, InForce, Point, Rollout, Weighed, decode, encode
-from granitepoint.coordination.rollout import Phase, World
-from granitepoint.coordination.store import Compare, Delete, Get, Operation, Put, Target, Txn
+from gladegw.control import programs
+from gladegw.control.plan import Plan
+from gladegw.control.policy import own
+from gladegw.control.propose import Operator
+from gladegw.control.view import View
+from gladegw.coordination import rollout as table
+from gladegw.coordination.records import Change, Ended, InForce, Point, Rollout, Weighed, decode, encode
+from gladegw.coordination.rollout import Phase, World
+from gladegw.coordination.store import Compare, Delete, Get, Operation, Put, Target, Txn
 
 LOOK = 0.1  # s
 TRIES = 20  # at a write that another's overtakes
--- a/granitepoint/control/start.py
+++ b/gladegw/control/start.py
@@ -12,17 +12,17 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from granitepoint.control.agent import Agent, Options
-from granitepoint.control.duties import ALL
-from granitepoint.coordination.records import Figures, Member
-from granitepoint.net.config import Config
-from granitepoint.net.features import CoordinationSettings
-from granitepoint.operators.ledger import Ledger
+from gladegw.control.agent import Agent, Options
+from gladegw.control.duties import ALL
+from gladegw.coordination.records import Figures, Member
+from gladegw.net.config import Config
+from gladegw.net.features import CoordinationSettings
+from gladegw.operators.ledger import Ledger
 
 if TYPE_CHECKING:
-    from granitepoint.control.policy import Carrier
-    from granitepoint.net.stamped import Stamped
-    from granitepoint.net.timing import Timing
+    from gladegw.control.policy import Carrier
+    from gladegw.net.stamped import Stamped
+    from gladegw.net.timing import Timing
 
 Listed = Callable[[], Iterable[tuple[int, bool]]]  # backends, and whether each is sent to
 
@@ -35,7 +35,7 @@
     if told:
         return told
     try:
-        return importlib.metadata.version("granitepoint")
+        return importlib.metadata.version("gladegw")
     except importlib.metadata.PackageNotFoundError:  # run from a checkout
         return ""
 
@@ -74,8 +74,8 @@
 
 def carrier(router: Stamped, serving: asyncio.AbstractEventLoop) -> Carrier:
     """How a policy gets to what routes requests, whose loop is not the agent's."""
-    from granitepoint.control.bundle import BundleError, chosen
-    from granitepoint.control.policy import Carrier
+    from gladegw.control.bundle import BundleError, chosen
+    from gladegw.control.policy import Carrier
 
     pools = router.pools
 
@@ -114,12 +114,12 @@
     )  # fmt: skip
     works = ALL
     if carried is not None:
-        from granitepoint.control.duties.bundles import Bundles
-        from granitepoint.control.duties.policy import Decide
+        from gladegw.control.duties.bundles import Bundles
+        from gladegw.control.duties.policy import Decide
 
         works = (*ALL, Decide, Bundles)
         if timing is not None:
-            from granitepoint.control.duties.rollout import Conduct
+            from gladegw.control.duties.rollout import Conduct
 
             works = (*works, Conduct)
     agent = Agent(
--- a/granitepoint/control/view.py
+++ b/gladegw/control/view.py
@@ -7,10 +7,10 @@
 from collections.abc import Iterable, Iterator
 from typing import TypeVar, cast
 
-from granitepoint.control.keys import Keys, Range
-from granitepoint.coordination import records
-from granitepoint.coordination.records import Figures, Heir, Holder, Known, Member, Record, RecordError
-from granitepoint.coordination.store import Event, KeyValue, within
+from gladegw.control.keys import Keys, Range
+from gladegw.coordination import records
+from gladegw.coordination.records import Figures, Heir, Holder, Known, Member, Record, RecordError
+from gladegw.coordination.store import Event, KeyValue, within
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/coordination/duty.py
+++ b/gladegw/coordination/duty.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from granitepoint.coordination.lease import Lease
-from granitepoint.coordination.store import Compare, Delete, Get, Operation, Put, Target, Txn
+from gladegw.coordination.lease import Lease
+from gladegw.coordination.store import Compare, Delete, Get, Operation, Put, Target, Txn
 
 
 class Phase(Enum):
--- a/granitepoint/coordination/records.py
+++ b/gladegw/coordination/records.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from granitepoint.coordination.fleetwide import Whole
+from gladegw.coordination.fleetwide import Whole
 
 VERSION = 1  # of all records: a field that comes is optional, one that goes is still read for one version
 
--- a/granitepoint/coordination/verdict.py
+++ b/gladegw/coordination/verdict.py
@@ -14,8 +14,8 @@
 from enum import Enum
 from statistics import median
 
-from granitepoint.coordination import fleetwide
-from granitepoint.coordination.fleetwide import Whole
+from gladegw.coordination import fleetwide
+from gladegw.coordination.fleetwide import Whole
 
 CAP = math.log(8.0)  # of one window's factor: no single moment decides
 DOUBT = math.log(20.0)  # evidence above which time alone does not make a stage "not worse"
--- a/granitepoint/logic.py
+++ b/gladegw/logic.py
@@ -1,4 +1,4 @@
-"""All decisions of a granitepoint instance. What goes in and out is defined in granitepoint/interface.py.
+"""All decisions of a gladegw instance. What goes in and out is defined in gladegw/interface.py.
 
 The Balancer takes events and returns actions; `obligations`, `admission`, `servers`, `freshness` and `rings`
 hold its parts. One unit of time: seconds. No I/O, no clock, no globals that change; chance comes from an own
@@ -12,9 +12,9 @@
 from random import Random
 from typing import Any
 
-from granitepoint.admission import Admission, Kind
-from granitepoint.freshness import Freshness
-from granitepoint.interface import (
+from gladegw.admission import Admission, Kind
+from gladegw.freshness import Freshness
+from gladegw.interface import (
     Action,
     Arrival,
     Cancel,
@@ -37,9 +37,9 @@
     Watch,
     Witness,
 )
-from granitepoint.obligations import Attempt, Call, Obligations, tries
-from granitepoint.servers import Server, Servers
-from granitepoint.tunables import (
+from gladegw.obligations import Attempt, Call, Obligations, tries
+from gladegw.servers import Server, Servers
+from gladegw.tunables import (
     EJECT_FIRST,
     EJECT_LONGEST,
     FIRST_WINDOW,
--- a/granitepoint/net/admin.py
+++ b/gladegw/net/admin.py
@@ -10,10 +10,10 @@
 import threading
 import time
 
-from granitepoint.net.config import Address, ConfigError
-from granitepoint.net.listener import family_of
-from granitepoint.net.sockets import opened
-from granitepoint.operators.calls import Line, Operators
+from gladegw.net.config import Address, ConfigError
+from gladegw.net.listener import family_of
+from gladegw.net.sockets import opened
+from gladegw.operators.calls import Line, Operators
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/net/capture.py
+++ b/gladegw/net/capture.py
@@ -11,12 +11,12 @@
 from pathlib import Path
 from typing import Any
 
-from granitepoint.interface import Arrival, ServerState
-from granitepoint.net.config import Config
-from granitepoint.net.lists import Listing
-from granitepoint.net.reports import read_report
-from granitepoint.net.request import Request
-from granitepoint.net.writer import Writer, to_descriptor
+from gladegw.interface import Arrival, ServerState
+from gladegw.net.config import Config
+from gladegw.net.lists import Listing
+from gladegw.net.reports import read_report
+from gladegw.net.request import Request
+from gladegw.net.writer import Writer, to_descriptor
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/net/client.py
+++ b/gladegw/net/client.py
@@ -10,18 +10,18 @@
 
 import httptools
 
-from granitepoint.limits.memory import WHOLE
-from granitepoint.limits.pace import Pace
-from granitepoint.limits.room import Stage
-from granitepoint.net.peer import Asked, Peer, Source
-from granitepoint.net.request import BadRequest, Request, class_of, origin_form, read_head
-from granitepoint.net.sockets import all_acknowledged, has_unread, peer_has_closed, time_since_data
-from granitepoint.net.tls import subject
-from granitepoint.net.turn import Turn, response_head
-from granitepoint.net.upload import Upload
+from gladegw.limits.memory import WHOLE
+from gladegw.limits.pace import Pace
+from gladegw.limits.room import Stage
+from gladegw.net.peer import Asked, Peer, Source
+from gladegw.net.request import BadRequest, Request, class_of, origin_form, read_head
+from gladegw.net.sockets import all_acknowledged, has_unread, peer_has_closed, time_since_data
+from gladegw.net.tls import subject
+from gladegw.net.turn import Turn, response_head
+from gladegw.net.upload import Upload
 
 if TYPE_CHECKING:
-    from granitepoint.net.server import Server
+    from gladegw.net.server import Server
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/net/config.py
+++ b/gladegw/net/config.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from granitepoint.benchlink import read_settings
-from granitepoint.interface import Settings
+from gladegw.benchlink import read_settings
+from gladegw.interface import Settings
 
 Address = tuple[str, int]
 
--- a/granitepoint/net/desk.py
+++ b/gladegw/net/desk.py
@@ -7,18 +7,18 @@
 from collections.abc import Set as AbstractSet
 from typing import TYPE_CHECKING
 
-from granitepoint.limits.descriptors import shares
-from granitepoint.limits.memory import piece
-from granitepoint.net.config import Config
-from granitepoint.net.exchange import Exchange
-from granitepoint.net.peer import Reply
-from granitepoint.net.request import Request
-from granitepoint.net.upstream import Upstreams
-from granitepoint.operators.calls import Backends
-from granitepoint.operators.ledger import Ledger
+from gladegw.limits.descriptors import shares
+from gladegw.limits.memory import piece
+from gladegw.net.config import Config
+from gladegw.net.exchange import Exchange
+from gladegw.net.peer import Reply
+from gladegw.net.request import Request
+from gladegw.net.upstream import Upstreams
+from gladegw.operators.calls import Backends
+from gladegw.operators.ledger import Ledger
 
 if TYPE_CHECKING:
-    from granitepoint.net.driver import Driver
+    from gladegw.net.driver import Driver
 
 
 class OpenCall:
--- a/granitepoint/net/discovery.py
+++ b/gladegw/net/discovery.py
@@ -10,9 +10,9 @@
 
 import httptools
 
-from granitepoint.interface import CallFailure
-from granitepoint.net.config import Address
-from granitepoint.net.lists import Inventory, Listing, decode
+from gladegw.interface import CallFailure
+from gladegw.net.config import Address
+from gladegw.net.lists import Inventory, Listing, decode
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/net/drain.py
+++ b/gladegw/net/drain.py
@@ -6,8 +6,8 @@
 import time
 from collections.abc import Callable
 
-from granitepoint.net.server import Server
-from granitepoint.operators.lifecycle import State
+from gladegw.net.server import Server
+from gladegw.operators.lifecycle import State
 
 STILL_COMING = 0.45  # s in which all is served as before, while the front takes notice
 LAST_ACCEPT = 0.6  # s after SIGTERM at which the listener and the idle connections close
--- a/granitepoint/net/driver.py
+++ b/gladegw/net/driver.py
@@ -14,19 +14,19 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from granitepoint import interface as api
-from granitepoint.logic import Balancer
-from granitepoint.net.capture import Capture
-from granitepoint.net.config import Config, ConfigError
-from granitepoint.net.desk import Desk, OpenCall
-from granitepoint.net.discovery import Discovery
-from granitepoint.net.exchange import LATE, ONE_TURN, Exchange
-from granitepoint.net.hop import HOP_BY_HOP
-from granitepoint.net.lists import Inventory, Listing
-from granitepoint.net.peer import Reply
-from granitepoint.net.reports import read_report
-from granitepoint.net.request import Request
-from granitepoint.operators.calls import Backends
+from gladegw import interface as api
+from gladegw.logic import Balancer
+from gladegw.net.capture import Capture
+from gladegw.net.config import Config, ConfigError
+from gladegw.net.desk import Desk, OpenCall
+from gladegw.net.discovery import Discovery
+from gladegw.net.exchange import LATE, ONE_TURN, Exchange
+from gladegw.net.hop import HOP_BY_HOP
+from gladegw.net.lists import Inventory, Listing
+from gladegw.net.peer import Reply
+from gladegw.net.reports import read_report
+from gladegw.net.request import Request
+from gladegw.operators.calls import Backends
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/net/edits.py
+++ b/gladegw/net/edits.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from granitepoint.net.request import BadRequest, Headers
-from granitepoint.routing.model import Answer, Ask, Redirect, Route
+from gladegw.net.request import BadRequest, Headers
+from gladegw.routing.model import Answer, Ask, Redirect, Route
 
 
 def fixed(answer: Answer) -> BadRequest:
--- a/granitepoint/net/entrance.py
+++ b/gladegw/net/entrance.py
@@ -10,12 +10,12 @@
 from functools import partial
 from typing import Any
 
-from granitepoint.limits.pace import HEAD
-from granitepoint.limits.room import SERVED, Press, late
-from granitepoint.net import listener
-from granitepoint.net.peer import Certificates, Door, Peer, TurnedAway, told_address
-from granitepoint.net.sockets import OUT_OF_RESOURCES
-from granitepoint.net.tls import reason
+from gladegw.limits.pace import HEAD
+from gladegw.limits.room import SERVED, Press, late
+from gladegw.net import listener
+from gladegw.net.peer import Certificates, Door, Peer, TurnedAway, told_address
+from gladegw.net.sockets import OUT_OF_RESOURCES
+from gladegw.net.tls import reason
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/net/exchange.py
+++ b/gladegw/net/exchange.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from granitepoint.interface import Status
-from granitepoint.limits.memory import WHOLE
-from granitepoint.net.upload import Upload
+from gladegw.interface import Status
+from gladegw.limits.memory import WHOLE
+from gladegw.net.upload import Upload
 
 if TYPE_CHECKING:
-    from granitepoint.net.upstream import Connection, Upstream
+    from gladegw.net.upstream import Connection, Upstream
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/net/features.py
+++ b/gladegw/net/features.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from granitepoint.net import hcl
-from granitepoint.net.addresses import AddressSettings, network
-from granitepoint.net.capture import CaptureSettings
-from granitepoint.net.config import ConfigError, address
-from granitepoint.net.figures import FiguresSettings
-from granitepoint.net.tls import TlsSettings
+from gladegw.net import hcl
+from gladegw.net.addresses import AddressSettings, network
+from gladegw.net.capture import CaptureSettings
+from gladegw.net.config import ConfigError, address
+from gladegw.net.figures import FiguresSettings
+from gladegw.net.tls import TlsSettings
 
 TEMPLATES = ("${", "%{")  # what is computed; here each value is given as it is
 
--- a/granitepoint/net/figures.py
+++ b/gladegw/net/figures.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from granitepoint.interface import Settings
-from granitepoint.net.config import address
-from granitepoint.net.peer import Asked
-from granitepoint.net.writer import Write, Writer, to_descriptor
+from gladegw.interface import Settings
+from gladegw.net.config import address
+from gladegw.net.peer import Asked
+from gladegw.net.writer import Write, Writer, to_descriptor
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/net/hcl.py
+++ b/gladegw/net/hcl.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from granitepoint.net.config import ConfigError
+from gladegw.net.config import ConfigError
 
 LARGEST = 256 * 1024  # bytes of a settings file
 KEPT = "gladegw-settings"  # folder below the environment's
--- a/granitepoint/net/listener.py
+++ b/gladegw/net/listener.py
@@ -10,7 +10,7 @@
 import struct
 import sys
 
-from granitepoint.net.sockets import opened
+from gladegw.net.sockets import opened
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/net/lists.py
+++ b/gladegw/net/lists.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from granitepoint.interface import ServerEntry, ServerState
-from granitepoint.net.config import Address, address
-from granitepoint.net.wallclock import StartTimes
+from gladegw.interface import ServerEntry, ServerState
+from gladegw.net.config import Address, address
+from gladegw.net.wallclock import StartTimes
 
 STATES = {"Ready": ServerState.SERVING, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
 
--- a/granitepoint/net/peer.py
+++ b/gladegw/net/peer.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from granitepoint.net.request import Request
+from gladegw.net.request import Request
 
 
 @dataclass(slots=True)
--- a/granitepoint/net/request.py
+++ b/gladegw/net/request.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, Protocol
 
-from granitepoint.interface import Effect
-from granitepoint.net.hop import HOP_BY_HOP
-from granitepoint.net.upload import Upload
+from gladegw.interface import Effect
+from gladegw.net.hop import HOP_BY_HOP
+from gladegw.net.upload import Upload
 
 if TYPE_CHECKING:
-    from granitepoint.routing.model import Ask, Route
+    from gladegw.routing.model import Ask, Route
 
 BUDGET = re.compile(rb"(\d{1,15}(?:\.\d{1,9})?)([mu])")
 ABSOLUTE = re.compile(rb"^https?://[^/?#]*(?=/|$)", re.IGNORECASE)
--- a/granitepoint/net/routes.py
+++ b/gladegw/net/routes.py
@@ -14,33 +14,33 @@
 from pathlib import Path
 from typing import Any
 
-from granitepoint import interface as api
-from granitepoint.net.capture import Capture
-from granitepoint.net.config import Config, ConfigError
-from granitepoint.net.desk import Desk, OpenCall
-from granitepoint.net.discovery import Discovery
-from granitepoint.net.driver import Driver
-from granitepoint.net.edits import edit, fixed, redirected, rewritten
-from granitepoint.net.features import RoutesSettings
-from granitepoint.net.lists import Inventory, Listed, Listing
-from granitepoint.net.peer import Reply, Source
-from granitepoint.net.request import BadRequest, Headers, Request, Routed
-from granitepoint.net.tables import prepared, read_file
-from granitepoint.operators.calls import Backends
-from granitepoint.routing.findings import RoutingError
-from granitepoint.routing.matcher import Table
-from granitepoint.routing.model import (
+from gladegw import interface as api
+from gladegw.net.capture import Capture
+from gladegw.net.config import Config, ConfigError
+from gladegw.net.desk import Desk, OpenCall
+from gladegw.net.discovery import Discovery
+from gladegw.net.driver import Driver
+from gladegw.net.edits import edit, fixed, redirected, rewritten
+from gladegw.net.features import RoutesSettings
+from gladegw.net.lists import Inventory, Listed, Listing
+from gladegw.net.peer import Reply, Source
+from gladegw.net.request import BadRequest, Headers, Request, Routed
+from gladegw.net.tables import prepared, read_file
+from gladegw.operators.calls import Backends
+from gladegw.routing.findings import RoutingError
+from gladegw.routing.matcher import Table
+from gladegw.routing.model import (
     TENANT_HEADER,
     Ask,
     Description,
     Endpoint,
     Pool,
 )
-from granitepoint.routing.pools import Members, Membership, standing_in
-from granitepoint.routing.quotas import Division
-from granitepoint.routing.reload import change
-from granitepoint.routing.source import digest_of
-from granitepoint.routing.split import first_pool, unit
+from gladegw.routing.pools import Members, Membership, standing_in
+from gladegw.routing.quotas import Division
+from gladegw.routing.reload import change
+from gladegw.routing.source import digest_of
+from gladegw.routing.split import first_pool, unit
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/net/serve.py
+++ b/gladegw/net/serve.py
@@ -13,32 +13,32 @@
 
 import uvloop
 
-from granitepoint.limits.descriptors import AGENT_OWN
-from granitepoint.net import discovery, listener
-from granitepoint.net import driver as decisions
-from granitepoint.net import features as settings_file
-from granitepoint.net.access import AccessLog
-from granitepoint.net.addresses import Addresses
-from granitepoint.net.admin import Admin
-from granitepoint.net.capture import Capture
-from granitepoint.net.config import Config, ConfigError, discovery_now, load
-from granitepoint.net.drain import Drain
-from granitepoint.net.driver import Driver
-from granitepoint.net.features import Features, RoutesSettings
-from granitepoint.net.figures import Figures
-from granitepoint.net.peer import Asked
-from granitepoint.net.request import Router
-from granitepoint.net.server import Server
-from granitepoint.net.tls import Tls
-from granitepoint.net.writer import LOG_BYTES, LogHandler, Writer, to_descriptor
-from granitepoint.operators.calls import Operators
-from granitepoint.operators.ledger import Watcher
-from granitepoint.operators.lifecycle import Event, Lifecycle, State
+from gladegw.limits.descriptors import AGENT_OWN
+from gladegw.net import discovery, listener
+from gladegw.net import driver as decisions
+from gladegw.net import features as settings_file
+from gladegw.net.access import AccessLog
+from gladegw.net.addresses import Addresses
+from gladegw.net.admin import Admin
+from gladegw.net.capture import Capture
+from gladegw.net.config import Config, ConfigError, discovery_now, load
+from gladegw.net.drain import Drain
+from gladegw.net.driver import Driver
+from gladegw.net.features import Features, RoutesSettings
+from gladegw.net.figures import Figures
+from gladegw.net.peer import Asked
+from gladegw.net.request import Router
+from gladegw.net.server import Server
+from gladegw.net.tls import Tls
+from gladegw.net.writer import LOG_BYTES, LogHandler, Writer, to_descriptor
+from gladegw.operators.calls import Operators
+from gladegw.operators.ledger import Watcher
+from gladegw.operators.lifecycle import Event, Lifecycle, State
 
 if TYPE_CHECKING:
-    from granitepoint.control.agent import Agent
-    from granitepoint.net.routes import Pools
-    from granitepoint.net.timing import Timing
+    from gladegw.control.agent import Agent
+    from gladegw.net.routes import Pools
+    from gladegw.net.timing import Timing
 
 LAST_LINES = 0.5  # s for each target of figures or logs to take what is held at the end
 LOOK = 0.02  # s between looks whether a backend has said anything
@@ -76,7 +76,7 @@
 
 
 def pools(settings: RoutesSettings, config: Config, capture: Capture | None) -> Pools:
-    from granitepoint.net.routes import Pools
+    from gladegw.net.routes import Pools
 
     return Pools(settings, config, capture)
 
@@ -89,16 +89,16 @@
     settings = features.coordination
     if settings is None:
         return None, router
-    from granitepoint.control.start import carrier, joined
+    from gladegw.control.start import carrier, joined
 
     def routes() -> str:
         return "" if isinstance(driver, Driver) else driver.digest
 
     carried = None
     if features.policy is not None and not isinstance(driver, Driver):
-        from granitepoint.control.clock import boot
-        from granitepoint.coordination.gate import Gate
-        from granitepoint.net.stamped import Stamped
+        from gladegw.control.clock import boot
+        from gladegw.coordination.gate import Gate
+        from gladegw.net.stamped import Stamped
 
         router = Stamped(driver, Gate(boot), features.policy, config.settings.may_advise_wait)
         carried = carrier(router, asyncio.get_running_loop())
@@ -109,7 +109,7 @@
 def timed(features: Features, config: Config) -> Timing | None:
     if features.rollout is None:
         return None
-    from granitepoint.net.timing import Timing
+    from gladegw.net.timing import Timing
 
     return Timing(config.settings.classes)
 
@@ -234,10 +234,10 @@
             logging.basicConfig(stream=sys.stderr, format=log_format)
         asyncio.Runner(loop_factory=uvloop.new_event_loop).run(serve(config, features))
     except ConfigError as fault:
-        print(f"granitepoint: {fault}", file=sys.stderr)
+        print(f"gladegw: {fault}", file=sys.stderr)
         return 2
     except OSError as fault:
-        print(f"granitepoint: {fault}", file=sys.stderr)
+        print(f"gladegw: {fault}", file=sys.stderr)
         return 1
     finally:
         if logs is not None:
--- a/granitepoint/net/stamped.py
+++ b/gladegw/net/stamped.py
@@ -8,13 +8,13 @@
 from fnmatch import fnmatchcase
 from functools import lru_cache
 
-from granitepoint.coordination.gate import Gate
-from granitepoint.coordination.stamps import DECIDES, HEADER, Shelf, Stamp, Standing, read
-from granitepoint.net.addresses import network, plain
-from granitepoint.net.features import PolicySettings
-from granitepoint.net.request import BadRequest, Headers, Routed
-from granitepoint.net.routes import Generation, Pools
-from granitepoint.routing.matcher import Table
+from gladegw.coordination.gate import Gate
+from gladegw.coordination.stamps import DECIDES, HEADER, Shelf, Stamp, Standing, read
+from gladegw.net.addresses import network, plain
+from gladegw.net.features import PolicySettings
+from gladegw.net.request import BadRequest, Headers, Routed
+from gladegw.net.routes import Generation, Pools
+from gladegw.routing.matcher import Table
 
 AGAIN = b"1"  # s
 NEVER_RAN = (b"x-rejected", b"1")  # to a proxy, which may try it elsewhere
--- a/granitepoint/net/tables.py
+++ b/gladegw/net/tables.py
@@ -5,14 +5,14 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from granitepoint import interface as api
-from granitepoint.net.config import ConfigError
-from granitepoint.routing.checks import check_classes, tied
-from granitepoint.routing.findings import Finding, RoutingError
-from granitepoint.routing.matcher import Table
-from granitepoint.routing.model import ClassRule, Description
-from granitepoint.routing.read import read_text
-from granitepoint.routing.split import hasher
+from gladegw import interface as api
+from gladegw.net.config import ConfigError
+from gladegw.routing.checks import check_classes, tied
+from gladegw.routing.findings import Finding, RoutingError
+from gladegw.routing.matcher import Table
+from gladegw.routing.model import ClassRule, Description
+from gladegw.routing.read import read_text
+from gladegw.routing.split import hasher
 
 
 def prepared(text: str, file: str, classes: Sequence[api.RequestClass]) -> Table:
@@ -40,7 +40,7 @@
         if places:
             hasher()
     except ModuleNotFoundError:
-        what = "splits, subsets and shares of mirrors need xxhash: pip install 'granitepoint[routes]'"
+        what = "splits, subsets and shares of mirrors need xxhash: pip install 'gladegw[routes]'"
         return [Finding("R008", place, what) for place in places]
     return []
 
--- a/granitepoint/net/timing.py
+++ b/gladegw/net/timing.py
@@ -6,9 +6,9 @@
 import time
 from collections.abc import Iterable
 
-from granitepoint.interface import RequestClass
-from granitepoint.net.peer import Asked
-from granitepoint.operators.ledger import Handled
+from gladegw.interface import RequestClass
+from gladegw.net.peer import Asked
+from gladegw.operators.ledger import Handled
 
 
 class Timing:
--- a/granitepoint/net/tls.py
+++ b/gladegw/net/tls.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from granitepoint.net.config import ConfigError
+from gladegw.net.config import ConfigError
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/net/turn.py
+++ b/gladegw/net/turn.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
-from granitepoint.net.request import BadRequest, Request
+from gladegw.net.request import BadRequest, Request
 
 if TYPE_CHECKING:
-    from granitepoint.net.peer import Asked
-    from granitepoint.net.upload import Upload
+    from gladegw.net.peer import Asked
+    from gladegw.net.upload import Upload
 
 REASONS = {
     200: b"OK", 301: b"Moved Permanently", 302: b"Found", 303: b"See Other", 307: b"Temporary Redirect",
--- a/granitepoint/net/upstream.py
+++ b/gladegw/net/upstream.py
@@ -13,12 +13,12 @@
 
 import httptools
 
-from granitepoint.interface import ServerState, Status
-from granitepoint.limits.memory import WHOLE
-from granitepoint.net.config import Address
-from granitepoint.net.exchange import Exchange
-from granitepoint.net.lists import Listed, Listing
-from granitepoint.net.sockets import has_unread
+from gladegw.interface import ServerState, Status
+from gladegw.limits.memory import WHOLE
+from gladegw.net.config import Address
+from gladegw.net.exchange import Exchange
+from gladegw.net.lists import Listed, Listing
+from gladegw.net.sockets import has_unread
 
 log = logging.getLogger(__name__)
 
--- a/granitepoint/obligations.py
+++ b/gladegw/obligations.py
@@ -9,12 +9,12 @@
 import math
 from typing import TYPE_CHECKING
 
-from granitepoint.interface import NEVER_RAN, Action, Effect, Fail, Refuse, Send, ServerState, Settings
-from granitepoint.tunables import STEP
+from gladegw.interface import NEVER_RAN, Action, Effect, Fail, Refuse, Send, ServerState, Settings
+from gladegw.tunables import STEP
 
 if TYPE_CHECKING:
-    from granitepoint.admission import Kind
-    from granitepoint.servers import Server
+    from gladegw.admission import Kind
+    from gladegw.servers import Server
 
 CALLS_REMEMBERED = 1000  # calls that are over whose ids are still known
 
--- a/granitepoint/operators/calls.py
+++ b/gladegw/operators/calls.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
 
-from granitepoint.operators.ledger import Ledger
-from granitepoint.operators.lifecycle import Event, Lifecycle, Refused, State
+from gladegw.operators.ledger import Ledger
+from gladegw.operators.lifecycle import Event, Lifecycle, Refused, State
 
 LONGEST = 256  # bytes of a call
 WORDS = ("PING", "INFO", "LAMEDUCK", "REJOIN")
--- a/granitepoint/replay.py
+++ b/gladegw/replay.py
@@ -14,16 +14,16 @@
 from random import Random
 from typing import Any
 
-from granitepoint.admission import Admission, Mean
-from granitepoint.benchlink import read_settings
-from granitepoint.interface import Arrival, ServerEntry, Settings
-from granitepoint.logic import CUT, HELD, LATE, TRIES, Balancer
-from granitepoint.net.capture import VERSION
-from granitepoint.net.config import flatten
-from granitepoint.net.lists import STATES, server_id
-from granitepoint.net.reports import read_report
-from granitepoint.obligations import Attempt, Call
-from granitepoint.servers import USED_OF_SERVER, Server, Servers
+from gladegw.admission import Admission, Mean
+from gladegw.benchlink import read_settings
+from gladegw.interface import Arrival, ServerEntry, Settings
+from gladegw.logic import CUT, HELD, LATE, TRIES, Balancer
+from gladegw.net.capture import VERSION
+from gladegw.net.config import flatten
+from gladegw.net.lists import STATES, server_id
+from gladegw.net.reports import read_report
+from gladegw.obligations import Attempt, Call
+from gladegw.servers import USED_OF_SERVER, Server, Servers
 
 PLAIN = re.compile(r"[\w.:-]+", re.ASCII)
 UNDRAWN = 0.5  # for a draw that the changed inputs need and the recorded ones did not
@@ -178,9 +178,9 @@
     """The recorded table of routes."""
     if record["text"] is None:
         return None
-    from granitepoint.routing.findings import RoutingError
-    from granitepoint.routing.matcher import Table
-    from granitepoint.routing.read import read_text
+    from gladegw.routing.findings import RoutingError
+    from gladegw.routing.matcher import Table
+    from gladegw.routing.read import read_text
 
     try:
         return Table(read_text(record["text"], record["file"], ("expect",)))
@@ -200,8 +200,8 @@
         raise Unusable(f"generation {route['generation']} is of epoch {epoch}, not {route.get('epoch')}")
     if table is None:
         return None
-    from granitepoint.routing.model import Ask
-    from granitepoint.routing.split import first_pool
+    from gladegw.routing.model import Ask
+    from gladegw.routing.split import first_pool
 
     headers = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in route["headers"].items()]
     ask = Ask(route["method"], route["target"], route["host"], headers, route["budget_ms"], record["tenant"],
--- a/granitepoint/rig/bad.py
+++ b/gladegw/rig/bad.py
@@ -1,8 +1,8 @@
 """Versions of the program that do worse, made from it by a switch, for rollouts to find.
 
-    python -m granitepoint.rig.bad HARM [-f FILE]
+    python -m gladegw.rig.bad HARM [-f FILE]
 
-serves as `python -m granitepoint [-f FILE]` does, and does what HARM says. Never for service.
+serves as `python -m gladegw [-f FILE]` does, and does what HARM says. Never for service.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 from random import Random
 from typing import Any
 
-from granitepoint import freshness
-from granitepoint.interface import ServerState, Status
-from granitepoint.net import listener, lists
-from granitepoint.net.client import ClientConnection
-from granitepoint.net.driver import Driver
-from granitepoint.net.entrance import Entrance
-from granitepoint.net.request import Request
-from granitepoint.net.routes import Pools
-from granitepoint.servers import Servers
+from gladegw import freshness
+from gladegw.interface import ServerState, Status
+from gladegw.net import listener, lists
+from gladegw.net.client import ClientConnection
+from gladegw.net.driver import Driver
+from gladegw.net.entrance import Entrance
+from gladegw.net.request import Request
+from gladegw.net.routes import Pools
+from gladegw.servers import Servers
 
 CRASH_AFTER = 20.0  # s
 SLOWER = 0.03  # s
@@ -188,7 +188,7 @@
 
 def clock(rate: float) -> None:
     """The clock by which holding is proven runs at another pace."""
-    from granitepoint.control import clock as clocks
+    from gladegw.control import clock as clocks
 
     real = clocks.boot
     clocks.boot = lambda: real() * rate
@@ -244,7 +244,7 @@
         print(f"no such harm; there are {', '.join(HARMS)}", file=sys.stderr)
         return 2
     HARMS[arguments[0]]()
-    from granitepoint.net.serve import run
+    from gladegw.net.serve import run
 
     return run(arguments[2] if arguments[1:2] == ["-f"] else None)
 
--- a/granitepoint/rig/explore/duties.py
+++ b/gladegw/rig/explore/duties.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, field, replace
 from typing import TypeVar
 
-from granitepoint.coordination import duty as duties
-from granitepoint.coordination import lease as leases
-from granitepoint.coordination.duty import Action, Duty, Event, Phase
-from granitepoint.coordination.lease import Lease
-from granitepoint.coordination.store import Done, Get, Granted, KeyValue, Model, StoreError, Txn
+from gladegw.coordination import duty as duties
+from gladegw.coordination import lease as leases
+from gladegw.coordination.duty import Action, Duty, Event, Phase
+from gladegw.coordination.lease import Lease
+from gladegw.coordination.store import Done, Get, Granted, KeyValue, Model, StoreError, Txn
 
 KEY = b"duties/one"
 MOST_TTL = 8  # ticks
--- a/granitepoint/rig/explore/policies.py
+++ b/gladegw/rig/explore/policies.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass, field, replace
 
-from granitepoint.coordination import policy
-from granitepoint.coordination.policy import Action, Force, Member, Open, Outcome, Phase, Verdict, Vote
+from gladegw.coordination import policy
+from gladegw.coordination.policy import Action, Force, Member, Open, Outcome, Phase, Verdict, Vote
 
 ROUNDS = 20  # of a run without faults in which an open change has to be closed
 LIKELY = (("older", 0.2), ("hears", 3.0), ("prepares", 3.0), ("dies", 0.03), ("is given up", 0.05),
--- a/granitepoint/rig/judging/judge.py
+++ b/gladegw/rig/judging/judge.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from granitepoint.rig.judging.ledger import (
+from gladegw.rig.judging.ledger import (
     Called,
     FaultBand,
     Life,
@@ -27,12 +27,12 @@
     Try,
     read_all,
 )
-from granitepoint.rig.scenario import Scenario
-from granitepoint.rig.store.linear import violations
-from granitepoint.rig.store.record import RECORD
-from granitepoint.rig.store.record import read as read_operations
-from granitepoint.rig.traffic.peers import OWED
-from granitepoint.rig.trouble import faults
+from gladegw.rig.scenario import Scenario
+from gladegw.rig.store.linear import violations
+from gladegw.rig.store.record import RECORD
+from gladegw.rig.store.record import read as read_operations
+from gladegw.rig.traffic.peers import OWED
+from gladegw.rig.trouble import faults
 
 SLACK = 0.05  # s by which every limit is longer on sockets (PROTOCOL)
 OWED_CALL = 1.0  # s for an operators' call
--- a/granitepoint/rig/judging/series.py
+++ b/gladegw/rig/judging/series.py
@@ -11,9 +11,9 @@
 import numpy as np
 import numpy.typing as npt
 
-from granitepoint.rig.judging.ledger import Origin, Run, Try, read_all
-from granitepoint.rig.scenario import Scenario
-from granitepoint.rig.trouble import faults
+from gladegw.rig.judging.ledger import Origin, Run, Try, read_all
+from gladegw.rig.scenario import Scenario
+from gladegw.rig.trouble import faults
 
 BIN = 0.5  # s
 Floats = npt.NDArray[np.float64]
--- a/granitepoint/rig/measures/capacity.py
+++ b/gladegw/rig/measures/capacity.py
@@ -13,18 +13,18 @@
 
 import msgspec
 
-from granitepoint.rig import process
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.judging import ledger
-from granitepoint.rig.nodes.model import Kind
-from granitepoint.rig.nodes.settings import config
-from granitepoint.rig.ports import free_port
-from granitepoint.rig.proxy import Proxy
-from granitepoint.rig.scenario import Class, Proxies, Scenario, Tier
-from granitepoint.rig.traffic.arrivals import Shape
-from granitepoint.rig.traffic.load import LEAD, Load
-from granitepoint.rig.traffic.worker import Plan
-from granitepoint.rig.traffic.workload import CallClass, Mix
+from gladegw.rig import process
+from gladegw.rig.errors import RigError
+from gladegw.rig.judging import ledger
+from gladegw.rig.nodes.model import Kind
+from gladegw.rig.nodes.settings import config
+from gladegw.rig.ports import free_port
+from gladegw.rig.proxy import Proxy
+from gladegw.rig.scenario import Class, Proxies, Scenario, Tier
+from gladegw.rig.traffic.arrivals import Shape
+from gladegw.rig.traffic.load import LEAD, Load
+from gladegw.rig.traffic.worker import Plan
+from gladegw.rig.traffic.workload import CallClass, Mix
 
 PATIENCE = 20.0  # s for the trivial nodes to be up
 GOOD = 0.999  # share of the requests that must be answered 200 for a rate to count
@@ -131,7 +131,7 @@
 @contextlib.asynccontextmanager
 async def bench(settings: CapacitySettings, features: str, checkout: str) -> AsyncIterator[Bench]:
     nodes = await process.start(
-        *process.python("granitepoint.rig.nodes.trivial", str(settings.nodes)), cpus=settings.node_cpu
+        *process.python("gladegw.rig.nodes.trivial", str(settings.nodes)), cpus=settings.node_cpu
     )
     try:
         assert nodes.stdout is not None
--- a/granitepoint/rig/measures/cost.py
+++ b/gladegw/rig/measures/cost.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from granitepoint.control import fleet
-from granitepoint.control.client import Client, addresses
-from granitepoint.rig import process
-from granitepoint.rig.measures.capacity import WARM_RATE, CapacitySettings, bench
-from granitepoint.rig.measures.scale import CALL, PREFIX, block, stand
+from gladegw.control import fleet
+from gladegw.control.client import Client, addresses
+from gladegw.rig import process
+from gladegw.rig.measures.capacity import WARM_RATE, CapacitySettings, bench
+from gladegw.rig.measures.scale import CALL, PREFIX, block, stand
 
 
 class Play(msgspec.Struct, frozen=True):
--- a/granitepoint/rig/measures/crowd.py
+++ b/gladegw/rig/measures/crowd.py
@@ -1,6 +1,6 @@
 """Many members of a fleet in one process, without serving: the load that a large fleet puts on its store.
 
-Run as `python -m granitepoint.rig.measures.crowd`: takes a `Plan` as one line on standard input, prints
+Run as `python -m gladegw.rig.measures.crowd`: takes a `Plan` as one line on standard input, prints
 `ready` once all of them may hold duties, and ends when that input ends.
 """
 
@@ -11,14 +11,14 @@
 
 import msgspec
 
-from granitepoint.control.agent import Agent, Options
-from granitepoint.control.client import addresses
-from granitepoint.control.clock import boot
-from granitepoint.control.duties.base import Holding, Work
-from granitepoint.control.duties.policy import Decide
-from granitepoint.control.policy import Carrier
-from granitepoint.coordination.gate import Gate
-from granitepoint.coordination.records import Figures, Member
+from gladegw.control.agent import Agent, Options
+from gladegw.control.client import addresses
+from gladegw.control.clock import boot
+from gladegw.control.duties.base import Holding, Work
+from gladegw.control.duties.policy import Decide
+from gladegw.control.policy import Carrier
+from gladegw.coordination.gate import Gate
+from gladegw.coordination.records import Figures, Member
 
 LOOK = 0.05  # s
 AT_ONCE = 25  # that join at once, of a process
--- a/granitepoint/rig/measures/experiment.py
+++ b/gladegw/rig/measures/experiment.py
@@ -15,13 +15,13 @@
 
 import msgspec
 
-from granitepoint.rig import scenario as scenarios
-from granitepoint.rig.errors import RigError, ScenarioError
-from granitepoint.rig.judging.judge import Verdict, judge_folder
-from granitepoint.rig.judging.ledger import Sample, read
-from granitepoint.rig.measures.capacity import CapacitySettings, measure
-from granitepoint.rig.play import machine, play
-from granitepoint.rig.scenario import Scenario, checked, read_blocks
+from gladegw.rig import scenario as scenarios
+from gladegw.rig.errors import RigError, ScenarioError
+from gladegw.rig.judging.judge import Verdict, judge_folder
+from gladegw.rig.judging.ledger import Sample, read
+from gladegw.rig.measures.capacity import CapacitySettings, measure
+from gladegw.rig.play import machine, play
+from gladegw.rig.scenario import Scenario, checked, read_blocks
 
 
 class Matrix(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
--- a/granitepoint/rig/measures/losses.py
+++ b/gladegw/rig/measures/losses.py
@@ -15,18 +15,18 @@
 
 import msgspec
 
-from granitepoint.control.client import Client, addresses
-from granitepoint.control.clock import boot
-from granitepoint.control.errors import StoreFault
-from granitepoint.control.keys import Keys
-from granitepoint.coordination.store import Get
-from granitepoint.rig import process
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.measures.member import Line, Plan
-from granitepoint.rig.store.launch import launch
-from granitepoint.rig.store.linear import violations
-from granitepoint.rig.store.record import read
-from granitepoint.rig.trouble.links import Link
+from gladegw.control.client import Client, addresses
+from gladegw.control.clock import boot
+from gladegw.control.errors import StoreFault
+from gladegw.control.keys import Keys
+from gladegw.coordination.store import Get
+from gladegw.rig import process
+from gladegw.rig.errors import RigError
+from gladegw.rig.measures.member import Line, Plan
+from gladegw.rig.store.launch import launch
+from gladegw.rig.store.linear import violations
+from gladegw.rig.store.record import read
+from gladegw.rig.trouble.links import Link
 
 KINDS = (
     "kill", "term", "stop", "stop short", "slow clock", "cut out", "cut in", "depose", "store killed",
@@ -233,7 +233,7 @@
         place = self.names.index(name)
         rate = RATES[place % len(RATES)] if self.kind == "slow clock" else 1.0
         version = RECORDS[place % len(RECORDS)] if self.kind == "versions" else 0
-        child = await process.start(*process.python("granitepoint.rig.measures.member"))
+        child = await process.start(*process.python("gladegw.rig.measures.member"))
         plan = Plan(name=name, endpoints=await self.linked(name), prefix=self.prefix, duties=("one",),
                     ttl=self.ttl, rate=rate, records=version, unfenced=self.unfenced)  # fmt: skip
         assert child.stdin is not None
--- a/granitepoint/rig/measures/member.py
+++ b/gladegw/rig/measures/member.py
@@ -14,16 +14,16 @@
 
 import msgspec
 
-from granitepoint.control import agent as agents
-from granitepoint.control import keeper as keepers
-from granitepoint.control.agent import Agent, Options
-from granitepoint.control.client import addresses
-from granitepoint.control.clock import boot
-from granitepoint.control.duties.base import Holding, NotHeld, Work
-from granitepoint.control.view import View
-from granitepoint.coordination import duty as duties
-from granitepoint.coordination.records import VERSION, Member, Record, encode
-from granitepoint.coordination.store import Compare, Get, Operation, Put, Txn
+from gladegw.control import agent as agents
+from gladegw.control import keeper as keepers
+from gladegw.control.agent import Agent, Options
+from gladegw.control.client import addresses
+from gladegw.control.clock import boot
+from gladegw.control.duties.base import Holding, NotHeld, Work
+from gladegw.control.view import View
+from gladegw.coordination import duty as duties
+from gladegw.coordination.records import VERSION, Member, Record, encode
+from gladegw.coordination.store import Compare, Get, Operation, Put, Txn
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
--- a/granitepoint/rig/measures/outages.py
+++ b/gladegw/rig/measures/outages.py
@@ -10,11 +10,11 @@
 from pathlib import Path
 from typing import Any
 
-from granitepoint.rig import process
-from granitepoint.rig.measures import scale
-from granitepoint.rig.measures.changes import Course, policy
-from granitepoint.rig.measures.losses import Stand
-from granitepoint.rig.store.launch import launch
+from gladegw.rig import process
+from gladegw.rig.measures import scale
+from gladegw.rig.measures.changes import Course, policy
+from gladegw.rig.measures.losses import Stand
+from gladegw.rig.store.launch import launch
 
 AFTER = 5.0  # s beyond the store's return, in which all serve again
 DEADLINE = 10  # s
--- a/granitepoint/rig/measures/pages.py
+++ b/gladegw/rig/measures/pages.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import Any
 
-from granitepoint.rig.judging.series import course
-from granitepoint.rig.measures import report
+from gladegw.rig.judging.series import course
+from gladegw.rig.measures import report
 
 
 def run_page(title: str, folder: Path, figures: Mapping[str, Any], verdict: str) -> str:
--- a/granitepoint/rig/measures/replacements.py
+++ b/gladegw/rig/measures/replacements.py
@@ -14,15 +14,15 @@
 
 import msgspec
 
-from granitepoint.rig import process
-from granitepoint.rig.judging import ledger
-from granitepoint.rig.measures.capacity import SCENARIO
-from granitepoint.rig.measures.losses import quantiles
-from granitepoint.rig.measures.scale import sort
-from granitepoint.rig.nodes.settings import config
-from granitepoint.rig.ports import free_port
-from granitepoint.rig.supervised import Supervised
-from granitepoint.rig.traffic.steady import Steady
+from gladegw.rig import process
+from gladegw.rig.judging import ledger
+from gladegw.rig.measures.capacity import SCENARIO
+from gladegw.rig.measures.losses import quantiles
+from gladegw.rig.measures.scale import sort
+from gladegw.rig.nodes.settings import config
+from gladegw.rig.ports import free_port
+from gladegw.rig.supervised import Supervised
+from gladegw.rig.traffic.steady import Steady
 
 PAUSE = 0.02  # s between two requests of a caller
 VERSIONS = {"1": "none", "2": "none"}
@@ -38,7 +38,7 @@
     troubles: int | None = None,
 ) -> AsyncIterator[list[Supervised]]:
     """Proxies before trivial nodes, each under a supervisor; ended by force. `troubles`: of the nodes."""
-    nodes = await process.start(*process.python("granitepoint.rig.nodes.trivial", *sort(troubles)))
+    nodes = await process.start(*process.python("gladegw.rig.nodes.trivial", *sort(troubles)))
     book = ledger.Ledger(folder / "rig.jsonl")
     running: list[Supervised] = []
     try:
--- a/granitepoint/rig/measures/report.py
+++ b/gladegw/rig/measures/report.py
@@ -15,7 +15,7 @@
 import matplotlib.pyplot as plt
 import numpy as np
 
-from granitepoint.rig.judging.series import Course
+from gladegw.rig.judging.series import Course
 
 RESAMPLES = 2000
 CONFIDENCE = 0.95
--- a/granitepoint/rig/measures/rolled.py
+++ b/gladegw/rig/measures/rolled.py
@@ -9,8 +9,8 @@
 
 import matplotlib.pyplot as plt
 
-from granitepoint.coordination.records import Point, Rollout
-from granitepoint.rig.measures import report
+from gladegw.coordination.records import Point, Rollout
+from gladegw.rig.measures import report
 
 SMOOTHED = 5  # windows of which a rate and its interval are told
 Z = 1.96  # of a normal distribution: 95 %
--- a/granitepoint/rig/measures/rollouts.py
+++ b/gladegw/rig/measures/rollouts.py
@@ -14,18 +14,18 @@
 from random import Random
 from typing import Any
 
-from granitepoint.control.client import Client, addresses
-from granitepoint.control.plan import Plan
-from granitepoint.control.propose import Operator
-from granitepoint.control.rollouts import Rollouts, last, status
-from granitepoint.rig import process
-from granitepoint.rig.bad import HARMS as OF_PROGRAM
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.measures import scale
-from granitepoint.rig.measures.replacements import supervised
-from granitepoint.rig.nodes.trivial import BETWEEN, LASTS
-from granitepoint.rig.proxy import Proxy
-from granitepoint.rig.store.launch import launch
+from gladegw.control.client import Client, addresses
+from gladegw.control.plan import Plan
+from gladegw.control.propose import Operator
+from gladegw.control.rollouts import Rollouts, last, status
+from gladegw.rig import process
+from gladegw.rig.bad import HARMS as OF_PROGRAM
+from gladegw.rig.errors import RigError
+from gladegw.rig.measures import scale
+from gladegw.rig.measures.replacements import supervised
+from gladegw.rig.nodes.trivial import BETWEEN, LASTS
+from gladegw.rig.proxy import Proxy
+from gladegw.rig.store.launch import launch
 
 PATIENCE = 30.0  # s for the store to answer
 ASKED = 2.0  # s for an answer
--- a/granitepoint/rig/measures/scale.py
+++ b/gladegw/rig/measures/scale.py
@@ -13,23 +13,23 @@
 
 import msgspec
 
-from granitepoint.control import fleet
-from granitepoint.control.client import Client, addresses
-from granitepoint.control.duties import ALL
-from granitepoint.control.errors import StoreFault
-from granitepoint.control.keys import Keys
-from granitepoint.control.propose import Operator
-from granitepoint.coordination.store import Get
-from granitepoint.rig import process
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.judging import ledger
-from granitepoint.rig.measures.capacity import SCENARIO
-from granitepoint.rig.measures.crowd import Plan
-from granitepoint.rig.measures.losses import Stand
-from granitepoint.rig.nodes.settings import config
-from granitepoint.rig.ports import free_port
-from granitepoint.rig.proxy import Proxy
-from granitepoint.rig.store.launch import launch
+from gladegw.control import fleet
+from gladegw.control.client import Client, addresses
+from gladegw.control.duties import ALL
+from gladegw.control.errors import StoreFault
+from gladegw.control.keys import Keys
+from gladegw.control.propose import Operator
+from gladegw.coordination.store import Get
+from gladegw.rig import process
+from gladegw.rig.errors import RigError
+from gladegw.rig.judging import ledger
+from gladegw.rig.measures.capacity import SCENARIO
+from gladegw.rig.measures.crowd import Plan
+from gladegw.rig.measures.losses import Stand
+from gladegw.rig.nodes.settings import config
+from gladegw.rig.ports import free_port
+from gladegw.rig.proxy import Proxy
+from gladegw.rig.store.launch import launch
 
 PREFIX = "/scale"
 PATIENCE = 600.0  # s for a fleet to be complete
@@ -202,7 +202,7 @@
         try:
             for first in range(0, members, each):
                 count = min(each, members - first)
-                child = await process.start(*process.python("granitepoint.rig.measures.crowd"))
+                child = await process.start(*process.python("gladegw.rig.measures.crowd"))
                 children.append(child)
                 await _begun(child, Plan(store.endpoints, PREFIX, first, count, duties, ttl, bool(changes)))
                 scale.fleet.pids.append(lambda child=child: child.pid)  # type: ignore[misc]
@@ -248,7 +248,7 @@
 ) -> AsyncIterator[list[Proxy]]:
     """Real ones before trivial nodes, with one settings file or one each; ended by force, all at once.
     `troubles`: a seed of what the nodes suffer meanwhile."""
-    nodes = await process.start(*process.python("granitepoint.rig.nodes.trivial", *sort(troubles)))
+    nodes = await process.start(*process.python("gladegw.rig.nodes.trivial", *sort(troubles)))
     book = ledger.Ledger(folder / "rig.jsonl")
     started: list[Proxy] = []
     try:
--- a/granitepoint/rig/measures/stall.py
+++ b/gladegw/rig/measures/stall.py
@@ -1,7 +1,7 @@
 """Whether an agent keeps its duty while the serving loop is busy for long: on a thread of its own, as the
 program has it, or on that loop.
 
-Run as `python -m granitepoint.rig.measures.stall`: takes a `Plan` as one line on standard input and prints a
+Run as `python -m gladegw.rig.measures.stall`: takes a `Plan` as one line on standard input and prints a
 `Row`. The loop it makes does nothing but be busy, and look how late its own timers come, which is what a
 request on it would wait.
 """
@@ -17,15 +17,15 @@
 
 import msgspec
 
-from granitepoint.control.agent import Agent, Options
-from granitepoint.control.client import addresses
-from granitepoint.control.clock import boot
-from granitepoint.control.duties.base import Holding, Work
-from granitepoint.coordination.records import Member
-from granitepoint.coordination.store import Put
-from granitepoint.rig import process
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.measures.scale import PREFIX, stand
+from gladegw.control.agent import Agent, Options
+from gladegw.control.client import addresses
+from gladegw.control.clock import boot
+from gladegw.control.duties.base import Holding, Work
+from gladegw.coordination.records import Member
+from gladegw.coordination.store import Put
+from gladegw.rig import process
+from gladegw.rig.errors import RigError
+from gladegw.rig.measures.scale import PREFIX, stand
 
 TIMER = 0.005  # s between two looks of the loop
 PATIENCE = 20.0  # s to hold the duty first
@@ -120,7 +120,7 @@
         async with stand() as store:
             plan = Plan(store.endpoints, thread, busy, free, lasts, ttl)
             core = sorted(os.sched_getaffinity(0))[-1]
-            child = await process.start(*process.python("granitepoint.rig.measures.stall"), cpus=(core,))
+            child = await process.start(*process.python("gladegw.rig.measures.stall"), cpus=(core,))
             assert child.stdin is not None and child.stdout is not None
             try:
                 child.stdin.write(msgspec.json.encode(plan) + b"\n")
--- a/granitepoint/rig/nodes/discovery.py
+++ b/gladegw/rig/nodes/discovery.py
@@ -12,8 +12,8 @@
 import httptools
 import msgspec
 
-from granitepoint.rig.judging import ledger
-from granitepoint.rig.nodes.registry import Endpoint, Listing, Registry
+from gladegw.rig.judging import ledger
+from gladegw.rig.nodes.registry import Endpoint, Listing, Registry
 
 LONGEST_HOLD = 60.0  # s that a watch may wait
 MOVE_CLOSES = 1.5  # s after a move at which the old address closes what is open
--- a/granitepoint/rig/nodes/fleet.py
+++ b/gladegw/rig/nodes/fleet.py
@@ -1,6 +1,6 @@
 """The process that holds discovery and all nodes, and carries out the fleet's part of the script.
 
-Run as `python -m granitepoint.rig.nodes.fleet`: the plan is one line of JSON on standard input, orders
+Run as `python -m gladegw.rig.nodes.fleet`: the plan is one line of JSON on standard input, orders
 follow as further lines, and what it has to say goes to standard output, a line of JSON each. It ends when
 standard input ends.
 """
@@ -19,15 +19,15 @@
 import msgspec
 import uvloop
 
-from granitepoint.rig.judging import ledger
-from granitepoint.rig.nodes.discovery import Discovery
-from granitepoint.rig.nodes.model import KeyWindow, Kind, Life
-from granitepoint.rig.nodes.node import Node, drawn_work
-from granitepoint.rig.nodes.registry import Endpoint, Registry
-from granitepoint.rig.scenario import Scenario, Tier
-from granitepoint.rig.traffic.client import Pool
-from granitepoint.rig.trouble.faults import Step, place
-from granitepoint.rig.trouble.links import Link
+from gladegw.rig.judging import ledger
+from gladegw.rig.nodes.discovery import Discovery
+from gladegw.rig.nodes.model import KeyWindow, Kind, Life
+from gladegw.rig.nodes.node import Node, drawn_work
+from gladegw.rig.nodes.registry import Endpoint, Registry
+from gladegw.rig.scenario import Scenario, Tier
+from gladegw.rig.traffic.client import Pool
+from gladegw.rig.trouble.faults import Step, place
+from gladegw.rig.trouble.links import Link
 
 FLUSH = 0.2  # s
 READY_AFTER = 0.05  # s that a started process needs
--- a/granitepoint/rig/nodes/node.py
+++ b/gladegw/rig/nodes/node.py
@@ -16,12 +16,12 @@
 
 import httptools
 
-from granitepoint.rig.judging import ledger
-from granitepoint.rig.nodes.model import Kind, Life, NodeModel, Turn
-from granitepoint.rig.traffic.client import Exchange, Pool
+from gladegw.rig.judging import ledger
+from gladegw.rig.nodes.model import Kind, Life, NodeModel, Turn
+from gladegw.rig.traffic.client import Exchange, Pool
 
 if TYPE_CHECKING:
-    from granitepoint.rig.nodes.fleet import Fleet
+    from gladegw.rig.nodes.fleet import Fleet
 
 SWEEP = 0.25  # s between looks for idle connections
 DRIP_EVERY = 0.1  # s between two bytes of a dripped answer
--- a/granitepoint/rig/nodes/settings.py
+++ b/gladegw/rig/nodes/settings.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from granitepoint.rig.scenario import Scenario
+from gladegw.rig.scenario import Scenario
 
 MUST_ASK = 6.0  # s
 DRAIN_GRACE = 0.5  # s
--- a/granitepoint/rig/nodes/trivial.py
+++ b/gladegw/rig/nodes/trivial.py
@@ -1,6 +1,6 @@
 """Nodes that answer at once, and discovery before them: what is measured with these is the proxy alone.
 
-Run as `python -m granitepoint.rig.nodes.trivial COUNT [SEED]`: prints one line of JSON with the addresses,
+Run as `python -m gladegw.rig.nodes.trivial COUNT [SEED]`: prints one line of JSON with the addresses,
 and ends when standard input ends. With a seed they have troubles as nodes do, one after another.
 """
 
@@ -17,9 +17,9 @@
 import msgspec
 import uvloop
 
-from granitepoint.rig.judging import ledger
-from granitepoint.rig.nodes.discovery import Discovery
-from granitepoint.rig.nodes.registry import Endpoint, Registry
+from gladegw.rig.judging import ledger
+from gladegw.rig.nodes.discovery import Discovery
+from gladegw.rig.nodes.registry import Endpoint, Registry
 
 ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 ERROR = b"HTTP/1.1 500 Internal Server Error\r\ncontent-length: 2\r\n\r\nno"
--- a/granitepoint/rig/play.py
+++ b/gladegw/rig/play.py
@@ -12,23 +12,23 @@
 
 import msgspec
 
-from granitepoint.rig import process
-from granitepoint.rig.bad import HARMS
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.judging import ledger
-from granitepoint.rig.nodes.fleet import FleetPlan, Order
-from granitepoint.rig.nodes.settings import MUST_ASK, config
-from granitepoint.rig.ports import free_port
-from granitepoint.rig.proxy import Proxy
-from granitepoint.rig.scenario import Scenario
-from granitepoint.rig.traffic import flood
-from granitepoint.rig.traffic.arrivals import Shape
-from granitepoint.rig.traffic.load import LEAD, Load, Loaded
-from granitepoint.rig.traffic.operators import Operators
-from granitepoint.rig.traffic.worker import Plan
-from granitepoint.rig.traffic.workload import CallClass, Mix
-from granitepoint.rig.trouble import faults
-from granitepoint.rig.trouble.coordinated import Coordinated
+from gladegw.rig import process
+from gladegw.rig.bad import HARMS
+from gladegw.rig.errors import RigError
+from gladegw.rig.judging import ledger
+from gladegw.rig.nodes.fleet import FleetPlan, Order
+from gladegw.rig.nodes.settings import MUST_ASK, config
+from gladegw.rig.ports import free_port
+from gladegw.rig.proxy import Proxy
+from gladegw.rig.scenario import Scenario
+from gladegw.rig.traffic import flood
+from gladegw.rig.traffic.arrivals import Shape
+from gladegw.rig.traffic.load import LEAD, Load, Loaded
+from gladegw.rig.traffic.operators import Operators
+from gladegw.rig.traffic.worker import Plan
+from gladegw.rig.traffic.workload import CallClass, Mix
+from gladegw.rig.trouble import faults
+from gladegw.rig.trouble.coordinated import Coordinated
 
 UP_WITHIN = 60.0  # s for the fleet
 END_WITHIN = 8.0  # s after SIGTERM, as long as the longest deadline takes and more
@@ -110,7 +110,7 @@
         names = tuple(f"p{number}" for number in range(scenario.proxies.count))
         plan = FleetPlan(scenario, self.steps, str(self.folder / "fleet.jsonl"), names, MUST_ASK)
         self.fleet = await process.start(
-            *process.python("granitepoint.rig.nodes.fleet"), log=self.folder / "fleet.log"
+            *process.python("gladegw.rig.nodes.fleet"), log=self.folder / "fleet.log"
         )
         assert self.fleet.stdin is not None
         self.fleet.stdin.write(msgspec.json.encode(plan) + b"\n")
--- a/granitepoint/rig/ports.py
+++ b/gladegw/rig/ports.py
@@ -11,7 +11,7 @@
 import secrets
 import socket
 
-from granitepoint.rig.errors import RigError
+from gladegw.rig.errors import RigError
 
 HOST = "127.0.0.1"
 FIRST, BLOCK, BLOCKS = 10_000, 100, 200  # below 32768: the kernel gives these to nobody by itself on Linux
--- a/granitepoint/rig/proxy.py
+++ b/gladegw/rig/proxy.py
@@ -14,9 +14,9 @@
 from pathlib import Path
 from typing import Any
 
-from granitepoint.rig import process
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.judging import ledger
+from gladegw.rig import process
+from gladegw.rig.errors import RigError
+from gladegw.rig.judging import ledger
 
 PATIENCE = 20.0  # s for a proxy to be ready
 LOOK = 0.02  # s between two looks
@@ -68,9 +68,9 @@
         environ["TMPDIR"] = str(self.folder)
         if self.admin:
             environ["EDGE_ADMIN_ADDR"] = self.admin
-        command = [sys.executable, "-m", "granitepoint"]
+        command = [sys.executable, "-m", "gladegw"]
         if self.harm:
-            command = [sys.executable, "-m", "granitepoint.rig.bad", self.harm]
+            command = [sys.executable, "-m", "gladegw.rig.bad", self.harm]
         if self.features:
             command += ["-f", str((self.root / self.features).resolve())]
         self.wanted_end = False
--- a/granitepoint/rig/scenario.py
+++ b/gladegw/rig/scenario.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from granitepoint.net.hcl import Block, blocks_of
-from granitepoint.rig.errors import ScenarioError
-from granitepoint.rig.nodes.model import Kind
-from granitepoint.rig.traffic.arrivals import PROCESSES, SHAPES
-from granitepoint.rig.traffic.flood import MANNERS as CROWDS
-from granitepoint.rig.traffic.peers import MANNERS
+from gladegw.net.hcl import Block, blocks_of
+from gladegw.rig.errors import ScenarioError
+from gladegw.rig.nodes.model import Kind
+from gladegw.rig.traffic.arrivals import PROCESSES, SHAPES
+from gladegw.rig.traffic.flood import MANNERS as CROWDS
+from gladegw.rig.traffic.peers import MANNERS
 
 LARGEST = 1 << 20  # bytes of a scenario file
 EFFECTS = ("repeatable", "by_key", "once")
--- a/granitepoint/rig/shim/__init__.py
+++ b/gladegw/rig/shim/__init__.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from granitepoint.rig.errors import RigError
+from gladegw.rig.errors import RigError
 
 SOURCE = Path(__file__).with_name("faults.c")
 COMPILER = "cc"
--- a/granitepoint/rig/simulate/course.py
+++ b/gladegw/rig/simulate/course.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from granitepoint.control.errors import StoreFault
-from granitepoint.control.plan import Plan
-from granitepoint.coordination.records import Rollout
-from granitepoint.rig.simulate.judge import Judge
-from granitepoint.rig.simulate.world import BAD, BROKEN, CONFIRM, DEADLINE, World, files, lived
+from gladegw.control.errors import StoreFault
+from gladegw.control.plan import Plan
+from gladegw.coordination.records import Rollout
+from gladegw.rig.simulate.judge import Judge
+from gladegw.rig.simulate.world import BAD, BROKEN, CONFIRM, DEADLINE, World, files, lived
 
 LOOK = 0.05  # s
 SETTLE = 90.0  # s after the last fault
--- a/granitepoint/rig/simulate/judge.py
+++ b/gladegw/rig/simulate/judge.py
@@ -4,15 +4,15 @@
 
 from collections.abc import Iterable
 
-from granitepoint.control import bundle
-from granitepoint.control.duties.policy import registered
-from granitepoint.control.fleet import duties
-from granitepoint.control.policy import TICK, own
-from granitepoint.control.view import View
-from granitepoint.coordination.lease import DRIFT
-from granitepoint.coordination.records import Change, InForce, Known, Rollout, Weighed, decode
-from granitepoint.coordination.store import Get, within
-from granitepoint.rig.simulate.world import BAD, BROKEN, RATES, TTL, Process, World, files
+from gladegw.control import bundle
+from gladegw.control.duties.policy import registered
+from gladegw.control.fleet import duties
+from gladegw.control.policy import TICK, own
+from gladegw.control.view import View
+from gladegw.coordination.lease import DRIFT
+from gladegw.coordination.records import Change, InForce, Known, Rollout, Weighed, decode
+from gladegw.coordination.store import Get, within
+from gladegw.rig.simulate.world import BAD, BROKEN, RATES, TTL, Process, World, files
 
 SLACK = 0.25  # s: between two looks, and a word that was on its way
 OVER = ("going back", "back", "stopped")
--- a/granitepoint/rig/simulate/many.py
+++ b/gladegw/rig/simulate/many.py
@@ -14,13 +14,13 @@
 
 import msgspec
 
-from granitepoint.rig import process
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.simulate.course import Simulated, simulate
-from granitepoint.rig.simulate.planted import planted
+from gladegw.rig import process
+from gladegw.rig.errors import RigError
+from gladegw.rig.simulate.course import Simulated, simulate
+from gladegw.rig.simulate.planted import planted
 
 T = TypeVar("T")
-MODULE = "granitepoint.rig.simulate.many"
+MODULE = "gladegw.rig.simulate.many"
 ENVIRON = {"PYTHONHASHSEED": "0"}
 WITHIN = 120.0  # s of this machine's time for a course; one whose clock stands still never ends
 
--- a/granitepoint/rig/simulate/outages.py
+++ b/gladegw/rig/simulate/outages.py
@@ -11,17 +11,17 @@
 
 import msgspec
 
-from granitepoint.control.errors import StoreFault
-from granitepoint.coordination.store import within
-from granitepoint.rig.simulate.course import DUTIES, Course, Simulated
-from granitepoint.rig.simulate.judge import Judge
-from granitepoint.rig.simulate.many import WITHIN, child, in_turn
-from granitepoint.rig.simulate.planted import planted
-from granitepoint.rig.simulate.world import World, lived
+from gladegw.control.errors import StoreFault
+from gladegw.coordination.store import within
+from gladegw.rig.simulate.course import DUTIES, Course, Simulated
+from gladegw.rig.simulate.judge import Judge
+from gladegw.rig.simulate.many import WITHIN, child, in_turn
+from gladegw.rig.simulate.planted import planted
+from gladegw.rig.simulate.world import World, lived
 
 LOOK = 0.05  # s
 SETTLE = 60.0  # s after the store's return
-MODULE = "granitepoint.rig.simulate.outages"
+MODULE = "gladegw.rig.simulate.outages"
 FASTER = 10  # than real time, at least
 PHASES = ("at rest", "open", "voted", "decided")
 
--- a/granitepoint/rig/simulate/planted.py
+++ b/gladegw/rig/simulate/planted.py
@@ -10,16 +10,16 @@
 from typing import Any
 from unittest import mock
 
-from granitepoint.control import policy as members
-from granitepoint.control.duties import policy as deciding
-from granitepoint.control.keeper import Keeper
-from granitepoint.coordination import duty as duties
-from granitepoint.coordination import lease as leases
-from granitepoint.coordination import policy as table
-from granitepoint.coordination import verdict
-from granitepoint.coordination.duty import Phase
-from granitepoint.coordination.store import Done, Get, Operation, Txn
-from granitepoint.coordination.verdict import Answer, Judged
+from gladegw.control import policy as members
+from gladegw.control.duties import policy as deciding
+from gladegw.control.keeper import Keeper
+from gladegw.coordination import duty as duties
+from gladegw.coordination import lease as leases
+from gladegw.coordination import policy as table
+from gladegw.coordination import verdict
+from gladegw.coordination.duty import Phase
+from gladegw.coordination.store import Done, Get, Operation, Txn
+from gladegw.coordination.verdict import Answer, Judged
 
 Put = Callable[[Any, str, Any], None]  # in an object, under a name, in place of what is there
 
--- a/granitepoint/rig/simulate/rollouts.py
+++ b/gladegw/rig/simulate/rollouts.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from granitepoint.control.plan import Plan
-from granitepoint.rig.simulate.course import DUTIES, Course, Simulated
-from granitepoint.rig.simulate.many import child, in_turn
-from granitepoint.rig.simulate.world import BAD, CONFIRM, DEADLINE, World, files, lived
+from gladegw.control.plan import Plan
+from gladegw.rig.simulate.course import DUTIES, Course, Simulated
+from gladegw.rig.simulate.many import child, in_turn
+from gladegw.rig.simulate.world import BAD, CONFIRM, DEADLINE, World, files, lived
 
-MODULE = "granitepoint.rig.simulate.rollouts"
+MODULE = "gladegw.rig.simulate.rollouts"
 WITHIN = 1200.0  # s of this machine's time
 PATIENCE = 3600.0  # s of the simulated time
 TOGETHER = 10.0  # s for all to have joined
--- a/granitepoint/rig/simulate/wire.py
+++ b/gladegw/rig/simulate/wire.py
@@ -8,10 +8,10 @@
 from random import Random
 from typing import Any, TypeVar
 
-from granitepoint.control.errors import RefusedByStore, Unreachable, WatchLost
-from granitepoint.coordination.store import Compacted, Done, Event, Get, KeyValue, Operation, StoreError, Txn
-from granitepoint.rig.simulate.loop import VirtualLoop
-from granitepoint.rig.store.cluster import Cluster, NotNow
+from gladegw.control.errors import RefusedByStore, Unreachable, WatchLost
+from gladegw.coordination.store import Compacted, Done, Event, Get, KeyValue, Operation, StoreError, Txn
+from gladegw.rig.simulate.loop import VirtualLoop
+from gladegw.rig.store.cluster import Cluster, NotNow
 
 T = TypeVar("T")
 DELAY = (0.0002, 0.004)  # s each way
--- a/granitepoint/rig/simulate/world.py
+++ b/gladegw/rig/simulate/world.py
@@ -14,24 +14,24 @@
 
 import msgspec
 
-from granitepoint.control.agent import Agent, Options
-from granitepoint.control.duties import ALL
-from granitepoint.control.duties.base import Holding, NotHeld, Work
-from granitepoint.control.duties.bundles import Bundles
-from granitepoint.control.duties.policy import Decide
-from granitepoint.control.duties.rollout import Conduct
-from granitepoint.control.errors import StoreFault
-from granitepoint.control.policy import Carrier
-from granitepoint.control.propose import Operator
-from granitepoint.control.rollouts import Rollouts
-from granitepoint.coordination.gate import Gate
-from granitepoint.coordination.records import Figures, Member
-from granitepoint.coordination.store import Put
-from granitepoint.rig.measures.losses import Judge as Holders
-from granitepoint.rig.measures.member import Line
-from granitepoint.rig.simulate.loop import PROCESS, VirtualLoop, virtual
-from granitepoint.rig.simulate.wire import Net, Wire
-from granitepoint.rig.store.cluster import Cluster
+from gladegw.control.agent import Agent, Options
+from gladegw.control.duties import ALL
+from gladegw.control.duties.base import Holding, NotHeld, Work
+from gladegw.control.duties.bundles import Bundles
+from gladegw.control.duties.policy import Decide
+from gladegw.control.duties.rollout import Conduct
+from gladegw.control.errors import StoreFault
+from gladegw.control.policy import Carrier
+from gladegw.control.propose import Operator
+from gladegw.control.rollouts import Rollouts
+from gladegw.coordination.gate import Gate
+from gladegw.coordination.records import Figures, Member
+from gladegw.coordination.store import Put
+from gladegw.rig.measures.losses import Judge as Holders
+from gladegw.rig.measures.member import Line
+from gladegw.rig.simulate.loop import PROCESS, VirtualLoop, virtual
+from gladegw.rig.simulate.wire import Net, Wire
+from gladegw.rig.store.cluster import Cluster
 
 PREFIX = "/simulated"
 TTL = 2  # s
--- a/granitepoint/rig/soak.py
+++ b/gladegw/rig/soak.py
@@ -21,13 +21,13 @@
 
 import msgspec
 
-from granitepoint.rig import process, shim
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.nodes.many import ManyServers
-from granitepoint.rig.nodes.settings import settings
-from granitepoint.rig.ports import free_port
-from granitepoint.rig.scenario import of_blocks
-from granitepoint.rig.share import CpuShare
+from gladegw.rig import process, shim
+from gladegw.rig.errors import RigError
+from gladegw.rig.nodes.many import ManyServers
+from gladegw.rig.nodes.settings import settings
+from gladegw.rig.ports import free_port
+from gladegw.rig.scenario import of_blocks
+from gladegw.rig.share import CpuShare
 
 LIFE = 14.0  # s of a day
 CLASS = "status"  # of all requests: safe to repeat
@@ -256,7 +256,7 @@
         environ = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
         environ |= shim.environ(self.preload, self.day.seed, self.day.failing, 0.0, self.day.steps)
         environ["EDGE_CONFIG"] = str(self.folder / "config.json")
-        program = ("granitepoint.rig.bad", self.harm) if self.harm else ("granitepoint",)
+        program = ("gladegw.rig.bad", self.harm) if self.harm else ("gladegw",)
         command = (sys.executable, "-m", *program, "-f", str(self.folder / "features.hcl"))
         log = self.folder / "log"
         return await process.start(*command, environ=environ, log=log, descriptors=512, piped=False)
--- a/granitepoint/rig/store/cluster.py
+++ b/gladegw/rig/store/cluster.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from granitepoint.coordination.store import Done, Get, KeyValue, Model, Target, Txn, within
-from granitepoint.rig.store.record import Recorder
+from gladegw.coordination.store import Done, Get, KeyValue, Model, Target, Txn, within
+from gladegw.rig.store.record import Recorder
 
 STEP = 0.02  # s between looks at what time alone changes
 NO_LEADER = "etcdserver: no leader"
--- a/granitepoint/rig/store/launch.py
+++ b/gladegw/rig/store/launch.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
-from granitepoint.rig import process
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.ports import free_ports
+from gladegw.rig import process
+from gladegw.rig.errors import RigError
+from gladegw.rig.ports import free_ports
 
 TRIES = 20
 UP_WITHIN = 20.0  # s
@@ -17,7 +17,7 @@
     for _ in range(TRIES):  # another process may take a port between the look and the start
         port = free_ports(members)
         words = ("rig", "store", "--members", str(members), "--port", str(port), "--orders", *more)
-        child = await process.start(*process.python("granitepoint", *words))
+        child = await process.start(*process.python("gladegw", *words))
         assert child.stdout is not None
         async with asyncio.timeout(UP_WITHIN):
             endpoints = (await child.stdout.readline()).decode().split()
--- a/granitepoint/rig/store/machines.py
+++ b/gladegw/rig/store/machines.py
@@ -15,9 +15,9 @@
 import signal
 from collections.abc import Sequence
 
-from granitepoint.rig import process
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.store.cluster import Cluster
+from gladegw.rig import process
+from gladegw.rig.errors import RigError
+from gladegw.rig.store.cluster import Cluster
 
 OVERDUE = 0.2  # s, four beats
 SILENCE = 0.5  # s
@@ -43,7 +43,7 @@
             await child.wait()
 
     async def _launch(self, member: int) -> None:
-        words = process.python("granitepoint.rig.store.face", str(self.ports[member]), self.targets[member])
+        words = process.python("gladegw.rig.store.face", str(self.ports[member]), self.targets[member])
         child = self.children[member] = await process.start(*words)
         assert child.stdout is not None
         async with asyncio.timeout(UP_WITHIN):
--- a/granitepoint/rig/store/orders.py
+++ b/gladegw/rig/store/orders.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from granitepoint.coordination.store import StoreError
-from granitepoint.rig.store.cluster import Cluster
-from granitepoint.rig.store.machines import Machines
-from granitepoint.rig.store.record import Recorder
-from granitepoint.rig.store.server import Store
+from gladegw.coordination.store import StoreError
+from gladegw.rig.store.cluster import Cluster
+from gladegw.rig.store.machines import Machines
+from gladegw.rig.store.record import Recorder
+from gladegw.rig.store.server import Store
 
 HOST = "127.0.0.1"
 ROOM = 512  # connections that wait at a member, as many as come at once after a loss
--- a/granitepoint/rig/store/record.py
+++ b/gladegw/rig/store/record.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from granitepoint.coordination.store import (
+from gladegw.coordination.store import (
     Compare,
     Delete,
     Done,
@@ -25,8 +25,8 @@
     Target,
     Txn,
 )
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.store.linear import Seen
+from gladegw.rig.errors import RigError
+from gladegw.rig.store.linear import Seen
 
 RECORD = "store.record"  # its name in the folder of a run
 
--- a/granitepoint/rig/store/server.py
+++ b/gladegw/rig/store/server.py
@@ -12,10 +12,10 @@
 from grpclib.exceptions import GRPCError
 from grpclib.server import Server
 
-from granitepoint.control import messages
-from granitepoint.control.wire import store_grpc as services
-from granitepoint.control.wire import store_pb2 as pb
-from granitepoint.coordination.store import (
+from gladegw.control import messages
+from gladegw.control.wire import store_grpc as services
+from gladegw.control.wire import store_pb2 as pb
+from gladegw.coordination.store import (
     MOST_BYTES,
     Compacted,
     Delete,
@@ -29,8 +29,8 @@
     StoreError,
     Txn,
 )
-from granitepoint.rig.store.cluster import NO_LEADER, Cluster, NotNow
-from granitepoint.rig.store.record import of_get
+from gladegw.rig.store.cluster import NO_LEADER, Cluster, NotNow
+from gladegw.rig.store.record import of_get
 
 VERSION = "3.5.0"  # of the API, as Status tells it
 CLUSTER = 0x6C61
--- a/granitepoint/rig/supervised.py
+++ b/gladegw/rig/supervised.py
@@ -14,11 +14,11 @@
 from pathlib import Path
 from typing import Any
 
-from granitepoint.rig import process
-from granitepoint.rig.bad import HARMS
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.judging import ledger
-from granitepoint.rig.proxy import LOOK, Proxy
+from gladegw.rig import process
+from gladegw.rig.bad import HARMS
+from gladegw.rig.errors import RigError
+from gladegw.rig.judging import ledger
+from gladegw.rig.proxy import LOOK, Proxy
 
 PATIENCE = 30.0  # s
 
@@ -42,7 +42,7 @@
         for version, harm in self.versions.items():
             if harm not in HARMS:
                 raise RigError(f"no such harm: {harm}; there are {', '.join(HARMS)}")
-            words = [sys.executable, "-m", "granitepoint.rig.bad", harm]
+            words = [sys.executable, "-m", "gladegw.rig.bad", harm]
             words += ["-f", str((self.root / self.features).resolve())] if self.features else []
             run = "exec " + " ".join(map(shlex.quote, words))
             blocks += [f'program "{version}" {{', f'  dir = "{self.root}"', f"  run = {json.dumps(run)}", "}"]
@@ -54,7 +54,7 @@
         path = self.write_config()
         environ = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
         environ |= {"EDGE_CONFIG": str(path), "TMPDIR": str(self.folder)}
-        command = [*process.python("granitepoint", "supervise"), str(self.file)]
+        command = [*process.python("gladegw", "supervise"), str(self.file)]
         if self.features:
             command += ["-f", str((self.root / self.features).resolve())]
         self.wanted_end = False
--- a/granitepoint/rig/traffic/flood.py
+++ b/gladegw/rig/traffic/flood.py
@@ -14,7 +14,7 @@
 import msgspec
 import uvloop
 
-from granitepoint.rig import process
+from gladegw.rig import process
 
 MANNERS = ("silent", "drip", "churn")
 DRIP = 0.2  # s between two bytes of one that drips
@@ -111,7 +111,7 @@
 
 async def start(plan: Plan) -> asyncio.subprocess.Process:
     """The crowd as a process, once each of its connections has come up (or it waited for that in vain)."""
-    child = await process.start(*process.python("granitepoint.rig.traffic.flood"))
+    child = await process.start(*process.python("gladegw.rig.traffic.flood"))
     assert child.stdin is not None and child.stdout is not None
     child.stdin.write(msgspec.json.encode(plan) + b"\n")
     await child.stdout.readline()
--- a/granitepoint/rig/traffic/load.py
+++ b/gladegw/rig/traffic/load.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from granitepoint.rig import process
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.traffic.recorder import Tally, Total, summary
-from granitepoint.rig.traffic.worker import Plan
+from gladegw.rig import process
+from gladegw.rig.errors import RigError
+from gladegw.rig.traffic.recorder import Tally, Total, summary
+from gladegw.rig.traffic.worker import Plan
 
 LEAD = 0.3  # s between the workers' readiness and the first arrival
 VALID_P99 = 10.0  # ms of lateness at the 99th percentile beyond which a run says nothing of the server
@@ -72,7 +72,7 @@
 
     async def start(self, cpus: Sequence[int] = ()) -> None:
         for plan in self.plans:
-            child = await process.start(*process.python("granitepoint.rig.traffic.worker"), cpus=cpus)
+            child = await process.start(*process.python("gladegw.rig.traffic.worker"), cpus=cpus)
             self.processes.append(child)
             assert child.stdin is not None
             child.stdin.write(msgspec.json.encode(plan) + b"\n")
--- a/granitepoint/rig/traffic/peers.py
+++ b/gladegw/rig/traffic/peers.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from granitepoint.rig.judging import ledger
+from gladegw.rig.judging import ledger
 
 OWED = 3.0  # s from connecting, within which such a peer is owed an error or a close (TERMS)
 PATIENCE = 3.5  # s that it waits
--- a/granitepoint/rig/traffic/traces.py
+++ b/gladegw/rig/traffic/traces.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from granitepoint.rig.errors import TraceError
+from gladegw.rig.errors import TraceError
 
 WINDOW = 1024  # requests that are held to put them in order
 NAMED = 5  # bad lines that are named; the rest is counted
--- a/granitepoint/rig/traffic/worker.py
+++ b/gladegw/rig/traffic/worker.py
@@ -1,6 +1,6 @@
 """One worker of a load: sends its share of the arrivals at their times, whatever becomes of them.
 
-Run as `python -m granitepoint.rig.traffic.worker`: the plan comes as one line of JSON on standard input,
+Run as `python -m gladegw.rig.traffic.worker`: the plan comes as one line of JSON on standard input,
 then a line with the moment to start at. Lines of progress and at last the tally go to standard output. It
 ends by itself when the run and its patience are over, and at once when standard input ends.
 """
@@ -21,14 +21,14 @@
 import msgspec
 import uvloop
 
-from granitepoint.rig.clock import Alarm
-from granitepoint.rig.judging import ledger
-from granitepoint.rig.traffic.arrivals import Shape
-from granitepoint.rig.traffic.client import Exchange, Pool
-from granitepoint.rig.traffic.peers import Peers, Rude
-from granitepoint.rig.traffic.recorder import Recorder, Tally
-from granitepoint.rig.traffic.traces import Count, Options, read
-from granitepoint.rig.traffic.workload import Call, Mix, calls, recorded_calls, retry_wait, try_budget
+from gladegw.rig.clock import Alarm
+from gladegw.rig.judging import ledger
+from gladegw.rig.traffic.arrivals import Shape
+from gladegw.rig.traffic.client import Exchange, Pool
+from gladegw.rig.traffic.peers import Peers, Rude
+from gladegw.rig.traffic.recorder import Recorder, Tally
+from gladegw.rig.traffic.traces import Count, Options, read
+from gladegw.rig.traffic.workload import Call, Mix, calls, recorded_calls, retry_wait, try_budget
 
 REPORT = 1.0  # s between lines of progress
 SETTLE = 0.05  # s beyond a try's budget in which its answer still counts as an answer, if a late one
--- a/granitepoint/rig/traffic/workload.py
+++ b/gladegw/rig/traffic/workload.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from granitepoint.rig.traffic.arrivals import Shape, times
-from granitepoint.rig.traffic.traces import Recorded
+from gladegw.rig.traffic.arrivals import Shape, times
+from gladegw.rig.traffic.traces import Recorded
 
 AGAIN = ("closed", "garbage", "refused", "timeout", "unsent")  # ends without an answer
 LEAST_TRY = 0.05  # s that must be left for another try to be worth it
--- a/granitepoint/rig/trouble/coordinated.py
+++ b/gladegw/rig/trouble/coordinated.py
@@ -7,18 +7,18 @@
 import time
 from pathlib import Path
 
-from granitepoint.control.client import Client, addresses
-from granitepoint.control.errors import StoreFault
-from granitepoint.control.propose import Operator
-from granitepoint.rig import process
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.judging import ledger
-from granitepoint.rig.measures.losses import Stand
-from granitepoint.rig.scenario import Store
-from granitepoint.rig.store.launch import launch
-from granitepoint.rig.store.record import RECORD
-from granitepoint.rig.trouble.faults import Step
-from granitepoint.rig.trouble.links import Link
+from gladegw.control.client import Client, addresses
+from gladegw.control.errors import StoreFault
+from gladegw.control.propose import Operator
+from gladegw.rig import process
+from gladegw.rig.errors import RigError
+from gladegw.rig.judging import ledger
+from gladegw.rig.measures.losses import Stand
+from gladegw.rig.scenario import Store
+from gladegw.rig.store.launch import launch
+from gladegw.rig.store.record import RECORD
+from gladegw.rig.trouble.faults import Step
+from gladegw.rig.trouble.links import Link
 
 UNBOUNDED = 1 << 40  # bytes that a store takes which is not full
 FULL = 1
--- a/granitepoint/rig/trouble/faults.py
+++ b/gladegw/rig/trouble/faults.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from granitepoint.rig.scenario import Fault, Scenario, Tier
-from granitepoint.rig.traffic.arrivals import Surge
-from granitepoint.rig.traffic.peers import Rude
+from gladegw.rig.scenario import Fault, Scenario, Tier
+from gladegw.rig.traffic.arrivals import Surge
+from gladegw.rig.traffic.peers import Rude
 
 
 class Step(msgspec.Struct, frozen=True, omit_defaults=True):
--- a/granitepoint/routing/cells.py
+++ b/gladegw/routing/cells.py
@@ -14,9 +14,9 @@
 from itertools import chain
 from typing import Any
 
-from granitepoint.routing import regex
-from granitepoint.routing.matcher import Entry, Table, host_holds, path_holds, text_holds
-from granitepoint.routing.model import TENANT_HEADER, Ask, Match, Network, Path, Text
+from gladegw.routing import regex
+from gladegw.routing.matcher import Entry, Table, host_holds, path_holds, text_holds
+from gladegw.routing.model import TENANT_HEADER, Ask, Match, Network, Path, Text
 
 MOST_STEPS = 400_000  # looks at atoms, after which a question is given up as undecided
 
--- a/granitepoint/routing/checks.py
+++ b/gladegw/routing/checks.py
@@ -5,12 +5,12 @@
 from collections.abc import Iterator, Mapping, Sequence
 from itertools import combinations
 
-from granitepoint.routing.cells import meet, reach
-from granitepoint.routing.findings import Finding, nearest
-from granitepoint.routing.matcher import Entry, Rank, Table
-from granitepoint.routing.model import ClassRule, Description, Endpoint, Route
-from granitepoint.routing.pools import selects
-from granitepoint.routing.regex import literal_start
+from gladegw.routing.cells import meet, reach
+from gladegw.routing.findings import Finding, nearest
+from gladegw.routing.matcher import Entry, Rank, Table
+from gladegw.routing.model import ClassRule, Description, Endpoint, Route
+from gladegw.routing.pools import selects
+from gladegw.routing.regex import literal_start
 
 
 def check_table(table: Table) -> list[Finding]:
--- a/granitepoint/routing/expect.py
+++ b/gladegw/routing/expect.py
@@ -10,14 +10,14 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from granitepoint.routing.cells import Undecided, cells
-from granitepoint.routing.fields import Fields
-from granitepoint.routing.findings import Finding, Place
-from granitepoint.routing.matcher import Entry, Table, refusals
-from granitepoint.routing.model import TENANT_HEADER, Ask, Match, Route
-from granitepoint.routing.read import MATCHERS, match_of
-from granitepoint.routing.source import Block, Named
-from granitepoint.routing.split import shares
+from gladegw.routing.cells import Undecided, cells
+from gladegw.routing.fields import Fields
+from gladegw.routing.findings import Finding, Place
+from gladegw.routing.matcher import Entry, Table, refusals
+from gladegw.routing.model import TENANT_HEADER, Ask, Match, Route
+from gladegw.routing.read import MATCHERS, match_of
+from gladegw.routing.source import Block, Named
+from gladegw.routing.split import shares
 
 WANTS = ("goes_to", "never", "answers", "refused", "redirects", "split", "class", "timeout_ms", "attempts",
          "sends", "path")  # fmt: skip
--- a/granitepoint/routing/fields.py
+++ b/gladegw/routing/fields.py
@@ -5,8 +5,8 @@
 import math
 from typing import Any
 
-from granitepoint.routing.findings import Finding, Place, nearest
-from granitepoint.routing.source import Block
+from gladegw.routing.findings import Finding, Place, nearest
+from gladegw.routing.source import Block
 
 
 class Fields:
--- a/granitepoint/routing/matcher.py
+++ b/gladegw/routing/matcher.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from granitepoint.routing import regex
-from granitepoint.routing.model import TENANT_HEADER, Ask, Description, Match, Network, Path, Route, Text
+from gladegw.routing import regex
+from gladegw.routing.model import TENANT_HEADER, Ask, Description, Match, Network, Path, Route, Text
 
 Rank = tuple[Any, ...]  # the lower goes first
 Condition = Callable[[Ask], bool]
--- a/granitepoint/routing/model.py
+++ b/gladegw/routing/model.py
@@ -8,7 +8,7 @@
 from typing import Any, Literal
 from urllib.parse import parse_qsl
 
-from granitepoint.routing.findings import Place
+from gladegw.routing.findings import Place
 
 Network = IPv4Network | IPv6Network
 TENANT_HEADER = "x-caller"
--- a/granitepoint/routing/overlap.py
+++ b/gladegw/routing/overlap.py
@@ -5,8 +5,8 @@
 from bisect import bisect_left
 from collections.abc import Iterable, Iterator, Sequence
 
-from granitepoint.routing.cells import Truth, meet
-from granitepoint.routing.matcher import Entry
+from gladegw.routing.cells import Truth, meet
+from gladegw.routing.matcher import Entry
 
 
 class Bucket:
--- a/granitepoint/routing/pools.py
+++ b/gladegw/routing/pools.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from fnmatch import fnmatchcase
 
-from granitepoint.routing.model import Endpoint, Pool, Selector
-from granitepoint.routing.split import subset
+from gladegw.routing.model import Endpoint, Pool, Selector
+from gladegw.routing.split import subset
 
 
 def selects(selector: Selector, endpoint: Endpoint) -> bool:
--- a/granitepoint/routing/read.py
+++ b/gladegw/routing/read.py
@@ -7,10 +7,10 @@
 from dataclasses import replace
 from ipaddress import ip_network
 
-from granitepoint.routing import regex
-from granitepoint.routing.fields import Fields
-from granitepoint.routing.findings import Finding, RoutingError, nearest
-from granitepoint.routing.model import (
+from gladegw.routing import regex
+from gladegw.routing.fields import Fields
+from gladegw.routing.findings import Finding, RoutingError, nearest
+from gladegw.routing.model import (
     Answer,
     Description,
     HeaderEdits,
@@ -25,7 +25,7 @@
     Split,
     Text,
 )
-from granitepoint.routing.source import Block, Document, read_source
+from gladegw.routing.source import Block, Document, read_source
 
 NAME = re.compile(r"[a-z0-9][a-z0-9._-]{0,62}")
 HOST = re.compile(r"(?:\*\.)?[a-z0-9]([a-z0-9.-]{0,250}[a-z0-9])?")
--- a/granitepoint/routing/regex.py
+++ b/gladegw/routing/regex.py
@@ -20,7 +20,7 @@
     try:
         import re2
     except ModuleNotFoundError:
-        raise PatternError("needs google-re2: pip install 'granitepoint[routes]'") from None
+        raise PatternError("needs google-re2: pip install 'gladegw[routes]'") from None
     if len(pattern) > LONGEST:
         raise PatternError(f"the pattern has more than {LONGEST} characters")
     options = re2.Options()
--- a/granitepoint/routing/reload.py
+++ b/gladegw/routing/reload.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, replace
 
-from granitepoint.routing.model import Description
+from gladegw.routing.model import Description
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitepoint/routing/source.py
+++ b/gladegw/routing/source.py
@@ -13,7 +13,7 @@
 from hashlib import blake2b
 from typing import Any, NoReturn
 
-from granitepoint.routing.findings import Finding, Place, RoutingError
+from gladegw.routing.findings import Finding, Place, RoutingError
 
 LARGEST = 16 << 20  # bytes of a file
 DEEPEST = 16  # blocks and lists in one another
--- a/granitepoint/routing/split.py
+++ b/gladegw/routing/split.py
@@ -13,7 +13,7 @@
 from functools import lru_cache
 from typing import Any
 
-from granitepoint.routing.model import Ask, Route
+from gladegw.routing.model import Ask, Route
 
 SPAN = float(1 << 64)
 
--- a/granitepoint/supervisor/processes.py
+++ b/gladegw/supervisor/processes.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from granitepoint.coordination.supervision import Seen
+from gladegw.coordination.supervision import Seen
 
 PATIENCE = 1.0  # s for an answer
 LEAST_ENDED = 20  # requests, below which the share that failed says nothing
--- a/granitepoint/supervisor/run.py
+++ b/gladegw/supervisor/run.py
@@ -17,9 +17,9 @@
 
 import msgspec
 
-from granitepoint.control.clock import boot
-from granitepoint.coordination.records import Supervised
-from granitepoint.coordination.supervision import (
+from gladegw.control.clock import boot
+from gladegw.coordination.records import Supervised
+from gladegw.coordination.supervision import (
     GONE,
     Actions,
     Do,
@@ -32,14 +32,14 @@
     step,
     unconfirmed,
 )
-from granitepoint.net.config import Config, ConfigError
-from granitepoint.supervisor import settings as file_of
-from granitepoint.supervisor.processes import SILENT, Kept, Process
-from granitepoint.supervisor.settings import Settings
+from gladegw.net.config import Config, ConfigError
+from gladegw.supervisor import settings as file_of
+from gladegw.supervisor.processes import SILENT, Kept, Process
+from gladegw.supervisor.settings import Settings
 
 if TYPE_CHECKING:
-    from granitepoint.control.agent import Options
-    from granitepoint.control.companion import Companion
+    from gladegw.control.agent import Options
+    from gladegw.control.companion import Companion
 
 log = logging.getLogger(__name__)
 
@@ -71,7 +71,7 @@
         order = self._resumed()
         self.companion: Companion | None = None
         if options is not None:
-            from granitepoint.control.companion import Companion
+            from gladegw.control.companion import Companion
 
             self.companion = Companion(options, config.name, order, self.record)
         self.ending = asyncio.Event()
--- a/granitepoint/supervisor/settings.py
+++ b/gladegw/supervisor/settings.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from granitepoint.coordination.supervision import Bounds
-from granitepoint.net.config import ConfigError
-from granitepoint.net.hcl import LARGEST, Block, blocks_of
+from gladegw.coordination.supervision import Bounds
+from gladegw.net.config import ConfigError
+from gladegw.net.hcl import LARGEST, Block, blocks_of
 
 
 class Program(msgspec.Struct, frozen=True, kw_only=True):
--- a/tests/fleetkit.py
+++ b/tests/fleetkit.py
@@ -15,13 +15,13 @@
 import msgspec
 from netkit import PATIENCE, ROOT, Proxy
 
-from granitepoint.control import fleet
-from granitepoint.control.client import Client
-from granitepoint.control.errors import StoreFault
-from granitepoint.coordination.records import Fleet, RecordError, decode
-from granitepoint.coordination.store import Get
-from granitepoint.rig import process
-from granitepoint.rig.store.launch import launch
+from gladegw.control import fleet
+from gladegw.control.client import Client
+from gladegw.control.errors import StoreFault
+from gladegw.coordination.records import Fleet, RecordError, decode
+from gladegw.coordination.store import Get
+from gladegw.rig import process
+from gladegw.rig.store.launch import launch
 
 PREFIX = "/malabar"
 TTL = 1  # s
@@ -123,7 +123,7 @@
 
     def _rollout(self, *words: str) -> tuple[int, Any]:
         told = subprocess.run(
-            (sys.executable, "-m", "granitepoint", "rollout", *words, "-f", str(self.settings), "--json"),
+            (sys.executable, "-m", "gladegw", "rollout", *words, "-f", str(self.settings), "--json"),
             cwd=ROOT, capture_output=True, text=True, timeout=150, check=False,
         )  # fmt: skip
         assert told.stdout, told.stderr
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from granitepoint import (
+from gladegw import (
     Action,
     Arrival,
     Balancer,
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -269,7 +269,7 @@
 
 
 def free_address() -> str:
-    from granitepoint.rig.ports import free_port
+    from gladegw.rig.ports import free_port
 
     return f"127.0.0.1:{free_port()}"
 
@@ -284,7 +284,7 @@
 
 
 async def start_program(
-    raw: object, folder: str, *arguments: str, program: tuple[str, ...] = ("granitepoint",), **more: str
+    raw: object, folder: str, *arguments: str, program: tuple[str, ...] = ("gladegw",), **more: str
 ) -> asyncio.subprocess.Process:
     path = Path(folder) / "config.json"
     path.write_text(raw if isinstance(raw, str) else json.dumps(raw), encoding="utf-8")
@@ -326,7 +326,7 @@
     greeting: bytes = b"",
     listen: str = "",
     name: str = "n0",
-    program: tuple[str, ...] = ("granitepoint",),
+    program: tuple[str, ...] = ("gladegw",),
     **changes: Any,
 ) -> AsyncIterator[Proxy]:
     """A proxy before these backends, ready; ended by force if the test has not ended it. `features` is the
--- a/tests/proxykit.py
+++ b/tests/proxykit.py
@@ -23,7 +23,7 @@
     until_ready,
 )
 
-from granitepoint.rig.nodes.many import ManyServers
+from gladegw.rig.nodes.many import ManyServers
 
 
 class WatchedDiscovery:
--- a/tests/test_apps.py
+++ b/tests/test_apps.py
@@ -12,17 +12,17 @@
 
 import pytest
 
-from granitepoint.apps.check import check
-from granitepoint.apps.layout import laid_out
-from granitepoint.apps.read import read_texts
-from granitepoint.apps.sidecar import asked, difference, explain, sidecar
-from granitepoint.apps.write import file_of, text_of
-from granitepoint.cli import run
-from granitepoint.routing.findings import CODES, Finding
-from granitepoint.routing.matcher import Table
-from granitepoint.routing.model import Description
-from granitepoint.routing.read import describe, read_text
-from granitepoint.routing.source import read_source
+from gladegw.apps.check import check
+from gladegw.apps.layout import laid_out
+from gladegw.apps.read import read_texts
+from gladegw.apps.sidecar import asked, difference, explain, sidecar
+from gladegw.apps.write import file_of, text_of
+from gladegw.cli import run
+from gladegw.routing.findings import CODES, Finding
+from gladegw.routing.matcher import Table
+from gladegw.routing.model import Description
+from gladegw.routing.read import describe, read_text
+from gladegw.routing.source import read_source
 
 EXAMPLE = Path(__file__).parent.parent / "examples" / "malabar"
 FRONT = """app "front" {
@@ -465,7 +465,7 @@
 def test_an_expectation_that_no_route_can_satisfy_is_reported_as_such(
     want: str, region: str, why: str
 ) -> None:
-    from granitepoint.routing.expect import decide_all, read_expect
+    from gladegw.routing.expect import decide_all, read_expect
 
     text = SHOP.replace('app "shop" {\n  owner = "b"\n  calls = ["store"]\n}', "")
     text += f'expect "x" {{\n  request {{\n    host = "shop.example"\n    {region}\n  }}\n  {want}\n}}\n'
--- a/tests/test_bundles.py
+++ b/tests/test_bundles.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from granitepoint.control.duties import bundles
-from granitepoint.control.duties import policy as deciding
-from granitepoint.control.duties.bundles import OUTCOMES, UNNAMED, Bundles
-from granitepoint.control.keys import Keys
-from granitepoint.control.view import View
-from granitepoint.coordination.records import (
+from gladegw.control.duties import bundles
+from gladegw.control.duties import policy as deciding
+from gladegw.control.duties.bundles import OUTCOMES, UNNAMED, Bundles
+from gladegw.control.keys import Keys
+from gladegw.control.view import View
+from gladegw.coordination.records import (
     Ballot,
     Change,
     Ended,
@@ -24,7 +24,7 @@
     decode,
     encode,
 )
-from granitepoint.coordination.store import Compare, Delete, Done, Get, Model, Operation, Put, Txn
+from gladegw.coordination.store import Compare, Delete, Done, Get, Model, Operation, Put, Txn
 
 LIMITS = Limits(failed=0, refused=0, level=0, alpha=0.01, least_requests=1)
 ROLLOUT = Rollout(id="r", old="o", new="n", stages=(), limits=LIMITS, bake_s=1, most_s=1, confirm_s=1,
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -27,15 +27,15 @@
     run,
 )
 
-from granitepoint import Arrival, Balancer, Gone, ListKind, Outcome, Probe, Probed, Send, ServerList, Status
-from granitepoint.benchlink import read_settings
-from granitepoint.interface import Event
-from granitepoint.net.capture import Capture, CaptureSettings
-from granitepoint.net.config import Config, flatten
-from granitepoint.net.lists import read_listing, server_id
-from granitepoint.net.request import Request
-from granitepoint.replay import Unusable, differences, replay
-from granitepoint.servers import Servers
+from gladegw import Arrival, Balancer, Gone, ListKind, Outcome, Probe, Probed, Send, ServerList, Status
+from gladegw.benchlink import read_settings
+from gladegw.interface import Event
+from gladegw.net.capture import Capture, CaptureSettings
+from gladegw.net.config import Config, flatten
+from gladegw.net.lists import read_listing, server_id
+from gladegw.net.request import Request
+from gladegw.replay import Unusable, differences, replay
+from gladegw.servers import Servers
 
 TENANTS = [{"name": "hill-routes", "quota_rps": 20.0, "portion": 0.5}]
 NAMES = [f"s-{number:08x}" for number in range(1, 7)]
@@ -375,7 +375,7 @@
     if BAD[fault]:
         path.write_text("".join(line.replace("START", start) + "\n" for line in BAD[fault]))
     done = subprocess.run(
-        [sys.executable, "-m", "granitepoint", "replay", str(path)], capture_output=True, text=True, cwd=ROOT
+        [sys.executable, "-m", "gladegw", "replay", str(path)], capture_output=True, text=True, cwd=ROOT
     )
     assert (done.returncode, done.stdout) == (2, "")
     assert done.stderr.count("\n") == 1 and fault in done.stderr
@@ -421,7 +421,7 @@
         path.write_text("".join(told))
         settings_file = tmp_path / "malabar.hcl"
         settings_file.write_text(features)
-        command = [sys.executable, "-m", "granitepoint", "replay", "-f", str(settings_file), str(path)]
+        command = [sys.executable, "-m", "gladegw", "replay", "-f", str(settings_file), str(path)]
         done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT)
         assert (done.returncode, done.stdout, done.stderr) == (0, "", "")
         spoilt = [json.loads(line) for line in told if line.startswith("{")]
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -11,12 +11,12 @@
 import pytest
 from netkit import PATIENCE, Backend, Seen, proxy, run, serve_ok
 
-from granitepoint.interface import Effect
-from granitepoint.net.client import NO_HEADERS
-from granitepoint.net.peer import Reply
-from granitepoint.net.request import Request
-from granitepoint.net.server import Server
-from granitepoint.operators.ledger import Ledger
+from gladegw.interface import Effect
+from gladegw.net.client import NO_HEADERS
+from gladegw.net.peer import Reply
+from gladegw.net.request import Request
+from gladegw.net.server import Server
+from gladegw.operators.ledger import Ledger
 
 LARGE = 4 << 20  # bytes of an answer that no socket's buffers hold
 
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -9,10 +9,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from granitepoint.coordination import duty as duties
-from granitepoint.coordination import records, turns
-from granitepoint.coordination.lease import DRIFT, Fence, Lease, Refused, granted, renewed
-from granitepoint.coordination.store import (
+from gladegw.coordination import duty as duties
+from gladegw.coordination import records, turns
+from gladegw.coordination.lease import DRIFT, Fence, Lease, Refused, granted, renewed
+from gladegw.coordination.store import (
     MOST_OPERATIONS,
     Compacted,
     Compare,
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,7 +7,7 @@
 import pytest
 from helpers import Driver, entries, only_send, sends, settings
 
-from granitepoint import (
+from gladegw import (
     Arrival,
     CloseIdle,
     Effect,
@@ -26,7 +26,7 @@
     Tenant,
     Watch,
 )
-from granitepoint.admission import Admission, Kind
+from gladegw.admission import Admission, Kind
 
 
 def admission(window: float, latency: float, rate: float, worths: list[float], stage: int = 0) -> Admission:
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -13,10 +13,10 @@
 from hypothesis import strategies as st
 from netkit import Backend, Caller, Proxy, proxy, run
 
-from granitepoint.limits.descriptors import LEAST_START, REST, shares
-from granitepoint.limits.pace import FIRST, HEAD, SLOWEST, STALL, Pace
-from granitepoint.limits.room import FIRST as SILENT
-from granitepoint.limits.room import PATIENCE, YOUNG, Press, Stage, gives_way, late
+from gladegw.limits.descriptors import LEAST_START, REST, shares
+from gladegw.limits.pace import FIRST, HEAD, SLOWEST, STALL, Pace
+from gladegw.limits.room import FIRST as SILENT
+from gladegw.limits.room import PATIENCE, YOUNG, Press, Stage, gives_way, late
 
 TRUE_RATE = 64_000  # bytes a second at which a slow true client writes
 
--- a/tests/test_explorer.py
+++ b/tests/test_explorer.py
@@ -9,14 +9,14 @@
 import pytest
 from click.testing import CliRunner
 
-from granitepoint.cli.rig import rig
-from granitepoint.coordination import duty as duties
-from granitepoint.coordination import lease as leases
-from granitepoint.coordination.duty import Action, Event, Phase
-from granitepoint.coordination.lease import Lease
-from granitepoint.coordination.store import Delete, Get, Put, Txn
-from granitepoint.rig.explore.duties import Duties
-from granitepoint.rig.explore.search import Search, walk
+from gladegw.cli.rig import rig
+from gladegw.coordination import duty as duties
+from gladegw.coordination import lease as leases
+from gladegw.coordination.duty import Action, Event, Phase
+from gladegw.coordination.lease import Lease
+from gladegw.coordination.store import Delete, Get, Put, Txn
+from gladegw.rig.explore.duties import Duties
+from gladegw.rig.explore.search import Search, walk
 
 STEPS = 1200
 
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -17,11 +17,11 @@
 from helpers import settings as served
 from netkit import PATIENCE, Backend, Caller, proxy, run, start_program
 
-from granitepoint import Tenant
-from granitepoint.net import features
-from granitepoint.net.figures import DATAGRAM, Figures, FiguresSettings, LineFormat, StatsD, datagrams
-from granitepoint.net.peer import Asked
-from granitepoint.net.writer import Writer
+from gladegw import Tenant
+from gladegw.net import features
+from gladegw.net.figures import DATAGRAM, Figures, FiguresSettings, LineFormat, StatsD, datagrams
+from gladegw.net.peer import Asked
+from gladegw.net.writer import Writer
 
 TENANTS = [{"name": "coastal-cabs", "quota_rps": 100.0, "portion": 0.5}]
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,12 +16,12 @@
 from fleetkit import TTL, all_held, config_file, held_by, served, store
 from netkit import ROOT, Backend, free_address, proxy, run
 
-from granitepoint.limits.descriptors import AGENT_OWN
-from granitepoint.rig.trouble.links import Link
+from gladegw.limits.descriptors import AGENT_OWN
+from gladegw.rig.trouble.links import Link
 
 
 def gladegw(*words: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run((sys.executable, "-m", "granitepoint", *words), cwd=ROOT, capture_output=True,
+    return subprocess.run((sys.executable, "-m", "gladegw", *words), cwd=ROOT, capture_output=True,
                           text=True, timeout=30, check=False)  # fmt: skip
 
 
@@ -249,18 +249,18 @@
 
 def test_without_the_block_nothing_of_it_is_imported() -> None:
     code = (
-        "import sys; import granitepoint.net.serve, granitepoint.net.features; "
+        "import sys; import gladegw.net.serve, gladegw.net.features; "
         "print(sorted(m for m in sys.modules if m.split('.')[0] in ('grpclib', 'google', 'h2')"
-        " or m.startswith(('granitepoint.control', 'granitepoint.coordination', 'granitepoint.rig'))))"
+        " or m.startswith(('gladegw.control', 'gladegw.coordination', 'gladegw.rig'))))"
     )
     found = subprocess.run((sys.executable, "-c", code), cwd=ROOT, capture_output=True, text=True, check=True)
     assert found.stdout == "[]\n"
     code = (
-        "import sys; import granitepoint.control.start; "
+        "import sys; import gladegw.control.start; "
         "print(sorted(m for m in sys.modules if 'policy' in m or 'gate' in m.split('.')[-1]))"
     )
     found = subprocess.run((sys.executable, "-c", code), cwd=ROOT, capture_output=True, text=True, check=True)
-    assert "granitepoint" not in found.stdout
+    assert "gladegw" not in found.stdout
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -11,9 +11,9 @@
 from fleetkit import all_held, served, store
 from netkit import Backend, proxy, run
 
-from granitepoint.control.duties import ALL
-from granitepoint.rig.measures import scale
-from granitepoint.rig.proxy import Proxy
+from gladegw.control.duties import ALL
+from gladegw.rig.measures import scale
+from gladegw.rig.proxy import Proxy
 
 MANY = 40
 
--- a/tests/test_fleet_steps.py
+++ b/tests/test_fleet_steps.py
@@ -12,12 +12,12 @@
 from fleetkit import PREFIX, TTL, held_by, store
 from netkit import Backend, proxy, run
 
-from granitepoint.control.duties import ALL
-from granitepoint.control.keys import Keys
-from granitepoint.coordination.records import Holder, encode
-from granitepoint.coordination.store import Put
-from granitepoint.rig import process
-from granitepoint.rig.trouble.links import Link
+from gladegw.control.duties import ALL
+from gladegw.control.keys import Keys
+from gladegw.coordination.records import Holder, encode
+from gladegw.coordination.store import Put
+from gladegw.rig import process
+from gladegw.rig.trouble.links import Link
 
 STEPS = ("claim on its way", "claim unanswered", "begun", "hand-over unsent", "hand-over unanswered")
 
--- a/tests/test_flood.py
+++ b/tests/test_flood.py
@@ -8,8 +8,8 @@
 import pytest
 from netkit import Backend, proxy, run
 
-from granitepoint.rig import process
-from granitepoint.rig.traffic import flood
+from gladegw.rig import process
+from gladegw.rig.traffic import flood
 
 RATE, DEADLINE = 100.0, 1.0  # requests a second; s
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -9,10 +9,10 @@
 import pytest
 from helpers import Driver, entries, only_send, sends, settings
 
-from granitepoint import Balancer, CallFailure, ListKind, ServerList, SetTimer, Status, Timer, Watch
-from granitepoint.freshness import Freshness
-from granitepoint.interface import Event
-from granitepoint.logic import TICK_TOKEN
+from gladegw import Balancer, CallFailure, ListKind, ServerList, SetTimer, Status, Timer, Watch
+from gladegw.freshness import Freshness
+from gladegw.interface import Event
+from gladegw.logic import TICK_TOKEN
 
 DRAIN_GRACE = 0.5  # s
 CONNECT = 0.1  # s
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from granitepoint.control.duties.base import Holding, NotHeld, Work
-from granitepoint.control.errors import Unreachable
-from granitepoint.control.keeper import AGAIN, Keeper
-from granitepoint.control.keys import Keys
-from granitepoint.control.view import View
-from granitepoint.coordination.duty import Duty, Phase
-from granitepoint.rig.simulate.loop import virtual
+from gladegw.control.duties.base import Holding, NotHeld, Work
+from gladegw.control.errors import Unreachable
+from gladegw.control.keeper import AGAIN, Keeper
+from gladegw.control.keys import Keys
+from gladegw.control.view import View
+from gladegw.coordination.duty import Duty, Phase
+from gladegw.rig.simulate.loop import virtual
 
 
 @pytest.mark.parametrize("fault", [Unreachable("gone"), NotHeld("fails"), ValueError("planted")])
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -25,11 +25,9 @@
     for name in deploy["policy"]:
         tree = ast.parse((ROOT / name).read_text("utf-8"))
         for node in ast.walk(tree):
-            if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("granitepoint"):
-                assert node.module in named | {"granitepoint.interface"}, name
+            if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("gladegw"):
+                assert node.module in named | {"gladegw.interface"}, name
 
 
 def test_module_names_its_interface_at_the_top() -> None:
-    assert (
-        "granitepoint/interface.py" in (ROOT / "granitepoint" / "logic.py").read_text("utf-8").split("\n")[0]
-    )
+    assert "gladegw/interface.py" in (ROOT / "gladegw" / "logic.py").read_text("utf-8").split("\n")[0]
--- a/tests/test_linear.py
+++ b/tests/test_linear.py
@@ -15,11 +15,11 @@
 from hypothesis import strategies as st
 from netkit import PATIENCE, run
 
-from granitepoint.control.client import Client
-from granitepoint.control.errors import RefusedByStore, StoreFault
-from granitepoint.coordination.store import Compare, Get, Put, Target, Txn
-from granitepoint.rig.store.linear import Seen, violations
-from granitepoint.rig.store.record import read as recorded
+from gladegw.control.client import Client
+from gladegw.control.errors import RefusedByStore, StoreFault
+from gladegw.coordination.store import Compare, Get, Put, Target, Txn
+from gladegw.rig.store.linear import Seen, violations
+from gladegw.rig.store.record import read as recorded
 
 
 def read(begin: float, end: float, result: str | None) -> Seen:
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -11,7 +11,7 @@
 import pytest
 from netkit import free_port
 
-from granitepoint.net import listener, sockets
+from gladegw.net import listener, sockets
 
 COUNT = 60
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -9,8 +9,8 @@
 import pytest
 from netkit import ROOT, run
 
-from granitepoint.rig.measures.losses import Judge, one_kind, quantiles
-from granitepoint.rig.measures.member import Line
+from gladegw.rig.measures.losses import Judge, one_kind, quantiles
+from gladegw.rig.measures.member import Line
 
 
 def test_two_that_held_at_once_are_told() -> None:
@@ -41,7 +41,7 @@
     kinds = ["stop", "term", "slow clock", "cut in", "store stopped", "term heir", "versions"]
     wanted = (word for kind in kinds for word in ("--kind", kind))
     words = ("rig", "losses", "--losses", "2", "--at-once", "3", *wanted)
-    told = subprocess.run((sys.executable, "-m", "granitepoint", *words, "--json"), cwd=ROOT, text=True,
+    told = subprocess.run((sys.executable, "-m", "gladegw", *words, "--json"), cwd=ROOT, text=True,
                           capture_output=True, timeout=120, check=False)  # fmt: skip
     assert told.returncode == 0, told.stderr
     rows = json.loads(told.stdout)["rows"]
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -10,8 +10,8 @@
 from netkit import SETTINGS, read_message, response, run
 from proxykit import WatchedDiscovery, proxies
 
-from granitepoint.rig.nodes.many import ManyServers
-from granitepoint.rig.share import CpuShare
+from gladegw.rig.nodes.many import ManyServers
+from gladegw.rig.share import CpuShare
 
 SERVERS = 3200
 GRACE = 0.55  # s, with the slack of sockets
--- a/tests/test_obligations.py
+++ b/tests/test_obligations.py
@@ -7,7 +7,7 @@
 import pytest
 from helpers import CLASSES, Driver, drained, entries, only_send, sends, settings
 
-from granitepoint import (
+from gladegw import (
     Action,
     Arrival,
     Fail,
@@ -23,9 +23,9 @@
     Timer,
     Watch,
 )
-from granitepoint.admission import Kind
-from granitepoint.obligations import Call, Obligations
-from granitepoint.servers import Server
+from gladegw.admission import Kind
+from gladegw.obligations import Call, Obligations
+from gladegw.servers import Server
 
 NEVER = [Status.FULL, Status.CONNECT_FAILED, Status.MOOT]
 MAYBE = [Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED]
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from granitepoint.operators.calls import LONGEST, Backends, Line, Operators
-from granitepoint.operators.ledger import Ledger
-from granitepoint.operators.lifecycle import TABLE, Event, Lifecycle, Refused, State
+from gladegw.operators.calls import LONGEST, Backends, Line, Operators
+from gladegw.operators.ledger import Ledger
+from gladegw.operators.lifecycle import TABLE, Event, Lifecycle, Refused, State
 
 
 def operators(life: Lifecycle | None = None, able: bool = True) -> Operators:
--- a/tests/test_overdue_news.py
+++ b/tests/test_overdue_news.py
@@ -10,7 +10,7 @@
 
 from helpers import Driver, entries, only_send, sends, settings
 
-from granitepoint import CallFailure, ListKind, Probe, Probed, ServerList, Status
+from gladegw import CallFailure, ListKind, Probe, Probed, ServerList, Status
 
 TOLD_WITHIN = 6.0  # s after which a change counts as told
 CALL = 0.05  # s that a call takes here
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -10,10 +10,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from granitepoint.coordination import policy
-from granitepoint.coordination.policy import Action, Force, Member, Open, Outcome, Phase, Verdict, Vote
-from granitepoint.rig.explore.policies import Policies
-from granitepoint.rig.explore.search import Search, walk
+from gladegw.coordination import policy
+from gladegw.coordination.policy import Action, Force, Member, Open, Outcome, Phase, Verdict, Vote
+from gladegw.rig.explore.policies import Policies
+from gladegw.rig.explore.search import Search, walk
 
 WALKS, STEPS = 60, 300
 
--- a/tests/test_policy_sockets.py
+++ b/tests/test_policy_sockets.py
@@ -17,13 +17,13 @@
 from fleetkit import PREFIX, TTL, Store, store
 from netkit import PATIENCE, ROOT, Backend, Discovery, Proxy, proxy, run
 
-from granitepoint.control import bundle
-from granitepoint.control.keys import Keys
-from granitepoint.control.propose import Operator
-from granitepoint.coordination.records import InForce, Tries, decode
-from granitepoint.coordination.store import Get, Put, prefix_end
-from granitepoint.rig.measures.changes import BOUND, Answer, judge
-from granitepoint.rig.trouble.links import Link
+from gladegw.control import bundle
+from gladegw.control.keys import Keys
+from gladegw.control.propose import Operator
+from gladegw.coordination.records import InForce, Tries, decode
+from gladegw.coordination.store import Get, Put, prefix_end
+from gladegw.rig.measures.changes import BOUND, Answer, judge
+from gladegw.rig.trouble.links import Link
 
 
 def routes(word: str) -> str:
@@ -57,7 +57,7 @@
 
     def gladegw(self, *words: str) -> tuple[int, Any]:
         told = subprocess.run(
-            (sys.executable, "-m", "granitepoint", "policy", *words, "-f", str(self.settings), "--json"),
+            (sys.executable, "-m", "gladegw", "policy", *words, "-f", str(self.settings), "--json"),
             cwd=ROOT, capture_output=True, text=True, timeout=60, check=False,
         )  # fmt: skip
         assert told.stdout, told.stderr
@@ -215,7 +215,7 @@
             code, told = await here.propose("second")
             assert code == 1 and told["reason"] == "not reached: p1"
             removed = await asyncio.to_thread(
-                subprocess.run, (sys.executable, "-m", "granitepoint", "policy", "members", "--remove", "p1",
+                subprocess.run, (sys.executable, "-m", "gladegw", "policy", "members", "--remove", "p1",
                                  "-f", str(here.settings)), cwd=ROOT, timeout=60, check=False)  # fmt: skip
             assert removed.returncode == 0
             code, told = await here.propose("second")
@@ -427,7 +427,7 @@
 
 def test_changes_at_every_step_with_faults_break_no_rule() -> None:
     words = ("rig", "changes", "--proxies", "3", "--changes", "12", "--faults", "--ttl", "2", "--seed", "3")
-    told = subprocess.run((sys.executable, "-m", "granitepoint", *words, "--json"), cwd=ROOT, text=True,
+    told = subprocess.run((sys.executable, "-m", "gladegw", *words, "--json"), cwd=ROOT, text=True,
                           capture_output=True, timeout=200, check=False)  # fmt: skip
     found = json.loads(told.stdout)
     assert told.returncode == 0 and found["breaches"] == [], told.stderr
@@ -436,7 +436,7 @@
 
 def test_changes_cost_no_request() -> None:
     words = ("rig", "changes", "--proxies", "3", "--changes", "4")
-    told = subprocess.run((sys.executable, "-m", "granitepoint", *words, "--json"), cwd=ROOT, text=True,
+    told = subprocess.run((sys.executable, "-m", "gladegw", *words, "--json"), cwd=ROOT, text=True,
                           capture_output=True, timeout=200, check=False)  # fmt: skip
     found = json.loads(told.stdout)
     assert told.returncode == 0 and found["outcomes"] == {"everywhere": 4}, told.stderr
@@ -447,7 +447,7 @@
     async def test() -> None:
         async with site(tmp_path) as here:
             first = await here.proxy("p1")
-            slow = await here.proxy("p2", program=("granitepoint.rig.bad", "compiles 30 s"))
+            slow = await here.proxy("p2", program=("gladegw.rig.bad", "compiles 30 s"))
             await here.at.members(lambda found: [one["state"] for one in found] == ["ready"] * 2)
             proposed = asyncio.create_task(here.propose("second"))
             served = 0
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -5,11 +5,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from granitepoint.routing.model import Endpoint, Pool, Selector
-from granitepoint.routing.pools import Membership, selects, standing_in
-from granitepoint.routing.quotas import Division
-from granitepoint.routing.read import circles
-from granitepoint.routing.split import choose, shares, subset
+from gladegw.routing.model import Endpoint, Pool, Selector
+from gladegw.routing.pools import Membership, selects, standing_in
+from gladegw.routing.quotas import Division
+from gladegw.routing.read import circles
+from gladegw.routing.split import choose, shares, subset
 
 NAMES = st.lists(st.integers(0, 400).map(lambda n: f"s-{n:x}"), min_size=1, max_size=60, unique=True)
 
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -9,13 +9,13 @@
 import pytest
 from netkit import ROOT
 
-from granitepoint.rig import ports
-from granitepoint.rig.errors import RigError
+from gladegw.rig import ports
+from gladegw.rig.errors import RigError
 
 DRAWS = 500  # of two looks at 20,000 ports, so many each, none would coincide once in 270,000 times
 DRAW = f"""
 import sys
-from granitepoint.rig.ports import free_port, free_ports
+from gladegw.rig.ports import free_port, free_ports
 print(*[free_port() for _ in range({DRAWS})], *[free_ports(3) for _ in range(20)], flush=True)
 sys.stdin.read()
 """
--- a/tests/test_program_rollouts.py
+++ b/tests/test_program_rollouts.py
@@ -16,15 +16,15 @@
 from fleetkit import PREFIX, Conducted, Store, store
 from netkit import PATIENCE, run
 
-from granitepoint.control import fleet
-from granitepoint.control.rollouts import last
-from granitepoint.rig import process
-from granitepoint.rig.judging import ledger
-from granitepoint.rig.measures.capacity import SCENARIO
-from granitepoint.rig.nodes.settings import config
-from granitepoint.rig.ports import free_port
-from granitepoint.rig.supervised import Supervised
-from granitepoint.rig.traffic.steady import Steady
+from gladegw.control import fleet
+from gladegw.control.rollouts import last
+from gladegw.rig import process
+from gladegw.rig.judging import ledger
+from gladegw.rig.measures.capacity import SCENARIO
+from gladegw.rig.nodes.settings import config
+from gladegw.rig.ports import free_port
+from gladegw.rig.supervised import Supervised
+from gladegw.rig.traffic.steady import Steady
 
 PROXIES = 6
 VERSIONS = {
@@ -63,7 +63,7 @@
 @contextlib.asynccontextmanager
 async def site(folder: Path, ttl: int = 2, confirm: int = 6) -> AsyncIterator[Site]:
     async with store(3) as at, contextlib.AsyncExitStack() as stack:
-        nodes = await process.start(*process.python("granitepoint.rig.nodes.trivial", "3"))
+        nodes = await process.start(*process.python("gladegw.rig.nodes.trivial", "3"))
         stack.push_async_callback(process.end, nodes)
         assert nodes.stdout is not None
         told = msgspec.json.decode(await nodes.stdout.readline())
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -9,7 +9,7 @@
 from hypothesis import HealthCheck, given
 from hypothesis import settings as checks
 
-from granitepoint import (
+from gladegw import (
     Arrival,
     Balancer,
     Cancel,
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -29,11 +29,11 @@
     until_ready,
 )
 
-from granitepoint import Status
-from granitepoint.net.config import address
-from granitepoint.net.exchange import Exchange
-from granitepoint.net.lists import read_listing
-from granitepoint.net.upstream import REST, Upstreams
+from gladegw import Status
+from gladegw.net.config import address
+from gladegw.net.exchange import Exchange
+from gladegw.net.lists import read_listing
+from gladegw.net.upstream import REST, Upstreams
 
 
 async def next_call(backend: Backend) -> Seen:
--- a/tests/test_quiet.py
+++ b/tests/test_quiet.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from granitepoint.coordination import quiet
-from granitepoint.coordination.quiet import DAY, DAYS, WEEK
+from gladegw.coordination import quiet
+from gladegw.coordination.quiet import DAY, DAYS, WEEK
 
 minutes = st.integers(0, WEEK - 1)
 
--- a/tests/test_rig_judge.py
+++ b/tests/test_rig_judge.py
@@ -9,9 +9,9 @@
 import msgspec
 import pytest
 
-from granitepoint.rig.judging import ledger
-from granitepoint.rig.judging.judge import RULES, Judge, Verdict
-from granitepoint.rig.judging.ledger import (
+from gladegw.rig.judging import ledger
+from gladegw.rig.judging.judge import RULES, Judge, Verdict
+from gladegw.rig.judging.ledger import (
     Called,
     FaultBand,
     Life,
@@ -24,8 +24,8 @@
     Told,
     Try,
 )
-from granitepoint.rig.nodes.model import Kind
-from granitepoint.rig.scenario import Class, Scenario, Tier
+from gladegw.rig.nodes.model import Kind
+from gladegw.rig.scenario import Class, Scenario, Tier
 
 SCENARIO = Scenario(
     classes=(
--- a/tests/test_rig_pure.py
+++ b/tests/test_rig_pure.py
@@ -13,15 +13,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from granitepoint.rig import scenario
-from granitepoint.rig.errors import ScenarioError, TraceError
-from granitepoint.rig.measures.report import bootstrap
-from granitepoint.rig.nodes.model import KeyWindow, Kind, Life, NodeModel, Turn
-from granitepoint.rig.nodes.registry import Endpoint, Registry
-from granitepoint.rig.traffic.arrivals import Shape, Surge, times
-from granitepoint.rig.traffic.traces import Count, Options, read
-from granitepoint.rig.traffic.workload import CallClass, Mix, calls, retry_wait, try_budget
-from granitepoint.rig.trouble import faults
+from gladegw.rig import scenario
+from gladegw.rig.errors import ScenarioError, TraceError
+from gladegw.rig.measures.report import bootstrap
+from gladegw.rig.nodes.model import KeyWindow, Kind, Life, NodeModel, Turn
+from gladegw.rig.nodes.registry import Endpoint, Registry
+from gladegw.rig.traffic.arrivals import Shape, Surge, times
+from gladegw.rig.traffic.traces import Count, Options, read
+from gladegw.rig.traffic.workload import CallClass, Mix, calls, retry_wait, try_budget
+from gladegw.rig.trouble import faults
 
 # -- arrivals ----------------------------------------------------------------------------------------
 
--- a/tests/test_rig_sockets.py
+++ b/tests/test_rig_sockets.py
@@ -17,12 +17,12 @@
 
 import pytest
 
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.judging import ledger
-from granitepoint.rig.judging.judge import judge_folder
-from granitepoint.rig.judging.ledger import PeerSeen, ProxyEvent, Run, Told, Try
-from granitepoint.rig.play import play
-from granitepoint.rig.scenario import read
+from gladegw.rig.errors import RigError
+from gladegw.rig.judging import ledger
+from gladegw.rig.judging.judge import judge_folder
+from gladegw.rig.judging.ledger import PeerSeen, ProxyEvent, Run, Told, Try
+from gladegw.rig.play import play
+from gladegw.rig.scenario import read
 
 ROOT = Path(__file__).parent.parent
 PATIENCE = 60.0  # s
@@ -65,7 +65,7 @@
 
 def gladegw(*arguments: str, code: int = 0) -> str:
     done = subprocess.run(
-        [sys.executable, "-m", "granitepoint", *arguments],
+        [sys.executable, "-m", "gladegw", *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -326,7 +326,7 @@
     folder = tmp_path / "run"
     for number in (signal.SIGINT, signal.SIGKILL):
         child = subprocess.Popen(
-            [sys.executable, "-m", "granitepoint", "rig", "run", str(file), "--dir", str(folder)], cwd=ROOT,
+            [sys.executable, "-m", "gladegw", "rig", "run", str(file), "--dir", str(folder)], cwd=ROOT,
             stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL,
         )  # fmt: skip
         due = time.monotonic() + PATIENCE
@@ -371,7 +371,7 @@
     (tmp_path / "s.hcl").write_text(BASE % 2, encoding="utf-8")
     file, folder = tmp_path / "e.hcl", tmp_path / "results"
     file.write_text(MATRIX, encoding="utf-8")
-    command = [sys.executable, "-m", "granitepoint", "experiment", str(file), "--dir", str(folder)]
+    command = [sys.executable, "-m", "gladegw", "experiment", str(file), "--dir", str(folder)]
     child = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
     results = folder / "results.jsonl"
     due = time.monotonic() + PATIENCE
--- a/tests/test_rolled.py
+++ b/tests/test_rolled.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from granitepoint.control.duties.rollout import POINTS, THINNED, point_of
-from granitepoint.coordination.fleetwide import Whole
-from granitepoint.coordination.records import Limits, Point, Rollout, decode, encode
-from granitepoint.coordination.verdict import Evidence, Sample
-from granitepoint.rig.measures import rolled
+from gladegw.control.duties.rollout import POINTS, THINNED, point_of
+from gladegw.coordination.fleetwide import Whole
+from gladegw.coordination.records import Limits, Point, Rollout, decode, encode
+from gladegw.coordination.verdict import Evidence, Sample
+from gladegw.rig.measures import rolled
 
 LIMITS = Limits(failed=0.002, refused=0.02, level=0.1, alpha=0.01, least_requests=200)
 RECORD = Rollout(id="r<1>", old="o", new="n", stages=(("a",), ("a", "b")), limits=LIMITS, bake_s=60,
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -10,12 +10,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from granitepoint.control.windows import Windows
-from granitepoint.coordination import fleetwide, policy, verdict
-from granitepoint.coordination.policy import Action, Force, Member, Open
-from granitepoint.coordination.records import Figures
-from granitepoint.coordination.rollout import OVER, Do, Phase, Rollout, World, staged, step, turned
-from granitepoint.coordination.verdict import Answer, Evidence, Limits, Sample
+from gladegw.control.windows import Windows
+from gladegw.coordination import fleetwide, policy, verdict
+from gladegw.coordination.policy import Action, Force, Member, Open
+from gladegw.coordination.records import Figures
+from gladegw.coordination.rollout import OVER, Do, Phase, Rollout, World, staged, step, turned
+from gladegw.coordination.verdict import Answer, Evidence, Limits, Sample
 
 FIRST = Rollout("r", "old", "new", (("a",), ("a", "b")))
 
--- a/tests/test_rollout_sockets.py
+++ b/tests/test_rollout_sockets.py
@@ -17,7 +17,7 @@
 from netkit import PATIENCE, ROOT, Proxy, run
 from test_policy_sockets import Site
 
-from granitepoint.control.rollouts import last
+from gladegw.control.rollouts import last
 
 PROXIES = 6
 CONFIRM = 4  # s
@@ -122,7 +122,7 @@
             assert [one["state"] for one in told["history"]] == ["done"]
             page = tmp_path / "page.html"
             command = "rollout", "page", "-f", str(here.settings), "-o", str(page)
-            done = await asyncio.to_thread(subprocess.run, [sys.executable, "-m", "granitepoint", *command],
+            done = await asyncio.to_thread(subprocess.run, [sys.executable, "-m", "gladegw", *command],
                                            cwd=ROOT, capture_output=True, text=True)  # fmt: skip
             assert done.returncode == 0 and done.stdout.startswith(f"{page}: rollout "), done.stderr
             text = page.read_text(encoding="utf-8")
@@ -306,6 +306,6 @@
 def test_a_bad_plan_is_one_line(text: str, why: str, tmp_path: Path) -> None:
     plan = tmp_path / "plan.hcl"
     plan.write_text(text, encoding="utf-8")
-    told = subprocess.run((sys.executable, "-m", "granitepoint", "rollout", "check", str(plan)), cwd=ROOT,
+    told = subprocess.run((sys.executable, "-m", "gladegw", "rollout", "check", str(plan)), cwd=ROOT,
                           capture_output=True, text=True, timeout=60, check=False)  # fmt: skip
     assert told.returncode == 2 and why in told.stderr and told.stderr.count("\n") == 1, told.stderr
--- a/tests/test_routes_sockets.py
+++ b/tests/test_routes_sockets.py
@@ -19,15 +19,15 @@
 from hypothesis import strategies as st
 from netkit import PATIENCE, Backend, Discovery, Proxy, Seen, config, endpoint, listing, proxy, response, run
 
-from granitepoint.net.config import load
-from granitepoint.net.desk import OpenCall
-from granitepoint.net.features import RoutesSettings
-from granitepoint.net.request import read_head
-from granitepoint.net.routes import Pools, Unheard
-from granitepoint.net.tables import prepared
-from granitepoint.replay import differences
-from granitepoint.routing.findings import RoutingError
-from granitepoint.routing.split import hasher
+from gladegw.net.config import load
+from gladegw.net.desk import OpenCall
+from gladegw.net.features import RoutesSettings
+from gladegw.net.request import read_head
+from gladegw.net.routes import Pools, Unheard
+from gladegw.net.tables import prepared
+from gladegw.replay import differences
+from gladegw.routing.findings import RoutingError
+from gladegw.routing.split import hasher
 
 POOLS = """
 pool "south" { names = ["s-*"] }
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -8,10 +8,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from granitepoint.routing.cells import cells, meet, reach
-from granitepoint.routing.checks import check_table
-from granitepoint.routing.findings import RoutingError
-from granitepoint.routing.matcher import (
+from gladegw.routing.cells import cells, meet, reach
+from gladegw.routing.checks import check_table
+from gladegw.routing.findings import RoutingError
+from gladegw.routing.matcher import (
     Entry,
     Table,
     host_holds,
@@ -20,9 +20,9 @@
     source_holds,
     text_holds,
 )
-from granitepoint.routing.model import Ask, Description, Match, Path, Route, Text
-from granitepoint.routing.read import read_text
-from granitepoint.routing.source import read_source
+from gladegw.routing.model import Ask, Description, Match, Path, Route, Text
+from gladegw.routing.read import read_text
+from gladegw.routing.source import read_source
 
 PIECES = st.sampled_from(["a", "b", "ab", "status"])
 PATHS = st.lists(PIECES, max_size=3).map(lambda parts: "/" + "/".join(parts))
@@ -262,7 +262,7 @@
 
 
 def test_the_reader_agrees_with_the_settings_parser() -> None:
-    from granitepoint.net.hcl import blocks_of
+    from gladegw.net.hcl import blocks_of
 
     text = 'pool "p" {\n  zones = ["a", "b"]\n  subset = 3\n  local = true\n  spill_below = 0.25\n}\n'
     (mine,) = read_source(text, "f.hcl", []).blocks
