--- a/tests/test_scenario_store.py
+++ b/tests/test_scenario_store.py
@@ -8,15 +8,15 @@
 import pytest
 from netkit import run
 
-from granitepoint.rig import scenario as scenarios
-from granitepoint.rig.errors import ScenarioError
-from granitepoint.rig.judging.judge import judge_folder
-from granitepoint.rig.judging.ledger import FaultBand
-from granitepoint.rig.judging.ledger import read as ledgers
-from granitepoint.rig.play import play
-from granitepoint.rig.store.linear import Seen
-from granitepoint.rig.store.record import RECORD, read
-from granitepoint.rig.trouble.faults import bands, script
+from gladegw.rig import scenario as scenarios
+from gladegw.rig.errors import ScenarioError
+from gladegw.rig.judging.judge import judge_folder
+from gladegw.rig.judging.ledger import FaultBand
+from gladegw.rig.judging.ledger import read as ledgers
+from gladegw.rig.play import play
+from gladegw.rig.store.linear import Seen
+from gladegw.rig.store.record import RECORD, read
+from gladegw.rig.trouble.faults import bands, script
 
 TEXT = """scenario "s" { duration = 7 }
 load { rate = 40 }
--- a/tests/test_silent_watches.py
+++ b/tests/test_silent_watches.py
@@ -20,7 +20,7 @@
 from netkit import SETTINGS, read_message, response, run
 from proxykit import WatchedDiscovery, proxies
 
-from granitepoint.rig.nodes.many import ManyServers
+from gladegw.rig.nodes.many import ManyServers
 
 PROXIES = 8
 SERVERS = 4
--- a/tests/test_simulate.py
+++ b/tests/test_simulate.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from granitepoint.coordination import policy as table
-from granitepoint.rig.errors import RigError
-from granitepoint.rig.simulate import many, outages, rollouts
-from granitepoint.rig.simulate.course import Simulated
-from granitepoint.rig.simulate.many import Asked, courses, first_found
-from granitepoint.rig.simulate.planted import DEFECTS
+from gladegw.coordination import policy as table
+from gladegw.rig.errors import RigError
+from gladegw.rig.simulate import many, outages, rollouts
+from gladegw.rig.simulate.course import Simulated
+from gladegw.rig.simulate.many import Asked, courses, first_found
+from gladegw.rig.simulate.planted import DEFECTS
 
 LASTS = 60.0
 SEEDS = 4  # that are looked at for a defect: another program has other courses
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 from netkit import PATIENCE, SETTINGS, Backend, Discovery, endpoint, proxy, run
 
-from granitepoint import (
+from gladegw import (
     Arrival,
     Balancer,
     Event,
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,7 +9,7 @@
 import pytest
 from netkit import run
 
-from granitepoint.rig import soak
+from gladegw.rig import soak
 
 SEEDS = (3, 5, 12, 21)  # failing calls, 200 servers, several SIGHUP, drains before, in and after refusals
 LONG_REFUSED = 7.0  # s
--- a/tests/test_stamps.py
+++ b/tests/test_stamps.py
@@ -14,9 +14,9 @@
 from netkit import PATIENCE, Answer, Backend, Proxy, Seen, response, run
 from test_policy_sockets import Site
 
-from granitepoint import replay
-from granitepoint.coordination.stamps import DECIDES, MOST_HELD, Shelf, Stamp, Standing, read
-from granitepoint.rig.trouble.links import Link
+from gladegw import replay
+from gladegw.coordination.stamps import DECIDES, MOST_HELD, Shelf, Stamp, Standing, read
+from gladegw.rig.trouble.links import Link
 
 STAMP = "X-Policy-Epoch"
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -8,12 +8,12 @@
 import msgspec
 import pytest
 
-from granitepoint.control import bundle
-from granitepoint.control.keys import Keys
-from granitepoint.coordination import records
-from granitepoint.coordination.records import Record
-from granitepoint.replay import differences
-from granitepoint.supervisor.run import State
+from gladegw.control import bundle
+from gladegw.control.keys import Keys
+from gladegw.coordination import records
+from gladegw.coordination.records import Record
+from gladegw.replay import differences
+from gladegw.supervisor.run import State
 
 STORED = Path(__file__).parent / "data" / "stored"
 INCARNATION = "a1b2c3d4e5f60718"
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 from netkit import PATIENCE, Backend, Proxy, proxy, response, run
 
-from granitepoint.limits.memory import LEAST_PIECE, MOST_PIECE, PIECES, STREAMS_SHARE, piece
+from gladegw.limits.memory import LEAST_PIECE, MOST_PIECE, PIECES, STREAMS_SHARE, piece
 
 MB = 1 << 20
 
--- a/tests/test_supervise.py
+++ b/tests/test_supervise.py
@@ -16,14 +16,14 @@
 import pytest
 from netkit import ROOT, run
 
-from granitepoint.rig import process
-from granitepoint.rig.judging import ledger
-from granitepoint.rig.measures.capacity import SCENARIO
-from granitepoint.rig.nodes.settings import config
-from granitepoint.rig.ports import free_port
-from granitepoint.rig.supervised import Supervised
-from granitepoint.rig.traffic.steady import Steady
-from granitepoint.supervisor.processes import started
+from gladegw.rig import process
+from gladegw.rig.judging import ledger
+from gladegw.rig.measures.capacity import SCENARIO
+from gladegw.rig.nodes.settings import config
+from gladegw.rig.ports import free_port
+from gladegw.rig.supervised import Supervised
+from gladegw.rig.traffic.steady import Steady
+from gladegw.supervisor.processes import started
 
 VERSIONS = {
     "1.0": "none", "1.1": "none", "2.0": "exits", "2.1": "never", "2.2": "errors", "2.3": "hangs",
@@ -36,7 +36,7 @@
 
 @contextlib.asynccontextmanager
 async def supervised(folder: Path, **bounds: float) -> AsyncIterator[Supervised]:
-    nodes = await process.start(*process.python("granitepoint.rig.nodes.trivial", "3"))
+    nodes = await process.start(*process.python("gladegw.rig.nodes.trivial", "3"))
     book = ledger.Ledger(folder / "rig.jsonl")
     assert nodes.stdout is not None
     told = msgspec.json.decode(await nodes.stdout.readline())
@@ -139,7 +139,7 @@
             await one.until("steady", "1.0")
             second = one.pids()["current"]
             told = subprocess.run(  # one supervisor for a state file
-                (sys.executable, "-m", "granitepoint", "supervise", str(one.file)), cwd=ROOT, timeout=30,
+                (sys.executable, "-m", "gladegw", "supervise", str(one.file)), cwd=ROOT, timeout=30,
                 env={**os.environ, "EDGE_CONFIG": str(one.folder / "config.json")}, capture_output=True,
                 text=True, check=False,
             )  # fmt: skip
@@ -192,6 +192,6 @@
 def test_a_bad_file_is_one_line(text: str, why: str, tmp_path: Path) -> None:
     file = tmp_path / "supervise.hcl"
     file.write_text(text, encoding="utf-8")
-    told = subprocess.run((sys.executable, "-m", "granitepoint", "supervise", str(file), "--check"), cwd=ROOT,
+    told = subprocess.run((sys.executable, "-m", "gladegw", "supervise", str(file), "--check"), cwd=ROOT,
                           capture_output=True, text=True, timeout=60, check=False)  # fmt: skip
     assert told.returncode == 2 and why in told.stderr and told.stderr.count("\n") == 1, told.stderr
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -11,8 +11,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from granitepoint.coordination import supervision
-from granitepoint.coordination.supervision import (
+from gladegw.coordination import supervision
+from gladegw.coordination.supervision import (
     GONE,
     Bounds,
     Do,
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -23,11 +23,11 @@
     until_ready,
 )
 
-from granitepoint.interface import Status
-from granitepoint.net.entrance import Entrance
-from granitepoint.net.exchange import Exchange
-from granitepoint.net.lists import read_listing
-from granitepoint.net.upstream import Upstreams
+from gladegw.interface import Status
+from gladegw.net.entrance import Entrance
+from gladegw.net.exchange import Exchange
+from gladegw.net.lists import read_listing
+from gladegw.net.upstream import Upstreams
 
 TOLD_AFTER_SIGHUP = 4.0  # s
 REQUEST = b"GET /stock HTTP/1.1\r\nX-Call-Id: 1\r\n\r\n"
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -14,8 +14,8 @@
 from certificates import Authority
 from netkit import PATIENCE, Backend, Caller, Proxy, free_port, proxy, response, run, start_program
 
-from granitepoint.net.config import ConfigError
-from granitepoint.net.tls import Tls, TlsSettings, subject
+from gladegw.net.config import ConfigError
+from gladegw.net.tls import Tls, TlsSettings, subject
 
 
 class Port:
@@ -97,7 +97,7 @@
         async with proxy({"s-1": Backend()}, features=port.features) as node:
             known = await port.caller(node, port.client(car))
             assert (await known.call("stock", "a" * 16, X_Caller='dash"link')).code == 200
-            line = await node.line("granitepoint.net.access", '"aaaaaaaaaaaaaaaa"')
+            line = await node.line("gladegw.net.access", '"aaaaaaaaaaaaaaaa"')
             assert 'client_subject="CN=dash-0412,O=dash-link"' in line and "code=200" in line
             assert 'tenant="dash\\"link' in line
             unknown = await port.caller(node)
--- a/tests/test_upstream_reuse.py
+++ b/tests/test_upstream_reuse.py
@@ -10,10 +10,10 @@
 import pytest
 from netkit import PATIENCE, Backend, Seen, endpoint, listing, response, run, serve_ok
 
-from granitepoint.interface import Status
-from granitepoint.net.exchange import Exchange
-from granitepoint.net.lists import read_listing
-from granitepoint.net.upstream import REST, Upstreams
+from gladegw.interface import Status
+from gladegw.net.exchange import Exchange
+from gladegw.net.lists import read_listing
+from gladegw.net.upstream import REST, Upstreams
 
 REQUEST = b"GET /stock HTTP/1.1\r\nX-Call-Id: %d\r\n\r\n"
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -8,7 +8,7 @@
 import pytest
 from netkit import endpoint, listing
 
-from granitepoint.net.lists import Inventory
+from gladegw.net.lists import Inventory
 
 STEPS = (-3600.0, -5.0, 5.0, 3600.0)  # s
 AGE = 3.0  # s since a server started, when a list first tells of it
--- a/tests/test_watch_continuity.py
+++ b/tests/test_watch_continuity.py
@@ -22,8 +22,8 @@
 import pytest
 from netkit import PATIENCE, endpoint, listing, response, run
 
-from granitepoint.net.discovery import Discovery
-from granitepoint.net.lists import Listing
+from gladegw.net.discovery import Discovery
+from gladegw.net.lists import Listing
 
 GOES_ON = 0.2  # s from an answer to the next call of a watch
 SLOW = 2.0  # s that it takes here until a list is taken
--- a/tests/test_watch_pacing.py
+++ b/tests/test_watch_pacing.py
@@ -15,9 +15,9 @@
 
 from helpers import Driver, settings
 
-from granitepoint import Balancer, CallFailure, ListKind, ServerList, SetTimer, Timer, Watch
-from granitepoint.interface import Event
-from granitepoint.logic import TICK_TOKEN
+from gladegw import Balancer, CallFailure, ListKind, ServerList, SetTimer, Timer, Watch
+from gladegw.interface import Event
+from gladegw.logic import TICK_TOKEN
 
 PROXIES = 120
 BEGIN = 100.0  # s on the proxies' clock, at which all watches end
