--- a/benchmarks/regress.py
+++ b/benchmarks/regress.py
@@ -20,11 +20,10 @@
 SPREAD = 5  # last figures of which the spread is shown
 # What `run` executes; nothing else can move a figure.
 SERVING = (
-    "deploy", "requirements.txt", "gladegw/__main__.py", "gladegw/benchlink.py",
-    "gladegw/interface.py", "gladegw/logic.py", "gladegw/limits", "gladegw/net",
-    "gladegw/operators", "gladegw/replay.py",
+    "deploy", "requirements.txt", "gladegw/__init__.py", "gladegw/__main__.py", "gladegw/balancing",
+    "gladegw/limits", "gladegw/net", "gladegw/operators", "gladegw/replay.py", "gladegw/simulator_adapter.py",
 )  # fmt: skip
-MODULE = ("gladegw/interface.py", "gladegw/logic.py", "gladegw/benchlink.py")
+MODULE = ("gladegw/balancing", "gladegw/simulator_adapter.py")
 
 
 @dataclass(frozen=True)
--- a/benchmarks/stamps.py
+++ b/benchmarks/stamps.py
@@ -16,10 +16,10 @@
 from typing import Any
 
 from gladegw.control.clock import boot
-from gladegw.coordination.gate import Gate
-from gladegw.coordination.stamps import HEADER
+from gladegw.coordination.policy_epochs import HEADER
+from gladegw.coordination.serving_lease import Gate
 from gladegw.net.features import PolicySettings
-from gladegw.net.stamped import Stamped
+from gladegw.net.policy_router import Stamped
 
 ASKS, ROUNDS = 20_000, 9
 HEADERS = [(b"host", b"x"), (b"x-call-id", b"c1"), (b"x-budget", b"2000m"), (b"accept", b"*/*")]
--- a/gladegw/__init__.py
+++ b/gladegw/__init__.py
@@ -1,6 +1,7 @@
 """gladegw: an HTTP proxy and load balancer for services that call services."""
 
-from gladegw.interface import (
+from gladegw.balancing.balancer import Balancer
+from gladegw.balancing.events import (
     Action,
     Arrival,
     CallFailure,
@@ -32,7 +33,6 @@
     Timer,
     Watch,
 )
-from gladegw.logic import Balancer
 
 __all__ = [
     "Action",
--- /dev/null
+++ b/gladegw/balancing/__init__.py
@@ -0,0 +1,1 @@
+"""All decisions: admission, queueing, retries, server selection and health. Pure: no I/O, no clock."""
--- a/gladegw/admission.py
+++ b/gladegw/balancing/admission.py
@@ -11,8 +11,8 @@
 from collections.abc import Collection
 from random import Random
 
-from gladegw.interface import RequestClass
-from gladegw.tunables import FIRST_WINDOW, MEMORY
+from gladegw.balancing.events import RequestClass
+from gladegw.balancing.parameters import FIRST_WINDOW, MEMORY
 
 FEWEST_SAMPLES = 10  # calls, below which procQ and H say nothing and nothing is refused
 HISTORY = 300  # worths kept in H: the cut's error is then about 3 points of 100
--- a/gladegw/logic.py
+++ b/gladegw/balancing/balancer.py
@@ -1,8 +1,8 @@
-"""All decisions of a gladegw instance. What goes in and out is defined in gladegw/interface.py.
+"""All decisions of a gladegw instance. What goes in and out is defined in gladegw/balancing/events.py.
 
-The Balancer takes events and returns actions; `obligations`, `admission`, `servers`, `freshness` and `rings`
-hold its parts. One unit of time: seconds. No I/O, no clock, no globals that change; chance comes from an own
-seeded source.
+The Balancer takes events and returns actions; `requests`, `admission`, `server_selection`,
+`endpoint_freshness` and `subsetting` hold its parts. One unit of time: seconds. No I/O, no clock, no mutable
+globals; random numbers come from its own seeded source.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from random import Random
 from typing import Any
 
-from gladegw.admission import Admission, Kind
-from gladegw.freshness import Freshness
-from gladegw.interface import (
+from gladegw.balancing.admission import Admission, Kind
+from gladegw.balancing.endpoint_freshness import Freshness
+from gladegw.balancing.events import (
     Action,
     Arrival,
     Cancel,
@@ -37,9 +37,7 @@
     Watch,
     Witness,
 )
-from gladegw.obligations import Attempt, Call, Obligations, tries
-from gladegw.servers import Server, Servers
-from gladegw.tunables import (
+from gladegw.balancing.parameters import (
     EJECT_FIRST,
     EJECT_LONGEST,
     FIRST_WINDOW,
@@ -48,6 +46,8 @@
     MOST_LATENCIES,
     STEP,
 )
+from gladegw.balancing.requests import Attempt, Call, Obligations, tries
+from gladegw.balancing.server_selection import Server, Servers
 
 STALL = 4 * STEP  # s without a turn after which the times of what comes tell of this instance itself
 ANSWER_MARGIN = 2 * STEP  # s before a client's deadline at which a held call is answered at the latest
--- a/gladegw/freshness.py
+++ b/gladegw/balancing/endpoint_freshness.py
@@ -10,7 +10,7 @@
 import math
 from random import Random
 
-from gladegw.interface import CallFailure
+from gladegw.balancing.events import CallFailure
 
 WATCH_RETRY = 0.1  # s, doubled at each failure in a row: the pause before discovery is asked again
 WATCH_RETRY_MOST = 1.0  # s; with a call that hangs, still twice within the 6 s that a change may take
--- a/gladegw/obligations.py
+++ b/gladegw/balancing/requests.py
@@ -9,12 +9,12 @@
 import math
 from typing import TYPE_CHECKING
 
-from gladegw.interface import NEVER_RAN, Action, Effect, Fail, Refuse, Send, ServerState, Settings
-from gladegw.tunables import STEP
+from gladegw.balancing.events import NEVER_RAN, Action, Effect, Fail, Refuse, Send, ServerState, Settings
+from gladegw.balancing.parameters import STEP
 
 if TYPE_CHECKING:
-    from gladegw.admission import Kind
-    from gladegw.servers import Server
+    from gladegw.balancing.admission import Kind
+    from gladegw.balancing.server_selection import Server
 
 CALLS_REMEMBERED = 1000  # calls that are over whose ids are still known
 
--- a/gladegw/servers.py
+++ b/gladegw/balancing/server_selection.py
@@ -10,11 +10,11 @@
 from random import Random
 from typing import Any
 
-from gladegw.admission import Mean
-from gladegw.interface import ListKind, ServerEntry, ServerList, ServerState, Settings
-from gladegw.obligations import Attempt, Call, Obligations
-from gladegw.rings import pool_of, rings_of
-from gladegw.tunables import EJECT_FIRST, EJECT_LONGEST, MOST_EJECTIONS, MOST_LATENCIES, STEP
+from gladegw.balancing.admission import Mean
+from gladegw.balancing.events import ListKind, ServerEntry, ServerList, ServerState, Settings
+from gladegw.balancing.parameters import EJECT_FIRST, EJECT_LONGEST, MOST_EJECTIONS, MOST_LATENCIES, STEP
+from gladegw.balancing.requests import Attempt, Call, Obligations
+from gladegw.balancing.subsetting import pool_of, rings_of
 
 CROWDED = 4.0  # calls held per unit of weight; with fewer a late answer tells of its work, not of a crowd
 PRIOR = 3.0  # samples that the prior of a server's capacity weighs
--- a/gladegw/cli/demo.py
+++ b/gladegw/cli/demo.py
@@ -16,13 +16,13 @@
 from gladegw.cli.common import mendable, run_async, show_json
 from gladegw.cli.rig import told
 from gladegw.rig import scenario as scenarios
+from gladegw.rig.faults.schedule import bands
 from gladegw.rig.judging.judge import Verdict, judge_folder
 from gladegw.rig.judging.ledger import Sample
 from gladegw.rig.play import play
 from gladegw.rig.process import ROOT
 from gladegw.rig.scenario import Scenario
 from gladegw.rig.traffic.load import Loaded
-from gladegw.rig.trouble.faults import bands
 
 FILE = Path(scenarios.__file__).with_name("demo.hcl")
 LENGTH = 30.0  # s for which the file is written
--- a/gladegw/cli/fleet.py
+++ b/gladegw/cli/fleet.py
@@ -12,7 +12,7 @@
 from gladegw.net.config import ConfigError
 
 if TYPE_CHECKING:
-    from gladegw.control.view import View
+    from gladegw.control.store_cache import View
 
 file_option = click.option("-f", "file", metavar="FILE", help="Settings of the features, in HCL blocks.")
 json_option = click.option("--json", "as_json", is_flag=True, help="Print one object.")
@@ -31,9 +31,9 @@
     settings = features.read(named).coordination
     if settings is None:
         raise ConfigError(f"bad settings: {named}: no block coordination")
-    from gladegw.control.client import Client
     from gladegw.control.errors import StoreFault
-    from gladegw.control.fleet import read
+    from gladegw.control.fleet_status import read
+    from gladegw.control.store_client import Client
 
     async def look() -> View:
         client = Client(settings.addresses, settings.timeout_ms / 1000, settings.token_file)
@@ -58,7 +58,7 @@
 @mendable
 def members(ctx: click.Context, file: str | None, as_json: bool) -> None:
     """Who is there, and who is missing."""
-    from gladegw.control import fleet as told
+    from gladegw.control import fleet_status as told
 
     found = told.members(looked(ctx, file))
     if as_json:
@@ -75,7 +75,7 @@
 @mendable
 def duties(ctx: click.Context, file: str | None, as_json: bool) -> None:
     """Who holds what, and under which token."""
-    from gladegw.control import fleet as told
+    from gladegw.control import fleet_status as told
 
     found = told.duties(looked(ctx, file))
     if as_json:
@@ -106,7 +106,7 @@
 @mendable
 def status(ctx: click.Context, file: str | None, as_json: bool, watch: bool) -> None:
     """The fleet's figures, its worst members, who is silent, and who differs from the others."""
-    from gladegw.control import fleet as told
+    from gladegw.control import fleet_status as told
 
     while True:
         found = told.status(looked(ctx, file))
--- a/gladegw/cli/load.py
+++ b/gladegw/cli/load.py
@@ -15,12 +15,12 @@
 from gladegw.cli.common import mendable, milliseconds, run_async, show_json
 from gladegw.rig import play, scenario
 from gladegw.rig.errors import RigError
+from gladegw.rig.faults import schedule
 from gladegw.rig.traffic.arrivals import PROCESSES, SHAPES, Shape, Surge
 from gladegw.rig.traffic.load import VALID_P99, Loaded, once
 from gladegw.rig.traffic.traces import FOREVER, FORMATS, Options
 from gladegw.rig.traffic.worker import Plan
 from gladegw.rig.traffic.workload import CallClass, Mix
-from gladegw.rig.trouble import faults
 
 
 def target_of(text: str, remote: bool) -> str:
@@ -120,7 +120,7 @@
         deployment = scenario.read(how["mix"])
         mix = play.mix_of(deployment)
         shape = Shape(rate=shape.rate, duration=shape.duration, shape=shape.shape, low=shape.low,
-                      surges=(*surges, *faults.surges(deployment)))  # fmt: skip
+                      surges=(*surges, *schedule.surges(deployment)))  # fmt: skip
     if how["trace"] and not Path(how["trace"]).is_file():
         raise RigError(f"{how['trace']}: no such file")
     plan = Plan(
--- a/gladegw/cli/policy.py
+++ b/gladegw/cli/policy.py
@@ -16,7 +16,7 @@
 from gladegw.net.config import ConfigError
 
 if TYPE_CHECKING:
-    from gladegw.control.propose import Operator, Result
+    from gladegw.control.policy_proposals import Operator, Result
 
 T = TypeVar("T")
 why_option = click.option("--why", default="", help="Is kept with the change.")
@@ -44,9 +44,9 @@
     named, found = settings_of(ctx, file)
     settings = found.coordination
     assert settings is not None
-    from gladegw.control.client import Client
     from gladegw.control.errors import StoreFault
-    from gladegw.control.propose import Operator
+    from gladegw.control.policy_proposals import Operator
+    from gladegw.control.store_client import Client
 
     async def ask() -> T:
         client = Client(settings.addresses, settings.timeout_ms / 1000, settings.token_file)
@@ -69,15 +69,15 @@
 
 def checked(folder: str) -> dict[str, str]:
     """The bundle's files, each of which can be read as routes; raises ConfigError or RoutingError."""
-    from gladegw.control import bundle
+    from gladegw.control import policy_bundle
     from gladegw.routing.checks import tied
     from gladegw.routing.findings import RoutingError
     from gladegw.routing.matcher import Table
     from gladegw.routing.read import read_text
 
     try:
-        files = bundle.read(folder)
-    except bundle.BundleError as fault:
+        files = policy_bundle.read(folder)
+    except policy_bundle.BundleError as fault:
         raise ConfigError(str(fault)) from None
     for name, text in files.items():
         findings = tied(Table(read_text(text, name, ("expect",))))
@@ -95,7 +95,7 @@
     deadline, everyone = found.policy.deadline_s, found.policy.when_cut_off == "serve"
 
     async def propose(operator: Operator) -> Result:
-        from gladegw.control.propose import Result
+        from gladegw.control.policy_proposals import Result
 
         named = await operator.send(files) if files is not None else digest
         try:
@@ -150,7 +150,7 @@
 
 
 def by_epoch(ctx: click.Context, file: str | None, epoch: int) -> str:
-    from gladegw.control.propose import history
+    from gladegw.control.policy_proposals import history
 
     async def look(operator: Operator) -> list[dict[str, Any]]:
         return history(await operator.view())
@@ -169,7 +169,7 @@
 @mendable
 def status(ctx: click.Context, file: str | None, as_json: bool, watch: bool) -> None:
     """What is in force, which change is open, who has voted what, and who serves by what."""
-    from gladegw.control import propose as told
+    from gladegw.control import policy_proposals as told
 
     async def look(operator: Operator) -> dict[str, Any]:
         return told.status(await operator.view())
@@ -222,7 +222,7 @@
 @mendable
 def history(ctx: click.Context, file: str | None, as_json: bool) -> None:
     """What was in force, epoch by epoch."""
-    from gladegw.control.propose import history as told
+    from gladegw.control.policy_proposals import history as told
 
     async def look(operator: Operator) -> list[dict[str, Any]]:
         return told(await operator.view())
@@ -244,7 +244,7 @@
 def show(ctx: click.Context, epoch: int, file: str | None, as_json: bool) -> None:
     """The files of an epoch's bundle."""
     digest = by_epoch(ctx, file, epoch)
-    from gladegw.control.bundle import BundleError
+    from gladegw.control.policy_bundle import BundleError
 
     try:
         files = asked(ctx, file, lambda operator: operator.files(digest))
@@ -266,7 +266,7 @@
 def diff(ctx: click.Context, old: int, new: int, file: str | None, as_json: bool) -> None:
     """What went another way from epoch A to epoch B. Exit code 1 if anything did."""
     from gladegw.apps.sidecar import difference
-    from gladegw.control.bundle import BundleError
+    from gladegw.control.policy_bundle import BundleError
     from gladegw.routing.model import Description
     from gladegw.routing.read import read_text
 
--- a/gladegw/cli/rig.py
+++ b/gladegw/cli/rig.py
@@ -14,9 +14,9 @@
 from gladegw.cli.common import mendable, run_async, show_json
 from gladegw.rig import scenario as scenarios
 from gladegw.rig.errors import RigError
+from gladegw.rig.faults import schedule
 from gladegw.rig.judging.judge import RULES, Verdict, judge_folder
 from gladegw.rig.play import Play, play
-from gladegw.rig.trouble import faults
 
 file_argument = click.argument("file", type=click.Path(dir_okay=False))
 json_option = click.option("--json", "as_json", is_flag=True, help="Print one object.")
@@ -49,15 +49,15 @@
 @mendable
 def script(file: str, as_json: bool) -> None:
     """Print what a scenario's faults will do, and when."""
-    steps = faults.script(scenarios.read(file))
+    steps = schedule.script(scenarios.read(file))
     if as_json:
-        show_json({"digest": faults.digest(steps), "steps": msgspec.to_builtins(steps)})
+        show_json({"digest": schedule.digest(steps), "steps": msgspec.to_builtins(steps)})
         return
     for step in steps:
         until = f" until {step.until:.3f}" if step.until else ""
         more = f" {step.manner}" if step.manner else ""
         click.echo(f"{step.at:9.3f} {step.party:<8} {step.action:<18} {step.target}{more}{until}".rstrip())
-    click.echo(f"digest {faults.digest(steps)}")
+    click.echo(f"digest {schedule.digest(steps)}")
 
 
 @rig.command("run")
@@ -132,7 +132,7 @@
     members: int, port: int, least_ttl: int, orders: bool, one_process: bool, record: Path | None
 ) -> None:
     """A stand-in for the coordination store: the etcd v3 API over gRPC, on 127.0.0.1."""
-    from gladegw.rig.store.orders import serve
+    from gladegw.rig.store.fault_commands import serve
 
     try:
         run_async(serve(members, port, least_ttl, orders, not one_process, record))
@@ -157,7 +157,7 @@
     as_json: bool,
 ) -> None:  # fmt: skip
     """Lose a duty's holder again and again: s without a holder, and whether two ever held it."""
-    from gladegw.rig.measures import losses as lost
+    from gladegw.rig.measures import failover as lost
 
     for kind in kinds:
         if kind not in lost.KINDS:
@@ -330,8 +330,8 @@
     """Search the duty's machine in all orders of steps and faults, then by long random runs."""
     from dataclasses import asdict
 
-    from gladegw.rig.explore.duties import Duties
-    from gladegw.rig.explore.search import Search, walk
+    from gladegw.rig.model_checking.duties import Duties
+    from gladegw.rig.model_checking.search import Search, walk
 
     found = [Search(Duties(members), liveness=10).run(depth, most)] if depth else []
     for number in range(walks):
--- a/gladegw/cli/rollout.py
+++ b/gladegw/cli/rollout.py
@@ -15,8 +15,8 @@
 from gladegw.net.config import ConfigError
 
 if TYPE_CHECKING:
-    from gladegw.control.plan import Plan
-    from gladegw.control.propose import Operator
+    from gladegw.control.policy_proposals import Operator
+    from gladegw.control.rollout_plan import Plan
     from gladegw.control.rollouts import Rollouts
     from gladegw.coordination.records import Point, Rollout
 
@@ -28,11 +28,11 @@
 
 def plan_of(path: str) -> tuple[Plan, dict[str, str]]:
     """Raises ConfigError or RoutingError."""
-    from gladegw.control import plan
+    from gladegw.control import rollout_plan
     from gladegw.control.errors import PlanError
 
     try:
-        found = plan.read(path)
+        found = rollout_plan.read(path)
     except PlanError as fault:
         raise ConfigError(str(fault)) from None
     return found, checked(found.bundle) if found.bundle else {}
--- a/gladegw/cli/simulate.py
+++ b/gladegw/cli/simulate.py
@@ -11,7 +11,7 @@
 from gladegw.cli.common import mendable, run_async, show_json
 
 if TYPE_CHECKING:
-    from gladegw.rig.simulate.course import Simulated
+    from gladegw.rig.simulate.scenario_run import Simulated
 
 
 def shown(one: Simulated) -> None:
@@ -40,8 +40,8 @@
     as_json: bool,
 ) -> None:  # fmt: skip
     """Live through changes, rollouts and faults on a clock that jumps; a seed is a course."""
-    from gladegw.rig.simulate.many import Asked, courses
-    from gladegw.rig.simulate.planted import DEFECTS
+    from gladegw.rig.simulate.parallel_runs import Asked, courses
+    from gladegw.rig.simulate.seeded_defects import DEFECTS
 
     if planted == "list":
         for name, defect in DEFECTS.items():
--- a/gladegw/cli/soak.py
+++ b/gladegw/cli/soak.py
@@ -40,7 +40,7 @@
 ) -> None:  # fmt: skip
     """Play days of failing calls, stepped clocks, crowded discovery, drains and signals; a seed is a day."""
     from gladegw.rig import soak as days
-    from gladegw.rig.bad import HARMS
+    from gladegw.rig.faulty_versions import HARMS
 
     if harm and harm not in HARMS:
         raise click.BadParameter(f"{harm} is none of {', '.join(HARMS)}", param_hint="--harm")
--- a/gladegw/cli/supervise.py
+++ b/gladegw/cli/supervise.py
@@ -58,7 +58,7 @@
         return click.echo("  ".join(f"{key} {value}" for key, value in told.items()))
     options = None
     if coordination is not None:
-        from gladegw.control.agent import Options
+        from gladegw.control.member import Options
 
         options = Options(coordination.addresses, coordination.prefix, coordination.ttl_s,
                           coordination.timeout_ms / 1000, coordination.token_file)  # fmt: skip
--- a/gladegw/control/duties/__init__.py
+++ b/gladegw/control/duties/__init__.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from gladegw.control.duties.base import Work
-from gladegw.control.duties.compare import Compare
-from gladegw.control.duties.digest import Digest
-from gladegw.control.duties.sweeper import Sweeper
+from gladegw.control.duties.config_drift import Compare
+from gladegw.control.duties.fleet_summary import Digest
+from gladegw.control.duties.member_cleanup import Sweeper
 
 ALL: tuple[type[Work], ...] = (Digest, Sweeper, Compare)
--- a/gladegw/control/duties/base.py
+++ b/gladegw/control/duties/base.py
@@ -5,7 +5,7 @@
 from abc import ABC, abstractmethod
 from typing import Protocol
 
-from gladegw.control.view import View
+from gladegw.control.store_cache import View
 from gladegw.coordination.store import Compare, Done, Operation
 
 
--- a/gladegw/control/duties/bundles.py
+++ b/gladegw/control/duties/bundle_collection.py
@@ -6,7 +6,7 @@
 
 from gladegw.control.clock import boot
 from gladegw.control.duties.base import Holding, Work
-from gladegw.control.view import View
+from gladegw.control.store_cache import View
 from gladegw.coordination.records import Change, Ended, InForce, Rollout
 from gladegw.coordination.store import Compare, Delete, Operation, Target
 
--- a/gladegw/control/duties/compare.py
+++ b/gladegw/control/duties/config_drift.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from gladegw.control.duties.base import Holding, Work
-from gladegw.control.view import View
+from gladegw.control.store_cache import View
 from gladegw.coordination.records import Differences, encode
 from gladegw.coordination.store import Put
 
--- a/gladegw/control/duties/digest.py
+++ b/gladegw/control/duties/fleet_summary.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from gladegw.control.duties.base import Holding, Work
-from gladegw.control.view import View
+from gladegw.control.store_cache import View
 from gladegw.coordination.records import Figures, Fleet, encode
 from gladegw.coordination.store import Put
 
--- a/gladegw/control/duties/policy.py
+++ b/gladegw/control/duties/policy_coordinator.py
@@ -8,10 +8,10 @@
 from dataclasses import replace
 
 from gladegw.control.duties.base import Holding, Work
-from gladegw.control.policy import own
-from gladegw.control.view import View
-from gladegw.coordination import policy
-from gladegw.coordination.policy import Outcome, Verdict, Vote
+from gladegw.control.policy_participant import own
+from gladegw.control.store_cache import View
+from gladegw.coordination import policy_commit
+from gladegw.coordination.policy_commit import Outcome, Verdict, Vote
 from gladegw.coordination.records import Ballot, Change, Ended, InForce, encode
 from gladegw.coordination.store import Compare, Delete, KeyValue, Operation, Put, Target
 
@@ -48,10 +48,10 @@
     signed_off = [who for who in change.members if who.partition("#")[0] in left]
     unreached = [known.name for known in view.missing() if not known.left] if change.everyone else []
     cast = common(votes(view), change)
-    opened = policy.Open(id, change.epoch, change.digest)
-    found = policy.verdict(
-        opened, policy.Force(force.epoch, force.digest), change.members, registered(view), cast, signed_off,
-        unreached,
+    opened = policy_commit.Open(id, change.epoch, change.digest)
+    found = policy_commit.verdict(
+        opened, policy_commit.Force(force.epoch, force.digest), change.members, registered(view), cast,
+        signed_off, unreached,
     )  # fmt: skip
     return found, cast
 
--- a/gladegw/control/duties/rollout.py
+++ b/gladegw/control/duties/rollout_controller.py
@@ -11,16 +11,16 @@
 
 import msgspec
 
-from gladegw.control import programs
+from gladegw.control import program_rollouts
 from gladegw.control.duties.base import Holding, Work
 from gladegw.control.rollouts import change_id, ended, move, pure, returned, world_of
-from gladegw.control.view import View
-from gladegw.control.windows import Windows
-from gladegw.coordination import quiet, verdict
+from gladegw.control.sample_windows import Windows
+from gladegw.control.store_cache import View
+from gladegw.coordination import blackout_windows, canary_analysis
+from gladegw.coordination.canary_analysis import Answer, Evidence, Judged, Limits, Sample
 from gladegw.coordination.records import Change, InForce, Point, Rollout, Sign, Weighed, encode
 from gladegw.coordination.rollout import Do, Phase, World, step
 from gladegw.coordination.store import Compare, KeyValue, Operation, Put, Target
-from gladegw.coordination.verdict import Answer, Evidence, Judged, Limits, Sample
 
 log = logging.getLogger(__name__)
 
@@ -36,7 +36,7 @@
     name = "rollout"
     period = 0.0
     reads = True
-    knows = (programs.CAN,)
+    knows = (program_rollouts.CAN,)
 
     def __init__(self) -> None:
         self.id = ""
@@ -60,20 +60,20 @@
             weighed = Weighed(rollout=record.id, stage=0)
         await self._window(holding, kv, record, weighed)
         judged = self._judged(record, weighed)
-        world = replace(self._world(view, record), quiet=quiet.holds(record.quiet, time.time()))
+        world = replace(self._world(view, record), quiet=blackout_windows.holds(record.quiet, time.time()))
         after, do = step(pure(record), world, judged.answer if judged is not None else None,
                          judged.reason if judged is not None else "")  # fmt: skip
         await self._do(holding, kv, record, msgspec.structs.replace(record, **move(after)), do, weighed)
         await asyncio.sleep(LOOK)
 
     def _world(self, view: View, record: Rollout) -> World:
-        if record.kind != programs.KIND:
+        if record.kind != program_rollouts.KIND:
             return world_of(view, record)
         held = view.keys.get(view.at.program)
         now, written = time.monotonic(), held.mod_revision if held is not None else 0
         if self.moving[0] != written:
             self.moving = written, now
-        return programs.world_of(view, record, now - self.moving[1])
+        return program_rollouts.world_of(view, record, now - self.moving[1])
 
     # evidence
     def _open(self, view: View) -> None:
@@ -84,7 +84,7 @@
         if record.phase != Phase.BAKING.value or weighed.stage != record.stage:
             return None
         baked = weighed.baked_s >= record.bake_s
-        found = verdict.judged(evidence_of(weighed), limits_of(record), baked)
+        found = canary_analysis.judged(evidence_of(weighed), limits_of(record), baked)
         if found.answer is Answer.THIN and weighed.baked_s >= record.most_s:
             if record.on_thin == "go on":
                 return Judged(Answer.NOT_WORSE, found.reason, found.figures)
@@ -101,10 +101,10 @@
         evidence, baked = evidence_of(weighed), weighed.baked_s
         shown: tuple[Operation, ...] = ()
         if record.phase == Phase.MOVING.value and record.stage == 0 and view.at.change not in view.keys:
-            evidence = verdict.before(evidence, window)
+            evidence = canary_analysis.before(evidence, window)
         elif record.phase == Phase.BAKING.value and not record.paused and weighed.stage == record.stage:
             named = record.stages[record.stage]
-            evidence = verdict.weighed(evidence, window, named, limits_of(record))
+            evidence = canary_analysis.weighed(evidence, window, named, limits_of(record))
             baked += lasted
             if evidence.windows <= POINTS or evidence.windows % THINNED == 0:
                 point = point_of(record, evidence, window, baked)
@@ -127,7 +127,7 @@
     ) -> None:  # fmt: skip
         view = holding.view
         put = Put(view.at.rollout, encode(after, kv.value))
-        program = record.kind == programs.KIND
+        program = record.kind == program_rollouts.KIND
         if do is Do.CONFIRM or (do is Do.WAIT and program):  # who comes up waits for signs, too
             await self._sign(holding, kv, record)
         elif do is Do.PROPOSE or (do is Do.FINISH and after.phase == record.phase):
@@ -135,7 +135,7 @@
                 return
             await self._sign(holding, kv, record)
             if program:
-                done, compares = programs.moved(view, record)
+                done, compares = program_rollouts.moved(view, record)
                 await self._effect(holding, kv, *done, compares=compares)
             else:
                 await self._propose(holding, kv, record)
@@ -197,9 +197,10 @@
     named = set(record.stages[record.stage])
     new = [sample for name, sample in window.items() if name in named]
     others = [sample for name, sample in window.items() if name not in named]
-    log_e = {figure: round(verdict.mixed(wager), 3) for figure, wager in evidence.wagers.items()}
+    log_e = {figure: round(canary_analysis.mixed(wager), 3) for figure, wager in evidence.wagers.items()}
     return Point(at=round(time.time() - record.at, 2), stage=record.stage, baked_s=round(baked, 2),
-                 log_e=log_e, new=verdict.whole(new), others=verdict.whole(others))  # fmt: skip
+                 log_e=log_e, new=canary_analysis.whole(new),
+                 others=canary_analysis.whole(others))  # fmt: skip
 
 
 def limits_of(record: Rollout) -> Limits:
--- a/gladegw/control/fleet.py
+++ b/gladegw/control/fleet_status.py
@@ -5,9 +5,9 @@
 import time
 from typing import Any
 
-from gladegw.control.client import Client
 from gladegw.control.keys import Keys
-from gladegw.control.view import View
+from gladegw.control.store_cache import View
+from gladegw.control.store_client import Client
 from gladegw.coordination.records import Differences, Fleet
 from gladegw.coordination.store import Get
 
--- a/gladegw/control/keeper.py
+++ b/gladegw/control/leader_election.py
@@ -16,7 +16,7 @@
 from gladegw.coordination.store import Compare, Done, Get, KeyValue, Operation, Put
 
 if TYPE_CHECKING:
-    from gladegw.control.agent import Agent
+    from gladegw.control.member import Agent
 
 log = logging.getLogger(__name__)
 
--- a/gladegw/control/agent.py
+++ b/gladegw/control/member.py
@@ -20,16 +20,16 @@
 import msgspec
 
 from gladegw.control.backoff import Backoff
-from gladegw.control.client import Client
 from gladegw.control.clock import boot
 from gladegw.control.duties.base import Work
 from gladegw.control.errors import RefusedByStore, StoreFault
-from gladegw.control.follower import RANKED, Changed, Follower, Live, Reader
-from gladegw.control.keeper import Keeper
 from gladegw.control.keys import Keys, Range
-from gladegw.control.view import View
+from gladegw.control.leader_election import Keeper
+from gladegw.control.store_cache import View
+from gladegw.control.store_client import Client
+from gladegw.control.store_watcher import RANKED, Changed, Follower, Live, Reader
+from gladegw.coordination import election_order
 from gladegw.coordination import lease as leases
-from gladegw.coordination import turns
 from gladegw.coordination.duty import Event
 from gladegw.coordination.lease import Lease
 from gladegw.coordination.records import Figures, Known, Member, encode
@@ -37,8 +37,8 @@
 from gladegw.coordination.store import Put, Txn
 
 if TYPE_CHECKING:
-    from gladegw.control.policy import Carrier, Policies
-    from gladegw.coordination.gate import Gate
+    from gladegw.control.policy_participant import Carrier, Policies
+    from gladegw.coordination.serving_lease import Gate
 
 log = logging.getLogger(__name__)
 
@@ -83,7 +83,7 @@
         self.watcher = Client(options.endpoints, options.timeout, options.token_file)
         self.lease, self.ttl = Lease(), float(options.ttl)
         self.registered = self.leaving = False
-        self.flaps, self.forgot = turns.Flaps(), 0.0
+        self.flaps, self.forgot = election_order.Flaps(), 0.0
         self.told = told
         self.keepers: list[Keeper] = []
         self.said: dict[str, float] = {}
@@ -93,7 +93,7 @@
         self.on_record: Member | None = None  # what the store has of this process, as far as it has answered
         self.policies: Policies | None = None
         if carrier is not None:
-            from gladegw.control.policy import Policies
+            from gladegw.control.policy_participant import Policies
 
             self.policies = Policies(self, carrier)
         self.ready = threading.Event()
@@ -315,7 +315,7 @@
             kind, *names = self.keys.split(key)
             if kind == "members" and len(names) == 2:
                 self.flaps.seen(names[0], names[1], now)
-        if now > self.forgot + turns.WINDOW / 4:
+        if now > self.forgot + election_order.WINDOW / 4:
             self.forgot = now
             self.flaps.forget(now)
         if self.policies is not None:
@@ -337,12 +337,12 @@
         there = self.live.number
         if there > RANKED or not self.live.whole.is_set():
             own = self.flaps.weights((self.name,), self.clock())[self.name]
-            return turns.wait_among(duty, self.name, own, there, PAUSE) + (PAUSE if heir else 0.0)
+            return election_order.wait_among(duty, self.name, own, there, PAUSE) + (PAUSE if heir else 0.0)
         weights = self._weights(duty)
-        return turns.wait(duty, self.name, weights, PAUSE) + (PAUSE if heir in weights else 0.0)
+        return election_order.wait(duty, self.name, weights, PAUSE) + (PAUSE if heir in weights else 0.0)
 
     def heir(self, duty: str) -> str:
-        return turns.heir(duty, self.name, self._weights(duty))
+        return election_order.heir(duty, self.name, self._weights(duty))
 
     async def _tell(self) -> None:
         last: Figures | None = None
--- a/gladegw/control/policy.py
+++ b/gladegw/control/policy_participant.py
@@ -12,20 +12,20 @@
 
 import msgspec
 
-from gladegw.control import bundle
+from gladegw.control import policy_bundle
 from gladegw.control.backoff import Backoff
-from gladegw.control.bundle import BundleError
 from gladegw.control.errors import RefusedByStore, StoreFault
-from gladegw.coordination import policy, rollout
-from gladegw.coordination.gate import Gate
+from gladegw.control.policy_bundle import BundleError
+from gladegw.coordination import policy_commit, rollout
 from gladegw.coordination.lease import DRIFT
-from gladegw.coordination.policy import Action, Force, Member, Open, Phase
+from gladegw.coordination.policy_commit import Action, Force, Member, Open, Phase
 from gladegw.coordination.records import Ballot, Change, InForce, Tries, decode, encode
 from gladegw.coordination.records import Member as MemberRecord
+from gladegw.coordination.serving_lease import Gate
 from gladegw.coordination.store import Compare, Delete, Get, KeyValue, Put, Target, Txn
 
 if TYPE_CHECKING:
-    from gladegw.control.agent import Agent
+    from gladegw.control.member import Agent
 
 log = logging.getLogger(__name__)
 
@@ -111,11 +111,11 @@
             self.unsigned, self.signed = float(record.confirm_s), agent.clock()
         if told.epoch < self.member.epoch:
             self.agent.trouble(f"policy: epoch {told.epoch} in the store after {self.member.epoch}")
-        self._act(*policy.told(self.member, told, opened, revision))
+        self._act(*policy_commit.told(self.member, told, opened, revision))
 
     def rejoined(self) -> None:
         goes_on = self.carrier.when_cut_off == SERVE
-        self._act(policy.rejoined(self.member, goes_on), (Action.DROP,))
+        self._act(policy_commit.rejoined(self.member, goes_on), (Action.DROP,))
 
     async def confirm(self) -> None:
         """A linearizable read; raises StoreFault."""
@@ -167,7 +167,7 @@
             found = await self._fetched(digest)
             if found is None:
                 return
-            files = bundle.whole(digest, (kv.value for kv in found))
+            files = policy_bundle.whole(digest, (kv.value for kv in found))
             self.ready[digest] = await asyncio.to_thread(self.carrier.prepare, files)
         except ValueError as fault:  # also what is wrong with a bundle or its routes
             reason = " ".join(str(fault).split()) or type(fault).__name__
@@ -176,7 +176,7 @@
             reason = f"{type(fault).__name__}: {fault}"
         if reason:
             log.warning("policy: %s can't be prepared: %s", digest, reason)
-        after, actions = policy.prepared(self.member, digest, not reason)
+        after, actions = policy_commit.prepared(self.member, digest, not reason)
         if Action.NO in actions:
             self.member = after
             self._extend()
@@ -190,7 +190,7 @@
 
     def _again(self) -> None:
         self.retry = None
-        self._act(*policy.again(self.member))
+        self._act(*policy_commit.again(self.member))
 
     async def _fetched(self, digest: str) -> tuple[KeyValue, ...] | None:
         """The bundle's pieces; None: it is wanted no more. In the same transaction this process's try is
@@ -229,7 +229,7 @@
         while self.member.force.base == digest and self.member.spare != digest:
             try:
                 _, found = await self.agent.client.get(Get(*self.keys.bundle(digest)))
-                files = bundle.whole(digest, (kv.value for kv in found))
+                files = policy_bundle.whole(digest, (kv.value for kv in found))
                 ready = await asyncio.to_thread(self.carrier.prepare, files)
             except StoreFault as fault:
                 self.agent.trouble(f"policy: bundle {digest}: {fault}")
@@ -239,7 +239,7 @@
                 return
             else:
                 self.ready[digest] = ready
-                self.member = policy.spared(self.member, digest)
+                self.member = policy_commit.spared(self.member, digest)
                 return
 
     async def _survived(self, digest: str, after: float) -> None:
@@ -296,7 +296,7 @@
             gate.close()
         elif self.in_use == member.epoch and now < self.ticked + STOOD:
             until = now + STOOD
-            if self.carrier.when_cut_off == REFUSE or policy.in_doubt(member):
+            if self.carrier.when_cut_off == REFUSE or policy_commit.in_doubt(member):
                 until = min(until, self.agent.lease.until, self.confirmed)
             gate.until = until
 
@@ -304,7 +304,7 @@
         """Extends the gate as long as this process runs. After it stood still the store is asked first."""
         while True:
             now = self.agent.clock()
-            refuse = self.carrier.when_cut_off == REFUSE or policy.in_doubt(self.member)
+            refuse = self.carrier.when_cut_off == REFUSE or policy_commit.in_doubt(self.member)
             if now > self.ticked + STOOD:
                 options = self.agent.options
                 await self._asked((1 + len(options.endpoints)) * options.timeout)
@@ -312,7 +312,7 @@
                 await self._asked(0.0)
             self.ticked = self.agent.clock()
             if self.unsigned and self.member.force.base and self.ticked > self.signed + self.unsigned:
-                after, actions = policy.unconfirmed(self.member)
+                after, actions = policy_commit.unconfirmed(self.member)
                 if actions:
                     log.warning("policy: no sign of the rollout for %.0f s: back by itself", self.unsigned)
                 self._act(after, actions)
--- a/gladegw/control/propose.py
+++ b/gladegw/control/policy_proposals.py
@@ -9,14 +9,14 @@
 from dataclasses import dataclass, field
 from typing import Any, TypeVar
 
-from gladegw.control import bundle
-from gladegw.control.client import Client
-from gladegw.control.duties.policy import looked, registered, told, votes
+from gladegw.control import policy_bundle
+from gladegw.control.duties.policy_coordinator import looked, registered, told, votes
 from gladegw.control.errors import RefusedByStore, StoreFault
-from gladegw.control.fleet import read
+from gladegw.control.fleet_status import read
 from gladegw.control.keys import Keys
-from gladegw.control.policy import state
-from gladegw.control.view import View
+from gladegw.control.policy_participant import state
+from gladegw.control.store_cache import View
+from gladegw.control.store_client import Client
 from gladegw.coordination.records import Change, Ended, InForce, Rollout, decode, encode
 from gladegw.coordination.store import Compare, Delete, Get, Put, Target, Txn
 
@@ -77,10 +77,10 @@
 
     async def send(self, files: Mapping[str, str]) -> str:
         """The bundle into the store; its digest. What is there already is left: it can only be the same."""
-        raw = bundle.packed(files)
-        digest = bundle.digest_of(raw)
+        raw = policy_bundle.packed(files)
+        digest = policy_bundle.digest_of(raw)
         at = self.keys
-        for number, piece in enumerate(bundle.pieces(raw)):
+        for number, piece in enumerate(policy_bundle.pieces(raw)):
             key = at.piece(digest, number)
             put = Txn((Compare(key, Target.CREATE, "=", 0),), (Put(key, piece),))
             await self.again(lambda put=put: self.client.txn(put))  # type: ignore[misc]
@@ -181,7 +181,7 @@
         """Raises BundleError."""
         at = self.keys
         _, found = await self.again(lambda: self.client.get(Get(*at.bundle(digest))))
-        return bundle.whole(digest, (kv.value for kv in found))
+        return policy_bundle.whole(digest, (kv.value for kv in found))
 
 
 def status(view: View) -> dict[str, Any]:
--- a/gladegw/control/programs.py
+++ b/gladegw/control/program_rollouts.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from gladegw.control.plan import Plan
-from gladegw.control.view import View
+from gladegw.control.rollout_plan import Plan
+from gladegw.control.store_cache import View
 from gladegw.coordination import rollout as table
 from gladegw.coordination.records import Member, Program, Rollout, Supervised, encode
 from gladegw.coordination.rollout import Phase, World
--- a/gladegw/control/plan.py
+++ b/gladegw/control/rollout_plan.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from gladegw.control.errors import PlanError
-from gladegw.coordination import quiet
+from gladegw.coordination import blackout_windows
 from gladegw.coordination.records import Limits
 from gladegw.coordination.rollout import staged
 from gladegw.net.hcl import LARGEST, Block, blocks_of
@@ -77,7 +77,7 @@
             raise wrong(key, f"{key} must be {' or '.join(allowed)}, not {getattr(plan, key)}")
     for span in plan.quiet:
         try:
-            quiet.read(span)
+            blackout_windows.read(span)
         except ValueError as fault:
             raise wrong("quiet", f"quiet: {fault}") from None
     if plan.most_s < plan.bake_s:
--- a/gladegw/control/rollouts.py
+++ b/gladegw/control/rollouts.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from gladegw.control import programs
-from gladegw.control.plan import Plan
-from gladegw.control.policy import own
-from gladegw.control.propose import Operator
-from gladegw.control.view import View
+from gladegw.control import program_rollouts
+from gladegw.control.policy_participant import own
+from gladegw.control.policy_proposals import Operator
+from gladegw.control.rollout_plan import Plan
+from gladegw.control.store_cache import View
 from gladegw.coordination import rollout as table
 from gladegw.coordination.records import Change, Ended, InForce, Point, Rollout, Weighed, decode, encode
 from gladegw.coordination.rollout import Phase, World
@@ -68,8 +68,8 @@
     """The writes that make the old bundle the policy of all, and end the stage that is open. They need
     nobody's vote: whoever is in a stage holds the old table, and whoever starts reads before it serves."""
     at = view.at
-    if record.kind == programs.KIND:
-        return programs.returned(view, record)
+    if record.kind == program_rollouts.KIND:
+        return program_rollouts.returned(view, record)
     force, held = view.read(at.force, InForce), view.keys.get(at.force)
     done, compares = called_off(view, record)
     if force is not None and force.new and force.rollout == record.id:
@@ -135,7 +135,7 @@
         view = await self.operator.view()
         at = view.at
         try:
-            record, writes, compares = programs.begun(view, plan, confirm, who, why)
+            record, writes, compares = program_rollouts.begun(view, plan, confirm, who, why)
         except ValueError as fault:
             raise Refused(str(fault)) from None
         absent = Compare(at.rollout, Target.CREATE, "=", 0), Compare(at.change, Target.CREATE, "=", 0)
@@ -189,7 +189,7 @@
     async def _left(self, view: View, back: bool) -> Rollout:
         """A stage that a stop has left in force."""
         at, held = view.at, view.keys.get(view.at.force)
-        program, force = programs.in_force(view), view.read(view.at.force, InForce)
+        program, force = program_rollouts.in_force(view), view.read(view.at.force, InForce)
         left = view.read(at.rolled(program.rollout), Rollout) if program and program.new else None
         if back and left is not None:
             return await self._ended(view, left)
@@ -234,8 +234,10 @@
 
 def status(view: View, record: Rollout | None) -> dict[str, Any]:
     """`members`: name and the bundle that it serves by; `log_e`: the evidence by figure, 0 is none."""
-    if record is not None and record.kind == programs.KIND:
-        members = [{"name": one.name, "version": one.version} for one in programs.newest(view).values()]
+    if record is not None and record.kind == program_rollouts.KIND:
+        members = [
+            {"name": one.name, "version": one.version} for one in program_rollouts.newest(view).values()
+        ]
     else:
         members = [{"name": member.name, "version": member.digest} for _, member in view.members()]
     members.sort(key=lambda one: one["name"])
--- a/gladegw/control/windows.py
+++ b/gladegw/control/sample_windows.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Mapping
 
+from gladegw.coordination.canary_analysis import Sample
 from gladegw.coordination.records import Figures
-from gladegw.coordination.verdict import Sample
 
 LEAST_TIMED = 5  # requests of a class, below which their mean says nothing
 LEAST_ASKED = 10  # requests in all, for figures a request
--- a/gladegw/control/start.py
+++ b/gladegw/control/startup.py
@@ -12,16 +12,16 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from gladegw.control.agent import Agent, Options
 from gladegw.control.duties import ALL
+from gladegw.control.member import Agent, Options
 from gladegw.coordination.records import Figures, Member
 from gladegw.net.config import Config
 from gladegw.net.features import CoordinationSettings
-from gladegw.operators.ledger import Ledger
+from gladegw.operators.request_counters import Ledger
 
 if TYPE_CHECKING:
-    from gladegw.control.policy import Carrier
-    from gladegw.net.stamped import Stamped
+    from gladegw.control.policy_participant import Carrier
+    from gladegw.net.policy_router import Stamped
     from gladegw.net.timing import Timing
 
 Listed = Callable[[], Iterable[tuple[int, bool]]]  # backends, and whether each is sent to
@@ -74,8 +74,8 @@
 
 def carrier(router: Stamped, serving: asyncio.AbstractEventLoop) -> Carrier:
     """How a policy gets to what routes requests, whose loop is not the agent's."""
-    from gladegw.control.bundle import BundleError, chosen
-    from gladegw.control.policy import Carrier
+    from gladegw.control.policy_bundle import BundleError, chosen
+    from gladegw.control.policy_participant import Carrier
 
     pools = router.pools
 
@@ -114,12 +114,12 @@
     )  # fmt: skip
     works = ALL
     if carried is not None:
-        from gladegw.control.duties.bundles import Bundles
-        from gladegw.control.duties.policy import Decide
+        from gladegw.control.duties.bundle_collection import Bundles
+        from gladegw.control.duties.policy_coordinator import Decide
 
         works = (*ALL, Decide, Bundles)
         if timing is not None:
-            from gladegw.control.duties.rollout import Conduct
+            from gladegw.control.duties.rollout_controller import Conduct
 
             works = (*works, Conduct)
     agent = Agent(
--- a/gladegw/control/client.py
+++ b/gladegw/control/store_client.py
@@ -16,7 +16,7 @@
 from grpclib.const import Status
 from grpclib.exceptions import GRPCError, ProtocolError, StreamTerminatedError
 
-from gladegw.control import messages
+from gladegw.control import store_messages
 from gladegw.control.errors import RefusedByStore, StoreFault, Unreachable, WatchLost
 from gladegw.control.wire import store_grpc as services
 from gladegw.control.wire import store_pb2 as pb
@@ -99,9 +99,9 @@
             raise Unreachable(f"rubbish: {type(fault).__name__}") from None
 
     async def txn(self, txn: Txn) -> Done:
-        asked = messages.txn_message(txn)
+        asked = store_messages.txn_message(txn)
         reply = await self._call(lambda channel, told: services.KVStub(channel).Txn(asked, metadata=told))
-        found = tuple(messages.found_in(part) for part in reply.responses)
+        found = tuple(store_messages.found_in(part) for part in reply.responses)
         return Done(reply.header.revision, reply.succeeded, found)
 
     async def do(self, *operations: Operation) -> Done:
@@ -113,7 +113,7 @@
             key=asked.key, range_end=asked.end, revision=asked.revision, serializable=serializable
         )
         reply = await self._call(lambda channel, told: services.KVStub(channel).Range(message, metadata=told))
-        return reply.header.revision, tuple(messages.pair(kv) for kv in reply.kvs)
+        return reply.header.revision, tuple(store_messages.pair(kv) for kv in reply.kvs)
 
     async def count(self, first: bytes, end: bytes) -> int:
         """How many keys there are."""
@@ -195,7 +195,7 @@
                     if reply.canceled:
                         why = reply.cancel_reason or "it was cancelled"
                         raise WatchLost(why, bool(reply.compact_revision))
-                    held += [messages.event(event) for event in reply.events]
+                    held += [store_messages.event(event) for event in reply.events]
                     if reply.fragment or reply.created:
                         continue
                     told, held = held, []
--- a/gladegw/control/follower.py
+++ b/gladegw/control/store_watcher.py
@@ -9,14 +9,14 @@
 from typing import TYPE_CHECKING
 
 from gladegw.control.backoff import Backoff
-from gladegw.control.client import Client
 from gladegw.control.errors import RefusedByStore, StoreFault, WatchLost
 from gladegw.control.keys import Range
-from gladegw.control.view import View
+from gladegw.control.store_cache import View
+from gladegw.control.store_client import Client
 from gladegw.coordination.store import Event, Get
 
 if TYPE_CHECKING:
-    from gladegw.control.agent import Agent
+    from gladegw.control.member import Agent
 
 RANKED = 64  # members up to which each knows all
 MANY = 2 * RANKED  # of them, from which one that knew all does no more
--- a/gladegw/control/companion.py
+++ b/gladegw/control/supervisor_client.py
@@ -10,14 +10,14 @@
 from dataclasses import replace
 from random import Random
 
-from gladegw.control.agent import SAID, Options
 from gladegw.control.backoff import Backoff
-from gladegw.control.client import Client
 from gladegw.control.clock import boot
 from gladegw.control.errors import RefusedByStore, StoreFault
-from gladegw.control.follower import Follower
 from gladegw.control.keys import Keys
-from gladegw.control.view import View
+from gladegw.control.member import SAID, Options
+from gladegw.control.store_cache import View
+from gladegw.control.store_client import Client
+from gladegw.control.store_watcher import Follower
 from gladegw.coordination.records import Program, Supervised, encode
 from gladegw.coordination.store import Put
 from gladegw.coordination.supervision import Order, ordered
--- a/gladegw/coordination/verdict.py
+++ b/gladegw/coordination/canary_analysis.py
@@ -14,8 +14,8 @@
 from enum import Enum
 from statistics import median
 
-from gladegw.coordination import fleetwide
-from gladegw.coordination.fleetwide import Whole
+from gladegw.coordination import fleet_regression
+from gladegw.coordination.fleet_regression import Whole
 
 CAP = math.log(8.0)  # of one window's factor: no single moment decides
 DOUBT = math.log(20.0)  # evidence above which time alone does not make a stage "not worse"
@@ -178,7 +178,7 @@
         for level, value in sample.levels.items():
             mean, count = mine.get(level, (0.0, 0))
             mine[level] = (mean + (value - mean) / (count + 1), count + 1)
-    past = fleetwide.kept(evidence.past, whole(list(window.values())))
+    past = fleet_regression.kept(evidence.past, whole(list(window.values())))
     return replace(evidence, base=base, usual=_usual(evidence, list(window.values())), past=past)
 
 
@@ -186,7 +186,7 @@
     """What a window says of all of these together."""
     classes = sorted({cls for sample in samples for cls in sample.requests})
     rates = {f"{kind} {cls}": added(samples, kind, cls) for kind in KINDS for cls in classes}
-    return fleetwide.whole(rates, (one.levels for one in samples), (one.serving for one in samples))
+    return fleet_regression.whole(rates, (one.levels for one in samples), (one.serving for one in samples))
 
 
 def _usual(evidence: Evidence, others: Sequence[Sample]) -> dict[str, tuple[int, int]]:
@@ -233,7 +233,7 @@
     asked = sum(sum(one.requests.values()) for one in stage)
     calm_ones = _usual(evidence, list(rest.values()))
     apart = apart_for(evidence.apart, stage, list(rest.values()))
-    lately = fleetwide.lately(evidence.lately, whole(list(rest.values())))
+    lately = fleet_regression.lately(evidence.lately, whole(list(rest.values())))
     return replace(
         evidence, wagers=wagers, peaks=peaks, usual=calm_ones, pool=pools, requests=evidence.requests + asked,
         windows=evidence.windows + 1, apart=apart, lately=lately,
@@ -280,7 +280,7 @@
         now = {name: mixed(wager) for name, wager in evidence.wagers.items()}
         likely = max(now, key=lambda name: now[name], default="")
         if not likely or now[likely] < DOUBT:
-            all_worse = fleetwide.worse(evidence.past, evidence.lately, limits.allowed)
+            all_worse = fleet_regression.worse(evidence.past, evidence.lately, limits.allowed)
             if all_worse:
                 return Judged(Answer.THIN, f"in doubt, all do worse than before it: {all_worse}", figures)
             return Judged(Answer.NOT_WORSE, "", figures)
--- a/gladegw/coordination/records.py
+++ b/gladegw/coordination/records.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from gladegw.coordination.fleetwide import Whole
+from gladegw.coordination.fleet_regression import Whole
 
 VERSION = 1  # of all records: a field that comes is optional, one that goes is still read for one version
 
--- a/gladegw/coordination/rollout.py
+++ b/gladegw/coordination/rollout.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from gladegw.coordination.verdict import Answer
+from gladegw.coordination.canary_analysis import Answer
 
 
 class Phase(Enum):
--- a/gladegw/net/entrance.py
+++ b/gladegw/net/acceptor.py
@@ -10,10 +10,10 @@
 from functools import partial
 from typing import Any
 
-from gladegw.limits.pace import HEAD
-from gladegw.limits.room import SERVED, Press, late
+from gladegw.limits.connection_eviction import SERVED, Press, late
+from gladegw.limits.request_timeouts import HEAD
 from gladegw.net import listener
-from gladegw.net.peer import Certificates, Door, Peer, TurnedAway, told_address
+from gladegw.net.interfaces import Certificates, Door, Peer, TurnedAway, told_address
 from gladegw.net.sockets import OUT_OF_RESOURCES
 from gladegw.net.tls import reason
 
--- a/gladegw/net/access.py
+++ b/gladegw/net/access_log.py
@@ -6,7 +6,7 @@
 import logging
 import time
 
-from gladegw.net.peer import Asked
+from gladegw.net.interfaces import Asked
 
 log = logging.getLogger(__name__)
 
--- a/gladegw/net/addresses.py
+++ b/gladegw/net/addresses.py
@@ -9,7 +9,7 @@
 import struct
 from dataclasses import dataclass
 
-from gladegw.net.peer import Peer, TurnedAway, told_address
+from gladegw.net.interfaces import Peer, TurnedAway, told_address
 
 VERSIONS: dict[str, tuple[int, ...]] = {"off": (), "v1": (1,), "v2": (2,), "any": (1, 2)}
 V1, V2 = b"PROXY ", b"\r\n\r\n\x00\r\nQUIT\n"  # how the two versions of the header begin
--- a/gladegw/net/admin.py
+++ b/gladegw/net/admin.py
@@ -13,7 +13,7 @@
 from gladegw.net.config import Address, ConfigError
 from gladegw.net.listener import family_of
 from gladegw.net.sockets import opened
-from gladegw.operators.calls import Line, Operators
+from gladegw.operators.commands import Line, Operators
 
 log = logging.getLogger(__name__)
 
--- a/gladegw/net/capture.py
+++ b/gladegw/net/capture.py
@@ -11,12 +11,12 @@
 from pathlib import Path
 from typing import Any
 
-from gladegw.interface import Arrival, ServerState
+from gladegw.balancing.events import Arrival, ServerState
+from gladegw.net.background_writer import Writer, to_descriptor
 from gladegw.net.config import Config
-from gladegw.net.lists import Listing
-from gladegw.net.reports import read_report
+from gladegw.net.endpoint_lists import Listing
+from gladegw.net.load_reports import read_report
 from gladegw.net.request import Request
-from gladegw.net.writer import Writer, to_descriptor
 
 log = logging.getLogger(__name__)
 
--- a/gladegw/net/config.py
+++ b/gladegw/net/config.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from gladegw.benchlink import read_settings
-from gladegw.interface import Settings
+from gladegw.balancing.events import Settings
+from gladegw.simulator_adapter import read_settings
 
 Address = tuple[str, int]
 
--- a/gladegw/net/discovery.py
+++ b/gladegw/net/discovery.py
@@ -10,9 +10,9 @@
 
 import httptools
 
-from gladegw.interface import CallFailure
+from gladegw.balancing.events import CallFailure
 from gladegw.net.config import Address
-from gladegw.net.lists import Inventory, Listing, decode
+from gladegw.net.endpoint_lists import Inventory, Listing, decode
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/gladegw/net/downstream/__init__.py
@@ -0,0 +1,1 @@
+"""The callers' side: connections from clients, their requests and responses."""
--- a/gladegw/net/client.py
+++ b/gladegw/net/downstream/connection.py
@@ -10,18 +10,18 @@
 
 import httptools
 
-from gladegw.limits.memory import WHOLE
-from gladegw.limits.pace import Pace
-from gladegw.limits.room import Stage
-from gladegw.net.peer import Asked, Peer, Source
+from gladegw.limits.buffer_budget import WHOLE
+from gladegw.limits.connection_eviction import Stage
+from gladegw.limits.request_timeouts import Pace
+from gladegw.net.downstream.pending_response import Turn, response_head
+from gladegw.net.interfaces import Asked, Peer, Source
 from gladegw.net.request import BadRequest, Request, class_of, origin_form, read_head
 from gladegw.net.sockets import all_acknowledged, has_unread, peer_has_closed, time_since_data
 from gladegw.net.tls import subject
-from gladegw.net.turn import Turn, response_head
 from gladegw.net.upload import Upload
 
 if TYPE_CHECKING:
-    from gladegw.net.server import Server
+    from gladegw.net.downstream.server import Server
 
 log = logging.getLogger(__name__)
 
--- a/gladegw/net/turn.py
+++ b/gladegw/net/downstream/pending_response.py
@@ -8,7 +8,7 @@
 from gladegw.net.request import BadRequest, Request
 
 if TYPE_CHECKING:
-    from gladegw.net.peer import Asked
+    from gladegw.net.interfaces import Asked
     from gladegw.net.upload import Upload
 
 REASONS = {
--- a/gladegw/net/server.py
+++ b/gladegw/net/downstream/server.py
@@ -7,13 +7,13 @@
 import time
 from collections.abc import Callable, Mapping
 
-from gladegw.interface import Effect
-from gladegw.limits.room import PRESSED, Stage, gives_way
-from gladegw.net.client import ClientConnection
-from gladegw.net.entrance import Entrance
-from gladegw.net.peer import Asked, Handler
+from gladegw.balancing.events import Effect
+from gladegw.limits.connection_eviction import PRESSED, Stage, gives_way
+from gladegw.net.acceptor import Entrance
+from gladegw.net.downstream.connection import ClientConnection
+from gladegw.net.interfaces import Asked, Handler
 from gladegw.net.request import Router
-from gladegw.operators.ledger import Ledger, Watcher
+from gladegw.operators.request_counters import Ledger, Watcher
 
 IDLE = 120.0  # s after which a connection that asks nothing more is closed
 STILL_READ = 0.25  # s from the beginning of a drain: 0.7 s after SIGTERM a client may not rely on an answer
--- a/gladegw/net/drain.py
+++ b/gladegw/net/drain.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from gladegw.net.server import Server
+from gladegw.net.downstream.server import Server
 from gladegw.operators.lifecycle import State
 
 STILL_COMING = 0.45  # s in which all is served as before, while the front takes notice
--- a/gladegw/net/driver.py
+++ b/gladegw/net/driver.py
@@ -14,19 +14,19 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from gladegw import interface as api
-from gladegw.logic import Balancer
+from gladegw.balancing import events as api
+from gladegw.balancing.balancer import Balancer
 from gladegw.net.capture import Capture
 from gladegw.net.config import Config, ConfigError
-from gladegw.net.desk import Desk, OpenCall
 from gladegw.net.discovery import Discovery
-from gladegw.net.exchange import LATE, ONE_TURN, Exchange
-from gladegw.net.hop import HOP_BY_HOP
-from gladegw.net.lists import Inventory, Listing
-from gladegw.net.peer import Reply
-from gladegw.net.reports import read_report
+from gladegw.net.endpoint_lists import Inventory, Listing
+from gladegw.net.hop_by_hop import HOP_BY_HOP
+from gladegw.net.interfaces import Reply
+from gladegw.net.load_reports import read_report
 from gladegw.net.request import Request
-from gladegw.operators.calls import Backends
+from gladegw.net.shared_resources import Desk, OpenCall
+from gladegw.net.upstream.exchange import LATE, ONE_TURN, Exchange
+from gladegw.operators.commands import Backends
 
 log = logging.getLogger(__name__)
 
--- a/gladegw/net/lists.py
+++ b/gladegw/net/endpoint_lists.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from gladegw.interface import ServerEntry, ServerState
+from gladegw.balancing.events import ServerEntry, ServerState
 from gladegw.net.config import Address, address
 from gladegw.net.wallclock import StartTimes
 
--- a/gladegw/net/features.py
+++ b/gladegw/net/features.py
@@ -10,7 +10,7 @@
 from gladegw.net.addresses import AddressSettings, network
 from gladegw.net.capture import CaptureSettings
 from gladegw.net.config import ConfigError, address
-from gladegw.net.figures import FiguresSettings
+from gladegw.net.metrics import FiguresSettings
 from gladegw.net.tls import TlsSettings
 
 TEMPLATES = ("${", "%{")  # what is computed; here each value is given as it is
--- a/gladegw/net/figures.py
+++ b/gladegw/net/metrics.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from gladegw.interface import Settings
+from gladegw.balancing.events import Settings
+from gladegw.net.background_writer import Write, Writer, to_descriptor
 from gladegw.net.config import address
-from gladegw.net.peer import Asked
-from gladegw.net.writer import Write, Writer, to_descriptor
+from gladegw.net.interfaces import Asked
 
 log = logging.getLogger(__name__)
 
--- a/gladegw/net/stamped.py
+++ b/gladegw/net/policy_router.py
@@ -8,8 +8,8 @@
 from fnmatch import fnmatchcase
 from functools import lru_cache
 
-from gladegw.coordination.gate import Gate
-from gladegw.coordination.stamps import DECIDES, HEADER, Shelf, Stamp, Standing, read
+from gladegw.coordination.policy_epochs import DECIDES, HEADER, Shelf, Stamp, Standing, read
+from gladegw.coordination.serving_lease import Gate
 from gladegw.net.addresses import network, plain
 from gladegw.net.features import PolicySettings
 from gladegw.net.request import BadRequest, Headers, Routed
--- a/gladegw/net/request.py
+++ b/gladegw/net/request.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, Protocol
 
-from gladegw.interface import Effect
-from gladegw.net.hop import HOP_BY_HOP
+from gladegw.balancing.events import Effect
+from gladegw.net.hop_by_hop import HOP_BY_HOP
 from gladegw.net.upload import Upload
 
 if TYPE_CHECKING:
--- a/gladegw/net/tables.py
+++ b/gladegw/net/route_tables.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from gladegw import interface as api
+from gladegw.balancing import events as api
 from gladegw.net.config import ConfigError
 from gladegw.routing.checks import check_classes, tied
 from gladegw.routing.findings import Finding, RoutingError
--- a/gladegw/net/routes.py
+++ b/gladegw/net/routes.py
@@ -14,19 +14,19 @@
 from pathlib import Path
 from typing import Any
 
-from gladegw import interface as api
+from gladegw.balancing import events as api
 from gladegw.net.capture import Capture
 from gladegw.net.config import Config, ConfigError
-from gladegw.net.desk import Desk, OpenCall
 from gladegw.net.discovery import Discovery
 from gladegw.net.driver import Driver
-from gladegw.net.edits import edit, fixed, redirected, rewritten
+from gladegw.net.endpoint_lists import Inventory, Listed, Listing
 from gladegw.net.features import RoutesSettings
-from gladegw.net.lists import Inventory, Listed, Listing
-from gladegw.net.peer import Reply, Source
+from gladegw.net.interfaces import Reply, Source
 from gladegw.net.request import BadRequest, Headers, Request, Routed
-from gladegw.net.tables import prepared, read_file
-from gladegw.operators.calls import Backends
+from gladegw.net.route_actions import edit, fixed, redirected, rewritten
+from gladegw.net.route_tables import prepared, read_file
+from gladegw.net.shared_resources import Desk, OpenCall
+from gladegw.operators.commands import Backends
 from gladegw.routing.findings import RoutingError
 from gladegw.routing.matcher import Table
 from gladegw.routing.model import (
--- a/gladegw/net/serve.py
+++ b/gladegw/net/serve.py
@@ -13,30 +13,30 @@
 
 import uvloop
 
-from gladegw.limits.descriptors import AGENT_OWN
+from gladegw.limits.descriptor_budget import AGENT_OWN
 from gladegw.net import discovery, listener
 from gladegw.net import driver as decisions
 from gladegw.net import features as settings_file
-from gladegw.net.access import AccessLog
+from gladegw.net.access_log import AccessLog
 from gladegw.net.addresses import Addresses
 from gladegw.net.admin import Admin
+from gladegw.net.background_writer import LOG_BYTES, LogHandler, Writer, to_descriptor
 from gladegw.net.capture import Capture
 from gladegw.net.config import Config, ConfigError, discovery_now, load
+from gladegw.net.downstream.server import Server
 from gladegw.net.drain import Drain
 from gladegw.net.driver import Driver
 from gladegw.net.features import Features, RoutesSettings
-from gladegw.net.figures import Figures
-from gladegw.net.peer import Asked
+from gladegw.net.interfaces import Asked
+from gladegw.net.metrics import Figures
 from gladegw.net.request import Router
-from gladegw.net.server import Server
 from gladegw.net.tls import Tls
-from gladegw.net.writer import LOG_BYTES, LogHandler, Writer, to_descriptor
-from gladegw.operators.calls import Operators
-from gladegw.operators.ledger import Watcher
+from gladegw.operators.commands import Operators
 from gladegw.operators.lifecycle import Event, Lifecycle, State
+from gladegw.operators.request_counters import Watcher
 
 if TYPE_CHECKING:
-    from gladegw.control.agent import Agent
+    from gladegw.control.member import Agent
     from gladegw.net.routes import Pools
     from gladegw.net.timing import Timing
 
@@ -89,7 +89,7 @@
     settings = features.coordination
     if settings is None:
         return None, router
-    from gladegw.control.start import carrier, joined
+    from gladegw.control.startup import carrier, joined
 
     def routes() -> str:
         return "" if isinstance(driver, Driver) else driver.digest
@@ -97,8 +97,8 @@
     carried = None
     if features.policy is not None and not isinstance(driver, Driver):
         from gladegw.control.clock import boot
-        from gladegw.coordination.gate import Gate
-        from gladegw.net.stamped import Stamped
+        from gladegw.coordination.serving_lease import Gate
+        from gladegw.net.policy_router import Stamped
 
         router = Stamped(driver, Gate(boot), features.policy, config.settings.may_advise_wait)
         carried = carrier(router, asyncio.get_running_loop())
--- a/gladegw/net/desk.py
+++ b/gladegw/net/shared_resources.py
@@ -7,15 +7,15 @@
 from collections.abc import Set as AbstractSet
 from typing import TYPE_CHECKING
 
-from gladegw.limits.descriptors import shares
-from gladegw.limits.memory import piece
+from gladegw.limits.buffer_budget import piece
+from gladegw.limits.descriptor_budget import shares
 from gladegw.net.config import Config
-from gladegw.net.exchange import Exchange
-from gladegw.net.peer import Reply
+from gladegw.net.interfaces import Reply
 from gladegw.net.request import Request
-from gladegw.net.upstream import Upstreams
-from gladegw.operators.calls import Backends
-from gladegw.operators.ledger import Ledger
+from gladegw.net.upstream.connections import Upstreams
+from gladegw.net.upstream.exchange import Exchange
+from gladegw.operators.commands import Backends
+from gladegw.operators.request_counters import Ledger
 
 if TYPE_CHECKING:
     from gladegw.net.driver import Driver
--- a/gladegw/net/timing.py
+++ b/gladegw/net/timing.py
@@ -6,9 +6,9 @@
 import time
 from collections.abc import Iterable
 
-from gladegw.interface import RequestClass
-from gladegw.net.peer import Asked
-from gladegw.operators.ledger import Handled
+from gladegw.balancing.events import RequestClass
+from gladegw.net.interfaces import Asked
+from gladegw.operators.request_counters import Handled
 
 
 class Timing:
--- /dev/null
+++ b/gladegw/net/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""The backends' side: connections to backends and the exchanges on them."""
--- a/gladegw/net/upstream.py
+++ b/gladegw/net/upstream/connections.py
@@ -13,12 +13,12 @@
 
 import httptools
 
-from gladegw.interface import ServerState, Status
-from gladegw.limits.memory import WHOLE
+from gladegw.balancing.events import ServerState, Status
+from gladegw.limits.buffer_budget import WHOLE
 from gladegw.net.config import Address
-from gladegw.net.exchange import Exchange
-from gladegw.net.lists import Listed, Listing
+from gladegw.net.endpoint_lists import Listed, Listing
 from gladegw.net.sockets import has_unread
+from gladegw.net.upstream.exchange import Exchange
 
 log = logging.getLogger(__name__)
 
--- a/gladegw/net/exchange.py
+++ b/gladegw/net/upstream/exchange.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from gladegw.interface import Status
-from gladegw.limits.memory import WHOLE
+from gladegw.balancing.events import Status
+from gladegw.limits.buffer_budget import WHOLE
 from gladegw.net.upload import Upload
 
 if TYPE_CHECKING:
-    from gladegw.net.upstream import Connection, Upstream
+    from gladegw.net.upstream.connections import Connection, Upstream
 
 log = logging.getLogger(__name__)
 
--- a/gladegw/operators/calls.py
+++ b/gladegw/operators/commands.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
 
-from gladegw.operators.ledger import Ledger
 from gladegw.operators.lifecycle import Event, Lifecycle, Refused, State
+from gladegw.operators.request_counters import Ledger
 
 LONGEST = 256  # bytes of a call
 WORDS = ("PING", "INFO", "LAMEDUCK", "REJOIN")
--- a/gladegw/replay.py
+++ b/gladegw/replay.py
@@ -14,16 +14,16 @@
 from random import Random
 from typing import Any
 
-from gladegw.admission import Admission, Mean
-from gladegw.benchlink import read_settings
-from gladegw.interface import Arrival, ServerEntry, Settings
-from gladegw.logic import CUT, HELD, LATE, TRIES, Balancer
+from gladegw.balancing.admission import Admission, Mean
+from gladegw.balancing.balancer import CUT, HELD, LATE, TRIES, Balancer
+from gladegw.balancing.events import Arrival, ServerEntry, Settings
+from gladegw.balancing.requests import Attempt, Call
+from gladegw.balancing.server_selection import USED_OF_SERVER, Server, Servers
 from gladegw.net.capture import VERSION
 from gladegw.net.config import flatten
-from gladegw.net.lists import STATES, server_id
-from gladegw.net.reports import read_report
-from gladegw.obligations import Attempt, Call
-from gladegw.servers import USED_OF_SERVER, Server, Servers
+from gladegw.net.endpoint_lists import STATES, server_id
+from gladegw.net.load_reports import read_report
+from gladegw.simulator_adapter import read_settings
 
 PLAIN = re.compile(r"[\w.:-]+", re.ASCII)
 UNDRAWN = 0.5  # for a draw that the changed inputs need and the recorded ones did not
--- a/gladegw/rig/trouble/coordinated.py
+++ b/gladegw/rig/faults/coordinated.py
@@ -7,18 +7,18 @@
 import time
 from pathlib import Path
 
-from gladegw.control.client import Client, addresses
 from gladegw.control.errors import StoreFault
-from gladegw.control.propose import Operator
+from gladegw.control.policy_proposals import Operator
+from gladegw.control.store_client import Client, addresses
 from gladegw.rig import process
 from gladegw.rig.errors import RigError
+from gladegw.rig.faults.links import Link
+from gladegw.rig.faults.schedule import Step
 from gladegw.rig.judging import ledger
-from gladegw.rig.measures.losses import Stand
+from gladegw.rig.measures.failover import Stand
 from gladegw.rig.scenario import Store
 from gladegw.rig.store.launch import launch
 from gladegw.rig.store.record import RECORD
-from gladegw.rig.trouble.faults import Step
-from gladegw.rig.trouble.links import Link
 
 UNBOUNDED = 1 << 40  # bytes that a store takes which is not full
 FULL = 1
--- a/gladegw/rig/bad.py
+++ b/gladegw/rig/faulty_versions.py
@@ -1,6 +1,6 @@
 """Versions of the program that do worse, made from it by a switch, for rollouts to find.
 
-    python -m gladegw.rig.bad HARM [-f FILE]
+    python -m gladegw.rig.faulty_versions HARM [-f FILE]
 
 serves as `python -m gladegw [-f FILE]` does, and does what HARM says. Never for service.
 """
@@ -17,15 +17,15 @@
 from random import Random
 from typing import Any
 
-from gladegw import freshness
-from gladegw.interface import ServerState, Status
-from gladegw.net import listener, lists
-from gladegw.net.client import ClientConnection
+from gladegw.balancing import endpoint_freshness
+from gladegw.balancing.events import ServerState, Status
+from gladegw.balancing.server_selection import Servers
+from gladegw.net import endpoint_lists, listener
+from gladegw.net.acceptor import Entrance
+from gladegw.net.downstream.connection import ClientConnection
 from gladegw.net.driver import Driver
-from gladegw.net.entrance import Entrance
 from gladegw.net.request import Request
 from gladegw.net.routes import Pools
-from gladegw.servers import Servers
 
 CRASH_AFTER = 20.0  # s
 SLOWER = 0.03  # s
@@ -145,7 +145,7 @@
 
 def drains() -> None:
     """Does not heed that a backend drains."""
-    lists.STATES["Terminating"] = ServerState.SERVING
+    endpoint_lists.STATES["Terminating"] = ServerState.SERVING
 
 
 def deaf() -> None:
@@ -183,7 +183,9 @@
 def trusts() -> None:
     """Takes a completed call as proof that its server does not drain, and repeats refused calls late."""
     Servers.serving_at = lambda self, server: server.took_at  # type: ignore[method-assign]
-    freshness.CROWDED_RETRY = freshness.CROWDED_RETRY_MOST = freshness.LAPSED_RETRY_MOST = 12.0
+    endpoint_freshness.CROWDED_RETRY = endpoint_freshness.CROWDED_RETRY_MOST = (
+        endpoint_freshness.LAPSED_RETRY_MOST
+    ) = 12.0
 
 
 def clock(rate: float) -> None:
--- a/gladegw/rig/judging/judge.py
+++ b/gladegw/rig/judging/judge.py
@@ -13,6 +13,7 @@
 
 import msgspec
 
+from gladegw.rig.faults import schedule
 from gladegw.rig.judging.ledger import (
     Called,
     FaultBand,
@@ -28,11 +29,10 @@
     read_all,
 )
 from gladegw.rig.scenario import Scenario
-from gladegw.rig.store.linear import violations
+from gladegw.rig.store.linearizability import violations
 from gladegw.rig.store.record import RECORD
 from gladegw.rig.store.record import read as read_operations
 from gladegw.rig.traffic.peers import OWED
-from gladegw.rig.trouble import faults
 
 SLACK = 0.05  # s by which every limit is longer on sockets (PROTOCOL)
 OWED_CALL = 1.0  # s for an operators' call
@@ -241,7 +241,7 @@
                 at = max(at, end)
         late = run.came - at
         tier, number, *_ = [*run.node.rsplit("-", 2), ""]
-        if self._broken("node_", faults.place(tier, int(number) if number.isdigit() else 0), at, run.came):
+        if self._broken("node_", schedule.place(tier, int(number) if number.isdigit() else 0), at, run.came):
             return  # what was sent in time may have been held on the way
         if late > self.drain_grace + SLACK:
             reason = (
--- a/gladegw/rig/judging/series.py
+++ b/gladegw/rig/judging/series.py
@@ -11,9 +11,9 @@
 import numpy as np
 import numpy.typing as npt
 
+from gladegw.rig.faults import schedule
 from gladegw.rig.judging.ledger import Origin, Run, Try, read_all
 from gladegw.rig.scenario import Scenario
-from gladegw.rig.trouble import faults
 
 BIN = 0.5  # s
 Floats = npt.NDArray[np.float64]
@@ -74,7 +74,7 @@
     return Course(
         np.arange(bins, dtype=np.float64) * BIN,
         served, percentiles[0], percentiles[1], refused / BIN, retries / BIN,
-        _inflight(records, origin, bins), faults.bands(scenario),
+        _inflight(records, origin, bins), schedule.bands(scenario),
     )  # fmt: skip
 
 
--- a/gladegw/rig/measures/changes.py
+++ b/gladegw/rig/measures/changes.py
@@ -20,21 +20,21 @@
 from random import Random
 from typing import Any
 
-from gladegw.control.client import Client, addresses
-from gladegw.control.duties.policy import votes
+from gladegw.control.duties.policy_coordinator import votes
 from gladegw.control.errors import StoreFault
-from gladegw.control.policy import SURE, TICK
-from gladegw.control.propose import Operator, Result, status
-from gladegw.control.view import View
+from gladegw.control.policy_participant import SURE, TICK
+from gladegw.control.policy_proposals import Operator, Result, status
+from gladegw.control.store_cache import View
+from gladegw.control.store_client import Client, addresses
 from gladegw.coordination.lease import DRIFT
 from gladegw.coordination.records import Change, InForce
 from gladegw.rig import process
 from gladegw.rig.errors import RigError
+from gladegw.rig.faults.links import Link
 from gladegw.rig.measures import scale
-from gladegw.rig.measures.losses import Stand, quantiles
+from gladegw.rig.measures.failover import Stand, quantiles
 from gladegw.rig.proxy import Proxy
 from gladegw.rig.store.launch import launch
-from gladegw.rig.trouble.links import Link
 
 BOUND = 1.2  # s: the gate's second and a tick; of who hears what is decided
 EACH = 0.005  # s between two requests of one proxy; of more than FEW proxies as much longer
--- a/gladegw/rig/measures/cost.py
+++ b/gladegw/rig/measures/cost.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from gladegw.control import fleet
-from gladegw.control.client import Client, addresses
+from gladegw.control import fleet_status
+from gladegw.control.store_client import Client, addresses
 from gladegw.rig import process
 from gladegw.rig.measures.capacity import WARM_RATE, CapacitySettings, bench
 from gladegw.rig.measures.scale import CALL, PREFIX, block, stand
@@ -34,7 +34,10 @@
 async def tokens(endpoints: tuple[str, ...]) -> dict[str, int]:
     client = Client(addresses(endpoints), CALL)
     try:
-        return {duty["name"]: duty["token"] for duty in fleet.duties(await fleet.read(client, PREFIX))}
+        return {
+            duty["name"]: duty["token"]
+            for duty in fleet_status.duties(await fleet_status.read(client, PREFIX))
+        }
     finally:
         client.close()
 
--- a/gladegw/rig/measures/crowd.py
+++ b/gladegw/rig/measures/crowd.py
@@ -11,14 +11,14 @@
 
 import msgspec
 
-from gladegw.control.agent import Agent, Options
-from gladegw.control.client import addresses
 from gladegw.control.clock import boot
 from gladegw.control.duties.base import Holding, Work
-from gladegw.control.duties.policy import Decide
-from gladegw.control.policy import Carrier
-from gladegw.coordination.gate import Gate
+from gladegw.control.duties.policy_coordinator import Decide
+from gladegw.control.member import Agent, Options
+from gladegw.control.policy_participant import Carrier
+from gladegw.control.store_client import addresses
 from gladegw.coordination.records import Figures, Member
+from gladegw.coordination.serving_lease import Gate
 
 LOOK = 0.05  # s
 AT_ONCE = 25  # that join at once, of a process
--- a/gladegw/rig/measures/losses.py
+++ b/gladegw/rig/measures/failover.py
@@ -15,18 +15,18 @@
 
 import msgspec
 
-from gladegw.control.client import Client, addresses
 from gladegw.control.clock import boot
 from gladegw.control.errors import StoreFault
 from gladegw.control.keys import Keys
+from gladegw.control.store_client import Client, addresses
 from gladegw.coordination.store import Get
 from gladegw.rig import process
 from gladegw.rig.errors import RigError
+from gladegw.rig.faults.links import Link
 from gladegw.rig.measures.member import Line, Plan
 from gladegw.rig.store.launch import launch
-from gladegw.rig.store.linear import violations
+from gladegw.rig.store.linearizability import violations
 from gladegw.rig.store.record import read
-from gladegw.rig.trouble.links import Link
 
 KINDS = (
     "kill", "term", "stop", "stop short", "slow clock", "cut out", "cut in", "depose", "store killed",
--- a/gladegw/rig/measures/member.py
+++ b/gladegw/rig/measures/member.py
@@ -14,13 +14,13 @@
 
 import msgspec
 
-from gladegw.control import agent as agents
-from gladegw.control import keeper as keepers
-from gladegw.control.agent import Agent, Options
-from gladegw.control.client import addresses
+from gladegw.control import leader_election as keepers
+from gladegw.control import member as agents
 from gladegw.control.clock import boot
 from gladegw.control.duties.base import Holding, NotHeld, Work
-from gladegw.control.view import View
+from gladegw.control.member import Agent, Options
+from gladegw.control.store_cache import View
+from gladegw.control.store_client import addresses
 from gladegw.coordination import duty as duties
 from gladegw.coordination.records import VERSION, Member, Record, encode
 from gladegw.coordination.store import Compare, Get, Operation, Put, Txn
--- a/gladegw/rig/measures/outages.py
+++ b/gladegw/rig/measures/outages.py
@@ -13,7 +13,7 @@
 from gladegw.rig import process
 from gladegw.rig.measures import scale
 from gladegw.rig.measures.changes import Course, policy
-from gladegw.rig.measures.losses import Stand
+from gladegw.rig.measures.failover import Stand
 from gladegw.rig.store.launch import launch
 
 AFTER = 5.0  # s beyond the store's return, in which all serve again
--- a/gladegw/rig/measures/replacements.py
+++ b/gladegw/rig/measures/replacements.py
@@ -17,7 +17,7 @@
 from gladegw.rig import process
 from gladegw.rig.judging import ledger
 from gladegw.rig.measures.capacity import SCENARIO
-from gladegw.rig.measures.losses import quantiles
+from gladegw.rig.measures.failover import quantiles
 from gladegw.rig.measures.scale import sort
 from gladegw.rig.nodes.settings import config
 from gladegw.rig.ports import free_port
--- a/gladegw/rig/measures/rollouts.py
+++ b/gladegw/rig/measures/rollouts.py
@@ -14,13 +14,13 @@
 from random import Random
 from typing import Any
 
-from gladegw.control.client import Client, addresses
-from gladegw.control.plan import Plan
-from gladegw.control.propose import Operator
+from gladegw.control.policy_proposals import Operator
+from gladegw.control.rollout_plan import Plan
 from gladegw.control.rollouts import Rollouts, last, status
+from gladegw.control.store_client import Client, addresses
 from gladegw.rig import process
-from gladegw.rig.bad import HARMS as OF_PROGRAM
 from gladegw.rig.errors import RigError
+from gladegw.rig.faulty_versions import HARMS as OF_PROGRAM
 from gladegw.rig.measures import scale
 from gladegw.rig.measures.replacements import supervised
 from gladegw.rig.nodes.trivial import BETWEEN, LASTS
--- a/gladegw/rig/measures/scale.py
+++ b/gladegw/rig/measures/scale.py
@@ -13,19 +13,19 @@
 
 import msgspec
 
-from gladegw.control import fleet
-from gladegw.control.client import Client, addresses
+from gladegw.control import fleet_status
 from gladegw.control.duties import ALL
 from gladegw.control.errors import StoreFault
 from gladegw.control.keys import Keys
-from gladegw.control.propose import Operator
+from gladegw.control.policy_proposals import Operator
+from gladegw.control.store_client import Client, addresses
 from gladegw.coordination.store import Get
 from gladegw.rig import process
 from gladegw.rig.errors import RigError
 from gladegw.rig.judging import ledger
 from gladegw.rig.measures.capacity import SCENARIO
 from gladegw.rig.measures.crowd import Plan
-from gladegw.rig.measures.losses import Stand
+from gladegw.rig.measures.failover import Stand
 from gladegw.rig.nodes.settings import config
 from gladegw.rig.ports import free_port
 from gladegw.rig.proxy import Proxy
@@ -96,8 +96,8 @@
         async with asyncio.timeout(PATIENCE):
             while not found:
                 with contextlib.suppress(StoreFault):
-                    view = await fleet.read(self.client, PREFIX)
-                    holders = {duty["name"]: duty["holder"] for duty in fleet.duties(view)}
+                    view = await fleet_status.read(self.client, PREFIX)
+                    holders = {duty["name"]: duty["holder"] for duty in fleet_status.duties(view)}
                     if wanted(holders, len(view.members())):
                         found = holders
                 await asyncio.sleep(LOOK)
--- a/gladegw/rig/measures/stall.py
+++ b/gladegw/rig/measures/stall.py
@@ -17,10 +17,10 @@
 
 import msgspec
 
-from gladegw.control.agent import Agent, Options
-from gladegw.control.client import addresses
 from gladegw.control.clock import boot
 from gladegw.control.duties.base import Holding, Work
+from gladegw.control.member import Agent, Options
+from gladegw.control.store_client import addresses
 from gladegw.coordination.records import Member
 from gladegw.coordination.store import Put
 from gladegw.rig import process
--- a/gladegw/rig/explore/policies.py
+++ b/gladegw/rig/model_checking/policies.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass, field, replace
 
-from gladegw.coordination import policy
-from gladegw.coordination.policy import Action, Force, Member, Open, Outcome, Phase, Verdict, Vote
+from gladegw.coordination import policy_commit
+from gladegw.coordination.policy_commit import Action, Force, Member, Open, Outcome, Phase, Verdict, Vote
 
 ROUNDS = 20  # of a run without faults in which an open change has to be closed
 LIKELY = (("older", 0.2), ("hears", 3.0), ("prepares", 3.0), ("dies", 0.03), ("is given up", 0.05),
@@ -66,11 +66,11 @@
     ) -> None:  # fmt: skip
         self.members, self.refuse, self.bad = members, refuse, bad
         self.changes, self.crashes, self.cuts = changes, crashes, cuts
-        self.told: Callable[..., tuple[Member, tuple[Action, ...]]] = policy.told
-        self.prepared: Callable[..., tuple[Member, tuple[Action, ...]]] = policy.prepared
-        self.rejoined: Callable[..., Member] = policy.rejoined
-        self.in_doubt: Callable[[Member], bool] = policy.in_doubt
-        self.verdict: Callable[..., Verdict] = policy.verdict
+        self.told: Callable[..., tuple[Member, tuple[Action, ...]]] = policy_commit.told
+        self.prepared: Callable[..., tuple[Member, tuple[Action, ...]]] = policy_commit.prepared
+        self.rejoined: Callable[..., Member] = policy_commit.rejoined
+        self.in_doubt: Callable[[Member], bool] = policy_commit.in_doubt
+        self.verdict: Callable[..., Verdict] = policy_commit.verdict
         self.compares = True  # the decision compares that the change is still open
         self.dies_with_lease = True  # votes and the right to serve end with the registration
 
@@ -78,7 +78,7 @@
         word = Word()
         proxies = []
         for _ in range(self.members):
-            member, _ = policy.told(Member(), word.force, None, 1)
+            member, _ = policy_commit.told(Member(), word.force, None, 1)
             proxies.append(Proxy(member=member, heard=word))
         return State(word, tuple(proxies), changes=self.changes, crashes=self.crashes, cuts=self.cuts,
                      bad=self.bad)  # fmt: skip
--- a/gladegw/rig/nodes/fleet.py
+++ b/gladegw/rig/nodes/fleet.py
@@ -19,6 +19,8 @@
 import msgspec
 import uvloop
 
+from gladegw.rig.faults.links import Link
+from gladegw.rig.faults.schedule import Step, place
 from gladegw.rig.judging import ledger
 from gladegw.rig.nodes.discovery import Discovery
 from gladegw.rig.nodes.model import KeyWindow, Kind, Life
@@ -26,8 +28,6 @@
 from gladegw.rig.nodes.registry import Endpoint, Registry
 from gladegw.rig.scenario import Scenario, Tier
 from gladegw.rig.traffic.client import Pool
-from gladegw.rig.trouble.faults import Step, place
-from gladegw.rig.trouble.links import Link
 
 FLUSH = 0.2  # s
 READY_AFTER = 0.05  # s that a started process needs
--- a/gladegw/rig/play.py
+++ b/gladegw/rig/play.py
@@ -13,8 +13,10 @@
 import msgspec
 
 from gladegw.rig import process
-from gladegw.rig.bad import HARMS
 from gladegw.rig.errors import RigError
+from gladegw.rig.faults import schedule
+from gladegw.rig.faults.coordinated import Coordinated
+from gladegw.rig.faulty_versions import HARMS
 from gladegw.rig.judging import ledger
 from gladegw.rig.nodes.fleet import FleetPlan, Order
 from gladegw.rig.nodes.settings import MUST_ASK, config
@@ -27,8 +29,6 @@
 from gladegw.rig.traffic.operators import Operators
 from gladegw.rig.traffic.worker import Plan
 from gladegw.rig.traffic.workload import CallClass, Mix
-from gladegw.rig.trouble import faults
-from gladegw.rig.trouble.coordinated import Coordinated
 
 UP_WITHIN = 60.0  # s for the fleet
 END_WITHIN = 8.0  # s after SIGTERM, as long as the longest deadline takes and more
@@ -55,7 +55,7 @@
 
 def shape_of(scenario: Scenario) -> Shape:
     load = scenario.load
-    surges = faults.surges(scenario)
+    surges = schedule.surges(scenario)
     return Shape(
         rate=load.rate, duration=scenario.run.duration, shape=load.shape, low=load.low, surges=surges
     )
@@ -66,7 +66,7 @@
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
         self.scenario, self.folder = scenario, folder
-        self.steps = faults.script(scenario)
+        self.steps = schedule.script(scenario)
         folder.mkdir(parents=True, exist_ok=True)
         for old in folder.glob("*.jsonl"):
             old.unlink()
@@ -184,7 +184,7 @@
             target=tuple(f"127.0.0.1:{proxy.port}" for proxy in self.proxies.values()),
             names=tuple(self.proxies), mix=mix_of(scenario), shape=shape_of(scenario), process=how.arrivals,
             seed=scenario.run.seed, connections=how.connections, ledger=str(self.folder / "clients"),
-            prefix=f"{scenario.run.seed:x}-", rude=faults.rude(scenario), trace=how.trace,
+            prefix=f"{scenario.run.seed:x}-", rude=schedule.rude(scenario), trace=how.trace,
             host=scenario.tiers[0].host,
         )  # fmt: skip
         load = Load(plan, how.workers, how.valid_p99_ms)
@@ -225,10 +225,10 @@
                 band = ledger.FaultBand(step.action, self.origin + step.at, self.origin + step.until)
                 self.book.put(band)
 
-    async def _until(self, step: faults.Step) -> None:
+    async def _until(self, step: schedule.Step) -> None:
         await asyncio.sleep(max(0.0, self.origin + step.until - time.monotonic()))
 
-    async def _on_store(self, step: faults.Step) -> None:
+    async def _on_store(self, step: schedule.Step) -> None:
         assert self.store is not None
         began = time.monotonic()
         try:
@@ -239,7 +239,7 @@
         finally:
             self.book.put(ledger.FaultBand(step.action, began, time.monotonic(), step.target))
 
-    async def _step(self, step: faults.Step, proxy: Proxy) -> None:
+    async def _step(self, step: schedule.Step, proxy: Proxy) -> None:
         began = time.monotonic()
         try:
             if step.action in ("proxy_kill", "proxy_term"):
--- a/gladegw/rig/proxy.py
+++ b/gladegw/rig/proxy.py
@@ -70,7 +70,7 @@
             environ["EDGE_ADMIN_ADDR"] = self.admin
         command = [sys.executable, "-m", "gladegw"]
         if self.harm:
-            command = [sys.executable, "-m", "gladegw.rig.bad", self.harm]
+            command = [sys.executable, "-m", "gladegw.rig.faulty_versions", self.harm]
         if self.features:
             command += ["-f", str((self.root / self.features).resolve())]
         self.wanted_end = False
--- a/gladegw/rig/simulate/judge.py
+++ b/gladegw/rig/simulate/judge.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Iterable
 
-from gladegw.control import bundle
-from gladegw.control.duties.policy import registered
-from gladegw.control.fleet import duties
-from gladegw.control.policy import TICK, own
-from gladegw.control.view import View
+from gladegw.control import policy_bundle
+from gladegw.control.duties.policy_coordinator import registered
+from gladegw.control.fleet_status import duties
+from gladegw.control.policy_participant import TICK, own
+from gladegw.control.store_cache import View
 from gladegw.coordination.lease import DRIFT
 from gladegw.coordination.records import Change, InForce, Known, Rollout, Weighed, decode
 from gladegw.coordination.store import Get, within
@@ -19,7 +19,7 @@
 
 
 def digest_of(word: str) -> str:
-    return bundle.digest_of(bundle.packed(files(word))) if word else ""
+    return policy_bundle.digest_of(policy_bundle.packed(files(word))) if word else ""
 
 
 class Judge:
--- a/gladegw/rig/simulate/outages.py
+++ b/gladegw/rig/simulate/outages.py
@@ -13,10 +13,10 @@
 
 from gladegw.control.errors import StoreFault
 from gladegw.coordination.store import within
-from gladegw.rig.simulate.course import DUTIES, Course, Simulated
 from gladegw.rig.simulate.judge import Judge
-from gladegw.rig.simulate.many import WITHIN, child, in_turn
-from gladegw.rig.simulate.planted import planted
+from gladegw.rig.simulate.parallel_runs import WITHIN, child, in_turn
+from gladegw.rig.simulate.scenario_run import DUTIES, Course, Simulated
+from gladegw.rig.simulate.seeded_defects import planted
 from gladegw.rig.simulate.world import World, lived
 
 LOOK = 0.05  # s
--- a/gladegw/rig/simulate/many.py
+++ b/gladegw/rig/simulate/parallel_runs.py
@@ -16,11 +16,11 @@
 
 from gladegw.rig import process
 from gladegw.rig.errors import RigError
-from gladegw.rig.simulate.course import Simulated, simulate
-from gladegw.rig.simulate.planted import planted
+from gladegw.rig.simulate.scenario_run import Simulated, simulate
+from gladegw.rig.simulate.seeded_defects import planted
 
 T = TypeVar("T")
-MODULE = "gladegw.rig.simulate.many"
+MODULE = "gladegw.rig.simulate.parallel_runs"
 ENVIRON = {"PYTHONHASHSEED": "0"}
 WITHIN = 120.0  # s of this machine's time for a course; one whose clock stands still never ends
 
--- a/gladegw/rig/simulate/rollouts.py
+++ b/gladegw/rig/simulate/rollouts.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from gladegw.control.plan import Plan
-from gladegw.rig.simulate.course import DUTIES, Course, Simulated
-from gladegw.rig.simulate.many import child, in_turn
+from gladegw.control.rollout_plan import Plan
+from gladegw.rig.simulate.parallel_runs import child, in_turn
+from gladegw.rig.simulate.scenario_run import DUTIES, Course, Simulated
 from gladegw.rig.simulate.world import BAD, CONFIRM, DEADLINE, World, files, lived
 
 MODULE = "gladegw.rig.simulate.rollouts"
--- a/gladegw/rig/simulate/course.py
+++ b/gladegw/rig/simulate/scenario_run.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from gladegw.control.errors import StoreFault
-from gladegw.control.plan import Plan
+from gladegw.control.rollout_plan import Plan
 from gladegw.coordination.records import Rollout
 from gladegw.rig.simulate.judge import Judge
 from gladegw.rig.simulate.world import BAD, BROKEN, CONFIRM, DEADLINE, World, files, lived
--- a/gladegw/rig/simulate/planted.py
+++ b/gladegw/rig/simulate/seeded_defects.py
@@ -10,16 +10,16 @@
 from typing import Any
 from unittest import mock
 
-from gladegw.control import policy as members
-from gladegw.control.duties import policy as deciding
-from gladegw.control.keeper import Keeper
+from gladegw.control import policy_participant as members
+from gladegw.control.duties import policy_coordinator as deciding
+from gladegw.control.leader_election import Keeper
+from gladegw.coordination import canary_analysis
 from gladegw.coordination import duty as duties
 from gladegw.coordination import lease as leases
-from gladegw.coordination import policy as table
-from gladegw.coordination import verdict
+from gladegw.coordination import policy_commit as table
+from gladegw.coordination.canary_analysis import Answer, Judged
 from gladegw.coordination.duty import Phase
 from gladegw.coordination.store import Done, Get, Operation, Txn
-from gladegw.coordination.verdict import Answer, Judged
 
 Put = Callable[[Any, str, Any], None]  # in an object, under a name, in place of what is there
 
@@ -85,7 +85,7 @@
 
 
 def _no_verdict(put: Put) -> None:
-    put(verdict, "judged", lambda evidence, limits, baked: Judged(Answer.NOT_WORSE))
+    put(canary_analysis, "judged", lambda evidence, limits, baked: Judged(Answer.NOT_WORSE))
 
 
 def _any_votes(put: Put) -> None:
--- a/gladegw/rig/simulate/world.py
+++ b/gladegw/rig/simulate/world.py
@@ -14,20 +14,20 @@
 
 import msgspec
 
-from gladegw.control.agent import Agent, Options
 from gladegw.control.duties import ALL
 from gladegw.control.duties.base import Holding, NotHeld, Work
-from gladegw.control.duties.bundles import Bundles
-from gladegw.control.duties.policy import Decide
-from gladegw.control.duties.rollout import Conduct
+from gladegw.control.duties.bundle_collection import Bundles
+from gladegw.control.duties.policy_coordinator import Decide
+from gladegw.control.duties.rollout_controller import Conduct
 from gladegw.control.errors import StoreFault
-from gladegw.control.policy import Carrier
-from gladegw.control.propose import Operator
+from gladegw.control.member import Agent, Options
+from gladegw.control.policy_participant import Carrier
+from gladegw.control.policy_proposals import Operator
 from gladegw.control.rollouts import Rollouts
-from gladegw.coordination.gate import Gate
 from gladegw.coordination.records import Figures, Member
+from gladegw.coordination.serving_lease import Gate
 from gladegw.coordination.store import Put
-from gladegw.rig.measures.losses import Judge as Holders
+from gladegw.rig.measures.failover import Judge as Holders
 from gladegw.rig.measures.member import Line
 from gladegw.rig.simulate.loop import PROCESS, VirtualLoop, virtual
 from gladegw.rig.simulate.wire import Net, Wire
--- a/gladegw/rig/soak.py
+++ b/gladegw/rig/soak.py
@@ -21,13 +21,13 @@
 
 import msgspec
 
-from gladegw.rig import process, shim
+from gladegw.rig import process, syscall_faults
+from gladegw.rig.cpu_limit import CpuShare
 from gladegw.rig.errors import RigError
 from gladegw.rig.nodes.many import ManyServers
 from gladegw.rig.nodes.settings import settings
 from gladegw.rig.ports import free_port
 from gladegw.rig.scenario import of_blocks
-from gladegw.rig.share import CpuShare
 
 LIFE = 14.0  # s of a day
 CLASS = "status"  # of all requests: safe to repeat
@@ -254,9 +254,9 @@
         (self.folder / "config.json").write_text(json.dumps(config), encoding="utf-8")
         (self.folder / "features.hcl").write_text(FEATURES, encoding="utf-8")
         environ = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
-        environ |= shim.environ(self.preload, self.day.seed, self.day.failing, 0.0, self.day.steps)
+        environ |= syscall_faults.environ(self.preload, self.day.seed, self.day.failing, 0.0, self.day.steps)
         environ["EDGE_CONFIG"] = str(self.folder / "config.json")
-        program = ("gladegw.rig.bad", self.harm) if self.harm else ("gladegw",)
+        program = ("gladegw.rig.faulty_versions", self.harm) if self.harm else ("gladegw",)
         command = (sys.executable, "-m", *program, "-f", str(self.folder / "features.hcl"))
         log = self.folder / "log"
         return await process.start(*command, environ=environ, log=log, descriptors=512, piped=False)
@@ -382,6 +382,6 @@
     that the proxy does."""
     folder.mkdir(parents=True, exist_ok=True)
     try:
-        return await Soak(day, folder, shim.build(folder), harm).play()
+        return await Soak(day, folder, syscall_faults.build(folder), harm).play()
     except OSError as fault:
         raise RigError(f"soak: {fault}") from None
--- a/gladegw/rig/store/machines.py
+++ b/gladegw/rig/store/machines.py
@@ -43,7 +43,9 @@
             await child.wait()
 
     async def _launch(self, member: int) -> None:
-        words = process.python("gladegw.rig.store.face", str(self.ports[member]), self.targets[member])
+        words = process.python(
+            "gladegw.rig.store.member_process", str(self.ports[member]), self.targets[member]
+        )
         child = self.children[member] = await process.start(*words)
         assert child.stdout is not None
         async with asyncio.timeout(UP_WITHIN):
--- a/gladegw/rig/store/face.py
+++ b/gladegw/rig/store/member_process.py
@@ -7,7 +7,7 @@
 import contextlib
 import sys
 
-from gladegw.rig.trouble.links import Link
+from gladegw.rig.faults.links import Link
 
 BEAT = 0.05  # s
 
--- a/gladegw/rig/store/record.py
+++ b/gladegw/rig/store/record.py
@@ -26,7 +26,7 @@
     Txn,
 )
 from gladegw.rig.errors import RigError
-from gladegw.rig.store.linear import Seen
+from gladegw.rig.store.linearizability import Seen
 
 RECORD = "store.record"  # its name in the folder of a run
 
--- a/gladegw/rig/supervised.py
+++ b/gladegw/rig/supervised.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from gladegw.rig import process
-from gladegw.rig.bad import HARMS
 from gladegw.rig.errors import RigError
+from gladegw.rig.faulty_versions import HARMS
 from gladegw.rig.judging import ledger
 from gladegw.rig.proxy import LOOK, Proxy
 
@@ -42,7 +42,7 @@
         for version, harm in self.versions.items():
             if harm not in HARMS:
                 raise RigError(f"no such harm: {harm}; there are {', '.join(HARMS)}")
-            words = [sys.executable, "-m", "gladegw.rig.bad", harm]
+            words = [sys.executable, "-m", "gladegw.rig.faulty_versions", harm]
             words += ["-f", str((self.root / self.features).resolve())] if self.features else []
             run = "exec " + " ".join(map(shlex.quote, words))
             blocks += [f'program "{version}" {{', f'  dir = "{self.root}"', f"  run = {json.dumps(run)}", "}"]
--- a/gladegw/rig/traffic/operators.py
+++ b/gladegw/rig/traffic/operators.py
@@ -5,8 +5,8 @@
 import asyncio
 import time
 
+from gladegw.rig.faults.links import Link
 from gladegw.rig.judging import ledger
-from gladegw.rig.trouble.links import Link
 
 PATIENCE = 3.0  # s for an answer, longer than what is owed
 
--- a/gladegw/benchlink.py
+++ b/gladegw/simulator_adapter.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterable
 from typing import IO, Any
 
-from gladegw import interface as api
-from gladegw.logic import Balancer
+from gladegw.balancing import events as api
+from gladegw.balancing.balancer import Balancer
 
 Fields = dict[str, str]
 
--- a/gladegw/supervisor/run.py
+++ b/gladegw/supervisor/run.py
@@ -38,8 +38,8 @@
 from gladegw.supervisor.settings import Settings
 
 if TYPE_CHECKING:
-    from gladegw.control.agent import Options
-    from gladegw.control.companion import Companion
+    from gladegw.control.member import Options
+    from gladegw.control.supervisor_client import Companion
 
 log = logging.getLogger(__name__)
 
@@ -71,7 +71,7 @@
         order = self._resumed()
         self.companion: Companion | None = None
         if options is not None:
-            from gladegw.control.companion import Companion
+            from gladegw.control.supervisor_client import Companion
 
             self.companion = Companion(options, config.name, order, self.record)
         self.ending = asyncio.Event()
--- a/tests/test_apps.py
+++ b/tests/apps/test_apps.py
@@ -24,7 +24,7 @@
 from gladegw.routing.read import describe, read_text
 from gladegw.routing.source import read_source
 
-EXAMPLE = Path(__file__).parent.parent / "examples" / "malabar"
+EXAMPLE = Path(__file__).parents[2] / "examples" / "malabar"
 FRONT = """app "front" {
   owner   = "a"
   calls   = ["shop"]
--- a/tests/test_decisions.py
+++ b/tests/balancing/test_balancer.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from helpers import Driver, entries, only_send, sends, settings
+from support.balancing import Driver, entries, only_send, sends, settings
 
 from gladegw import (
     Arrival,
@@ -26,7 +26,7 @@
     Tenant,
     Watch,
 )
-from gladegw.admission import Admission, Kind
+from gladegw.balancing.admission import Admission, Kind
 
 
 def admission(window: float, latency: float, rate: float, worths: list[float], stage: int = 0) -> Admission:
--- a/tests/test_freshness.py
+++ b/tests/balancing/test_endpoint_freshness.py
@@ -7,12 +7,12 @@
 from random import Random
 
 import pytest
-from helpers import Driver, entries, only_send, sends, settings
+from support.balancing import Driver, entries, only_send, sends, settings
 
 from gladegw import Balancer, CallFailure, ListKind, ServerList, SetTimer, Status, Timer, Watch
-from gladegw.freshness import Freshness
-from gladegw.interface import Event
-from gladegw.logic import TICK_TOKEN
+from gladegw.balancing.balancer import TICK_TOKEN
+from gladegw.balancing.endpoint_freshness import Freshness
+from gladegw.balancing.events import Event
 
 DRAIN_GRACE = 0.5  # s
 CONNECT = 0.1  # s
--- a/tests/test_overdue_news.py
+++ b/tests/balancing/test_overdue_updates.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from helpers import Driver, entries, only_send, sends, settings
+from support.balancing import Driver, entries, only_send, sends, settings
 
 from gladegw import CallFailure, ListKind, Probe, Probed, ServerList, Status
 
--- a/tests/test_limits.py
+++ b/tests/balancing/test_policy_files.py
@@ -6,7 +6,7 @@
 import tomllib
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def test_policy_files_are_short() -> None:
@@ -26,8 +26,9 @@
         tree = ast.parse((ROOT / name).read_text("utf-8"))
         for node in ast.walk(tree):
             if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("gladegw"):
-                assert node.module in named | {"gladegw.interface"}, name
+                assert node.module in named | {"gladegw.balancing.events"}, name
 
 
 def test_module_names_its_interface_at_the_top() -> None:
-    assert "gladegw/interface.py" in (ROOT / "gladegw" / "logic.py").read_text("utf-8").split("\n")[0]
+    balancer = ROOT / "gladegw" / "balancing" / "balancer.py"
+    assert "gladegw/balancing/events.py" in balancer.read_text("utf-8").split("\n")[0]
--- a/tests/test_properties.py
+++ b/tests/balancing/test_properties.py
@@ -5,9 +5,9 @@
 from random import Random
 
 import hypothesis.strategies as st
-from helpers import CLASSES, Driver, entries, settings
 from hypothesis import HealthCheck, given
 from hypothesis import settings as checks
+from support.balancing import CLASSES, Driver, entries, settings
 
 from gladegw import (
     Arrival,
--- a/tests/test_obligations.py
+++ b/tests/balancing/test_request_rules.py
@@ -5,7 +5,7 @@
 from itertools import pairwise
 
 import pytest
-from helpers import CLASSES, Driver, drained, entries, only_send, sends, settings
+from support.balancing import CLASSES, Driver, drained, entries, only_send, sends, settings
 
 from gladegw import (
     Action,
@@ -23,9 +23,9 @@
     Timer,
     Watch,
 )
-from gladegw.admission import Kind
-from gladegw.obligations import Call, Obligations
-from gladegw.servers import Server
+from gladegw.balancing.admission import Kind
+from gladegw.balancing.requests import Call, Obligations
+from gladegw.balancing.server_selection import Server
 
 NEVER = [Status.FULL, Status.CONNECT_FAILED, Status.MOOT]
 MAYBE = [Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED]
--- a/tests/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -13,7 +13,7 @@
 from hypothesis import HealthCheck, given
 from hypothesis import settings as check
 from hypothesis import strategies as st
-from netkit import PATIENCE, SETTINGS, Backend, Discovery, endpoint, proxy, run
+from support.loopback import PATIENCE, SETTINGS, Backend, Discovery, endpoint, proxy, run
 
 from gladegw import (
     Arrival,
--- a/tests/test_watch_pacing.py
+++ b/tests/balancing/test_watch_pacing.py
@@ -13,11 +13,11 @@
 import heapq
 from itertools import count
 
-from helpers import Driver, settings
+from support.balancing import Driver, settings
 
 from gladegw import Balancer, CallFailure, ListKind, ServerList, SetTimer, Timer, Watch
-from gladegw.interface import Event
-from gladegw.logic import TICK_TOKEN
+from gladegw.balancing.balancer import TICK_TOKEN
+from gladegw.balancing.events import Event
 
 PROXIES = 120
 BEGIN = 100.0  # s on the proxies' clock, at which all watches end
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import Any
 
-import known_red
 import pytest
+from support import known_red
 
 FLEETS = tuple(f"test_{what}.py" for what in (
     "program_rollouts", "supervise", "rollout_sockets", "policy_sockets", "fleet_steps", "simulate",
--- a/tests/test_bundles.py
+++ b/tests/control/test_bundles.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from gladegw.control.duties import bundles
-from gladegw.control.duties import policy as deciding
-from gladegw.control.duties.bundles import OUTCOMES, UNNAMED, Bundles
+from gladegw.control.duties import bundle_collection
+from gladegw.control.duties import policy_coordinator as deciding
+from gladegw.control.duties.bundle_collection import OUTCOMES, UNNAMED, Bundles
 from gladegw.control.keys import Keys
-from gladegw.control.view import View
+from gladegw.control.store_cache import View
 from gladegw.coordination.records import (
     Ballot,
     Change,
@@ -63,7 +63,7 @@
 
 def test_a_bundle_goes_once_nothing_has_named_it_for_an_hour(monkeypatch: pytest.MonkeyPatch) -> None:
     now = 1000.0
-    monkeypatch.setattr(bundles, "boot", lambda: now)
+    monkeypatch.setattr(bundle_collection, "boot", lambda: now)
     held, duty = Held(), Bundles()
     for digest in ("force", "stage", "past", "change", "o", "n", "old", "fresh"):
         held.put(held.at.piece(digest, 0), b"1")
@@ -85,7 +85,7 @@
 
 def test_nothing_goes_where_a_change_was_opened_since(monkeypatch: pytest.MonkeyPatch) -> None:
     now = 1000.0
-    monkeypatch.setattr(bundles, "boot", lambda: now)
+    monkeypatch.setattr(bundle_collection, "boot", lambda: now)
     held, duty = Held(), Bundles()
     held.put(held.at.piece("old", 0), b"1")
     asyncio.run(duty.step(held))
--- a/tests/test_fleet.py
+++ b/tests/control/test_fleet.py
@@ -13,11 +13,11 @@
 from typing import Any
 
 import pytest
-from fleetkit import TTL, all_held, config_file, held_by, served, store
-from netkit import ROOT, Backend, free_address, proxy, run
+from support.fleet import TTL, all_held, config_file, held_by, served, store
+from support.loopback import ROOT, Backend, free_address, proxy, run
 
-from gladegw.limits.descriptors import AGENT_OWN
-from gladegw.rig.trouble.links import Link
+from gladegw.limits.descriptor_budget import AGENT_OWN
+from gladegw.rig.faults.links import Link
 
 
 def gladegw(*words: str) -> subprocess.CompletedProcess[str]:
@@ -256,7 +256,7 @@
     found = subprocess.run((sys.executable, "-c", code), cwd=ROOT, capture_output=True, text=True, check=True)
     assert found.stdout == "[]\n"
     code = (
-        "import sys; import gladegw.control.start; "
+        "import sys; import gladegw.control.startup; "
         "print(sorted(m for m in sys.modules if 'policy' in m or 'gate' in m.split('.')[-1]))"
     )
     found = subprocess.run((sys.executable, "-c", code), cwd=ROOT, capture_output=True, text=True, check=True)
--- a/tests/test_fleet_hard.py
+++ b/tests/control/test_fleet_hard.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 import pytest
-from fleetkit import all_held, served, store
-from netkit import Backend, proxy, run
+from support.fleet import all_held, served, store
+from support.loopback import Backend, proxy, run
 
 from gladegw.control.duties import ALL
 from gladegw.rig.measures import scale
--- a/tests/test_fleet_steps.py
+++ b/tests/control/test_fleet_steps.py
@@ -9,15 +9,15 @@
 import time
 
 import pytest
-from fleetkit import PREFIX, TTL, held_by, store
-from netkit import Backend, proxy, run
+from support.fleet import PREFIX, TTL, held_by, store
+from support.loopback import Backend, proxy, run
 
 from gladegw.control.duties import ALL
 from gladegw.control.keys import Keys
 from gladegw.coordination.records import Holder, encode
 from gladegw.coordination.store import Put
 from gladegw.rig import process
-from gladegw.rig.trouble.links import Link
+from gladegw.rig.faults.links import Link
 
 STEPS = ("claim on its way", "claim unanswered", "begun", "hand-over unsent", "hand-over unanswered")
 
--- a/tests/test_keeper.py
+++ b/tests/control/test_leader_election.py
@@ -10,9 +10,9 @@
 
 from gladegw.control.duties.base import Holding, NotHeld, Work
 from gladegw.control.errors import Unreachable
-from gladegw.control.keeper import AGAIN, Keeper
 from gladegw.control.keys import Keys
-from gladegw.control.view import View
+from gladegw.control.leader_election import AGAIN, Keeper
+from gladegw.control.store_cache import View
 from gladegw.coordination.duty import Duty, Phase
 from gladegw.rig.simulate.loop import virtual
 
--- a/tests/test_policy_sockets.py
+++ b/tests/control/test_policy_sockets.py
@@ -14,16 +14,16 @@
 from typing import Any
 
 import pytest
-from fleetkit import PREFIX, TTL, Store, store
-from netkit import PATIENCE, ROOT, Backend, Discovery, Proxy, proxy, run
+from support.fleet import PREFIX, TTL, Store, store
+from support.loopback import PATIENCE, ROOT, Backend, Discovery, Proxy, proxy, run
 
-from gladegw.control import bundle
+from gladegw.control import policy_bundle
 from gladegw.control.keys import Keys
-from gladegw.control.propose import Operator
+from gladegw.control.policy_proposals import Operator
 from gladegw.coordination.records import InForce, Tries, decode
 from gladegw.coordination.store import Get, Put, prefix_end
+from gladegw.rig.faults.links import Link
 from gladegw.rig.measures.changes import BOUND, Answer, judge
-from gladegw.rig.trouble.links import Link
 
 
 def routes(word: str) -> str:
@@ -394,12 +394,12 @@
     async def test() -> None:
         async with site(tmp_path) as here:
             node = await here.proxy("p0")
-            raw = bundle.packed({"second.routes.hcl": routes("second")})
-            key = Keys(PREFIX).piece(bundle.digest_of(raw), 0)
+            raw = policy_bundle.packed({"second.routes.hcl": routes("second")})
+            key = Keys(PREFIX).piece(policy_bundle.digest_of(raw), 0)
             operator = Operator(here.at.client, PREFIX)
             await here.at.client.do(Put(key, b"" if what == "a piece is missing" else raw[:-4]))
             code, told = await here.propose("second")
-            assert code == 1 and bundle.digest_of(raw) in told["reason"]
+            assert code == 1 and policy_bundle.digest_of(raw) in told["reason"]
             assert await answer(node) == (404, "first")
             assert (await operator.view()).read(Keys(PREFIX).force, InForce) is None
 
@@ -447,7 +447,7 @@
     async def test() -> None:
         async with site(tmp_path) as here:
             first = await here.proxy("p1")
-            slow = await here.proxy("p2", program=("gladegw.rig.bad", "compiles 30 s"))
+            slow = await here.proxy("p2", program=("gladegw.rig.faulty_versions", "compiles 30 s"))
             await here.at.members(lambda found: [one["state"] for one in found] == ["ready"] * 2)
             proposed = asyncio.create_task(here.propose("second"))
             served = 0
--- a/tests/test_program_rollouts.py
+++ b/tests/control/test_program_rollouts.py
@@ -13,10 +13,10 @@
 
 import msgspec
 import pytest
-from fleetkit import PREFIX, Conducted, Store, store
-from netkit import PATIENCE, run
+from support.fleet import PREFIX, Conducted, Store, store
+from support.loopback import PATIENCE, run
 
-from gladegw.control import fleet
+from gladegw.control import fleet_status
 from gladegw.control.rollouts import last
 from gladegw.rig import process
 from gladegw.rig.judging import ledger
@@ -198,7 +198,7 @@
             await one.abandon()
 
             async def heard() -> bool:
-                view = await fleet.read(here.at.client, PREFIX)
+                view = await fleet_status.read(here.at.client, PREFIX)
                 return view.at.supervisor("p3") in view.keys
 
             end = time.monotonic() + PATIENCE
--- a/tests/test_rollout_sockets.py
+++ b/tests/control/test_rollout_sockets.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 import pytest
-from fleetkit import Conducted, store
-from netkit import PATIENCE, ROOT, Proxy, run
+from support.fleet import Conducted, store
+from support.loopback import PATIENCE, ROOT, Proxy, run
 from test_policy_sockets import Site
 
 from gladegw.control.rollouts import last
--- a/tests/test_store_clients.py
+++ b/tests/control/test_store_clients.py
@@ -7,8 +7,8 @@
 import sys
 
 import pytest
-from fleetkit import store
-from netkit import run
+from support.fleet import store
+from support.loopback import run
 
 AETCD = """
 import asyncio, sys, aetcd
--- a/tests/test_stored_data.py
+++ b/tests/control/test_stored_data.py
@@ -8,14 +8,14 @@
 import msgspec
 import pytest
 
-from gladegw.control import bundle
+from gladegw.control import policy_bundle
 from gladegw.control.keys import Keys
 from gladegw.coordination import records
 from gladegw.coordination.records import Record
 from gladegw.replay import differences
 from gladegw.supervisor.run import State
 
-STORED = Path(__file__).parent / "data" / "stored"
+STORED = Path(__file__).parents[1] / "data" / "stored"
 INCARNATION = "a1b2c3d4e5f60718"
 DIGEST = "0123456789abcdef01234567"
 KEYS = Keys("gladegw/kochi")
@@ -83,8 +83,8 @@
 def test_a_stored_bundle_keeps_its_bytes_and_its_digest() -> None:
     raw = (STORED / "bundle.json").read_bytes()
     digest = (STORED / "bundle.digest").read_text(encoding="utf-8").strip()
-    files = bundle.whole(digest, [raw[:40], raw[40:]])
+    files = policy_bundle.whole(digest, [raw[:40], raw[40:]])
     assert sorted(files) == ["north.routes.hcl", "routes.hcl"]
-    assert bundle.packed(files) == raw
-    assert bundle.digest_of(raw) == digest
-    assert bundle.chosen(files, "deploy/routes.hcl") == ("routes.hcl", files["routes.hcl"])
+    assert policy_bundle.packed(files) == raw
+    assert policy_bundle.digest_of(raw) == digest
+    assert policy_bundle.chosen(files, "deploy/routes.hcl") == ("routes.hcl", files["routes.hcl"])
--- a/tests/test_quiet.py
+++ b/tests/coordination/test_blackout_windows.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gladegw.coordination import quiet
-from gladegw.coordination.quiet import DAY, DAYS, WEEK
+from gladegw.coordination import blackout_windows
+from gladegw.coordination.blackout_windows import DAY, DAYS, WEEK
 
 minutes = st.integers(0, WEEK - 1)
 
@@ -27,22 +27,22 @@
     text = f"{written(first, weekly)} - {written(end, weekly)}"
     if first % every == end % every:
         with pytest.raises(ValueError, match="begins where it ends"):
-            quiet.read(text)
+            blackout_windows.read(text)
         return
     held, minute = False, first % every
     while minute != end % every:
         held |= minute == asked % every
         minute = (minute + 1) % every
-    assert quiet.read(text).holds(asked) is held
+    assert blackout_windows.read(text).holds(asked) is held
 
 
 def test_the_time_of_the_day_is_that_of_utc() -> None:
     friday = calendar.timegm((2026, 12, 4, 17, 30, 0))
-    assert quiet.holds(("Fri 16:00 - Mon 06:00",), friday)
-    assert not quiet.holds(("Fri 16:00 - Mon 06:00",), friday - 2 * 3600)
-    assert quiet.holds(("22:00 - 06:00", "17:00 - 18:00"), friday)
-    assert not quiet.holds((), friday)
-    assert quiet.holds(("what a later program may write",), friday)
+    assert blackout_windows.holds(("Fri 16:00 - Mon 06:00",), friday)
+    assert not blackout_windows.holds(("Fri 16:00 - Mon 06:00",), friday - 2 * 3600)
+    assert blackout_windows.holds(("22:00 - 06:00", "17:00 - 18:00"), friday)
+    assert not blackout_windows.holds((), friday)
+    assert blackout_windows.holds(("what a later program may write",), friday)
 
 
 @pytest.mark.parametrize("text", [
@@ -51,4 +51,4 @@
 ])  # fmt: skip
 def test_what_is_no_span_is_refused(text: str) -> None:
     with pytest.raises(ValueError, match=r"."):
-        quiet.read(text)
+        blackout_windows.read(text)
--- a/tests/test_coordination.py
+++ b/tests/coordination/test_coordination.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from gladegw.coordination import duty as duties
-from gladegw.coordination import records, turns
+from gladegw.coordination import election_order, records
 from gladegw.coordination.lease import DRIFT, Fence, Lease, Refused, granted, renewed
 from gladegw.coordination.store import (
     MOST_OPERATIONS,
@@ -213,25 +213,25 @@
     all_of = dict.fromkeys(members, 1.0)
     rest = {name: 1.0 for name in members if name != gone}
     for duty in ("digest", "sweeper", "compare", "other"):
-        before, after = turns.order(duty, all_of), turns.order(duty, rest)
+        before, after = election_order.order(duty, all_of), election_order.order(duty, rest)
         assert [name for name in before if name != gone] == after
-        assert turns.wait(duty, before[0], all_of, 0.05) == 0.0
-        assert turns.heir(duty, before[0], all_of) == (before[1] if len(before) > 1 else "")
+        assert election_order.wait(duty, before[0], all_of, 0.05) == 0.0
+        assert election_order.heir(duty, before[0], all_of) == (before[1] if len(before) > 1 else "")
 
 
 def test_duties_spread_by_weight_and_a_flapping_member_gets_none() -> None:
-    flaps = turns.Flaps()
-    for number in range(turns.FLAPS):
+    flaps = election_order.Flaps()
+    for number in range(election_order.FLAPS):
         flaps.seen("c", str(number), float(number))
     flaps.seen("a", "1", 0.0)
     weights = flaps.weights(["a", "b", "c"], 5.0)
     assert weights == {"a": 1.0, "b": 1.0, "c": 0.0}
-    firsts = [turns.order(f"duty-{n}", weights)[0] for n in range(400)]
+    firsts = [election_order.order(f"duty-{n}", weights)[0] for n in range(400)]
     assert firsts.count("c") == 0 and 150 < firsts.count("a") < 250
-    firsts = [turns.order(f"duty-{n}", {"a": 3.0, "b": 1.0})[0] for n in range(400)]
+    firsts = [election_order.order(f"duty-{n}", {"a": 3.0, "b": 1.0})[0] for n in range(400)]
     assert 260 < firsts.count("a") < 340
-    assert flaps.weights(["c"], turns.WINDOW + 10.0) == {"c": 1.0}
-    flaps.forget(turns.WINDOW + 10.0)
+    assert flaps.weights(["c"], election_order.WINDOW + 10.0) == {"c": 1.0}
+    flaps.forget(election_order.WINDOW + 10.0)
     assert not flaps.came
 
 
--- a/tests/test_explorer.py
+++ b/tests/coordination/test_duty_model.py
@@ -15,8 +15,8 @@
 from gladegw.coordination.duty import Action, Event, Phase
 from gladegw.coordination.lease import Lease
 from gladegw.coordination.store import Delete, Get, Put, Txn
-from gladegw.rig.explore.duties import Duties
-from gladegw.rig.explore.search import Search, walk
+from gladegw.rig.model_checking.duties import Duties
+from gladegw.rig.model_checking.search import Search, walk
 
 STEPS = 1200
 
--- a/tests/test_policy.py
+++ b/tests/coordination/test_policy_commit.py
@@ -10,10 +10,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gladegw.coordination import policy
-from gladegw.coordination.policy import Action, Force, Member, Open, Outcome, Phase, Verdict, Vote
-from gladegw.rig.explore.policies import Policies
-from gladegw.rig.explore.search import Search, walk
+from gladegw.coordination import policy_commit
+from gladegw.coordination.policy_commit import Action, Force, Member, Open, Outcome, Phase, Verdict, Vote
+from gladegw.rig.model_checking.policies import Policies
+from gladegw.rig.model_checking.search import Search, walk
 
 WALKS, STEPS = 60, 300
 
@@ -45,7 +45,7 @@
     ) -> Verdict:  # fmt: skip
         told = {"change": change, "force": force, "proposed_with": proposed, "registered": registered,
                 "votes": votes, "signed_off": left, "unreached": unreached}  # fmt: skip
-        return policy.verdict(**(told | {name: made(told) for name, made in changes.items()}))
+        return policy_commit.verdict(**(told | {name: made(told) for name, made in changes.items()}))
 
     return found
 
@@ -57,38 +57,40 @@
 
 
 def goes_back(member: Member, force: Force, change: Any, revision: int) -> Any:
-    return policy.told(replace(member, seen=0, epoch=min(member.epoch, force.epoch)), force, change, revision)
+    return policy_commit.told(
+        replace(member, seen=0, epoch=min(member.epoch, force.epoch)), force, change, revision
+    )
 
 
 def starts_by_its_file(member: Member, force: Force, change: Any, revision: int) -> Any:
     if member.phase is Phase.UNKNOWN and force.epoch:
         return replace(member, phase=Phase.SETTLED, epoch=0, joined=True), ()
-    return policy.told(member, force, change, revision)
+    return policy_commit.told(member, force, change, revision)
 
 
 def joins_at_once(member: Member, force: Force, change: Any, revision: int) -> Any:
-    after, actions = policy.told(member, force, change, revision)
+    after, actions = policy_commit.told(member, force, change, revision)
     return replace(after, joined=True), actions
 
 
 def takes_before_the_decision(member: Member, digest: str, able: bool) -> Any:
-    after, actions = policy.prepared(member, digest, able)
+    after, actions = policy_commit.prepared(member, digest, able)
     if after.phase is Phase.AGREED and after.change is not None:
         after = replace(after, epoch=after.change.epoch, digest=digest)
     return after, actions
 
 
 def agrees_to_what_it_cannot(member: Member, digest: str, able: bool) -> Any:
-    after, actions = policy.prepared(member, digest, able)
+    after, actions = policy_commit.prepared(member, digest, able)
     return after, tuple(Action.YES if action is Action.NO else action for action in actions)
 
 
 def rejoins_in_doubt(member: Member, goes_on: bool) -> Member:
-    return replace(policy.rejoined(member, goes_on), joined=goes_on and member.joined)
+    return replace(policy_commit.rejoined(member, goes_on), joined=goes_on and member.joined)
 
 
 def takes_any_bundle(member: Member, digest: str, able: bool) -> Any:
-    return policy.prepared(replace(member, wanted=digest or member.wanted), digest, able)
+    return policy_commit.prepared(replace(member, wanted=digest or member.wanted), digest, able)
 
 
 DEFECTS: dict[str, dict[str, Any]] = {
@@ -135,7 +137,7 @@
 def test_a_yes_needs_a_yes_of_each(
     proposed: set[str], registered: set[str], votes: dict[str, Vote], unreached: set[str]
 ) -> None:
-    found = policy.verdict(change, Force(2, "old"), proposed, registered, votes, (), unreached)
+    found = policy_commit.verdict(change, Force(2, "old"), proposed, registered, votes, (), unreached)
     agreed = {who for who, vote in votes.items() if vote == Vote(7, "new", True)}
     if found.outcome is Outcome.YES:
         assert registered and registered <= agreed and proposed <= registered and not unreached
@@ -147,5 +149,5 @@
 
 def test_one_that_signed_off_is_not_missed() -> None:
     votes = {"a": Vote(7, "new", True)}
-    assert policy.verdict(change, Force(2, "old"), "ab", "a", votes).outcome is Outcome.NO
-    assert policy.verdict(change, Force(2, "old"), "ab", "a", votes, "b").outcome is Outcome.YES
+    assert policy_commit.verdict(change, Force(2, "old"), "ab", "a", votes).outcome is Outcome.NO
+    assert policy_commit.verdict(change, Force(2, "old"), "ab", "a", votes, "b").outcome is Outcome.YES
--- a/tests/test_rollout.py
+++ b/tests/coordination/test_rollout.py
@@ -10,12 +10,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gladegw.control.windows import Windows
-from gladegw.coordination import fleetwide, policy, verdict
-from gladegw.coordination.policy import Action, Force, Member, Open
+from gladegw.control.sample_windows import Windows
+from gladegw.coordination import canary_analysis, fleet_regression, policy_commit
+from gladegw.coordination.canary_analysis import Answer, Evidence, Limits, Sample
+from gladegw.coordination.policy_commit import Action, Force, Member, Open
 from gladegw.coordination.records import Figures
 from gladegw.coordination.rollout import OVER, Do, Phase, Rollout, World, staged, step, turned
-from gladegw.coordination.verdict import Answer, Evidence, Limits, Sample
 
 FIRST = Rollout("r", "old", "new", (("a",), ("a", "b")))
 
@@ -139,9 +139,9 @@
 
 # a member in a stage
 def told(member: Member, force: Force, revision: int, change: Open | None = None) -> Member:
-    member, actions = policy.told(member, force, change, revision)
+    member, actions = policy_commit.told(member, force, change, revision)
     while Action.PREPARE in actions:
-        member, actions = policy.prepared(member, member.wanted, True)
+        member, actions = policy_commit.prepared(member, member.wanted, True)
     return member
 
 
@@ -154,32 +154,32 @@
 def test_a_member_of_a_stage_holds_the_way_back() -> None:
     member = in_stage()
     assert (member.digest, member.spare, member.serves) == ("new", "old", True)
-    back, actions = policy.told(member, Force(3, "old"), None, 4)
+    back, actions = policy_commit.told(member, Force(3, "old"), None, 4)
     assert actions == (Action.TAKE,) and back.digest == "old" and back.serves and not back.spare
 
 
 def test_one_that_begins_within_a_stage_prepares_the_way_back_beside_serving() -> None:
-    member, actions = policy.told(Member(), Force(2, "new", "old"), None, 1)
+    member, actions = policy_commit.told(Member(), Force(2, "new", "old"), None, 1)
     assert actions == (Action.PREPARE,)
-    member, actions = policy.prepared(member, "new", True)
+    member, actions = policy_commit.prepared(member, "new", True)
     assert actions == (Action.TAKE, Action.SPARE) and member.serves and not member.spare
-    assert policy.spared(member, "older") == member  # of a stage that is over
-    alone, actions = policy.unconfirmed(policy.spared(member, "old"))
+    assert policy_commit.spared(member, "older") == member  # of a stage that is over
+    alone, actions = policy_commit.unconfirmed(policy_commit.spared(member, "old"))
     assert actions == (Action.TAKE,) and alone.digest == "old" and alone.serves
 
 
 def test_one_that_hears_nothing_goes_back_by_itself_and_stays() -> None:
-    alone, actions = policy.unconfirmed(in_stage())
+    alone, actions = policy_commit.unconfirmed(in_stage())
     assert actions == (Action.TAKE,) and (alone.epoch, alone.digest) == (2, "old") and alone.serves
-    assert policy.unconfirmed(alone) == (alone, ())
+    assert policy_commit.unconfirmed(alone) == (alone, ())
     heard = told(alone, Force(2, "new", "old"), 5)
     assert heard.digest == "old"
-    again = told(policy.rejoined(heard), Force(2, "new", "old"), 6)
+    again = told(policy_commit.rejoined(heard), Force(2, "new", "old"), 6)
     assert again.digest == "old" and again.serves
     assert told(again, Force(3, "new", "old"), 7).digest == "new"  # the next stage is another decision
     agreed = told(in_stage(), Force(2, "new", "old"), 5, Open(9, 3, "next", "old"))
-    left, _ = policy.unconfirmed(agreed)
-    assert left.held == "next" and left.digest == "old" and policy.in_doubt(left)
+    left, _ = policy_commit.unconfirmed(agreed)
+    assert left.held == "next" and left.digest == "old" and policy_commit.in_doubt(left)
 
 
 # the verdict
@@ -232,12 +232,12 @@
     judged for some more. `others`: share that fails for everybody since the stage began."""
     draws, limits, evidence = Random(seed), Limits(), Evidence()
     for _ in range(3):
-        evidence = verdict.before(evidence, window(draws, 4.0, {}, 0.0))
-    found = verdict.judged(evidence, limits, False)
+        evidence = canary_analysis.before(evidence, window(draws, 4.0, {}, 0.0))
+    found = canary_analysis.judged(evidence, limits, False)
     for number in range(1, windows + more + 1):
         shock = (draws.choice([0.0, 0.0, 0.0, 0.05, 0.3]) if shocks else 0.0) + others
-        evidence = verdict.weighed(evidence, window(draws, 4.0, {"p3": bad}, shock), {"p3"}, limits)
-        found = verdict.judged(evidence, limits, number >= windows)
+        evidence = canary_analysis.weighed(evidence, window(draws, 4.0, {"p3": bad}, shock), {"p3"}, limits)
+        found = canary_analysis.judged(evidence, limits, number >= windows)
         if found.answer is Answer.WORSE or (number >= windows and found.answer is Answer.NOT_WORSE):
             return found.answer, number, found.reason
     return found.answer, number, found.reason
@@ -246,7 +246,8 @@
 HARMS = {
     "failed status": ({"failed status": 0.05}, 20), "ms nearby": ({"ms nearby": 30.0}, 20),
     "kB/s": ({"kB/s": 1000.0}, 7), "CPU ms": ({"cpu": 2.0}, 7), "attempts": ({"attempts": 0.5}, 7),
-    "late status": ({"late status": 0.2}, 20), "works by other backends": ({"astray": 1.0}, verdict.APART),
+    "late status": ({"late status": 0.2}, 20),
+    "works by other backends": ({"astray": 1.0}, canary_analysis.APART),
 }  # fmt: skip
 
 
@@ -265,7 +266,7 @@
 
 def test_what_is_usual_taken_for_certain_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Planted: the same error of it counts in each window."""
-    monkeypatch.setattr(verdict, "unsure", lambda pool, seen: 0.0)
+    monkeypatch.setattr(canary_analysis, "unsure", lambda pool, seen: 0.0)
     answers = [played(seed, {}, 30, shocks=seed % 2 == 0)[0] for seed in range(300)]
     assert answers.count(Answer.WORSE) > 1
 
@@ -279,21 +280,21 @@
 
 def test_without_the_look_at_all_shared_harm_is_missed(monkeypatch: pytest.MonkeyPatch) -> None:
     """Planted."""
-    monkeypatch.setattr(fleetwide, "worse", lambda before, recent, allowed: "")
+    monkeypatch.setattr(fleet_regression, "worse", lambda before, recent, allowed: "")
     assert played(1, {}, 15, others=0.05)[0] is Answer.NOT_WORSE
 
 
 def test_what_is_worse_while_the_list_moves_is_no_doubt() -> None:
-    calm = fleetwide.Whole({"failed status": (1, 500)}, {"ms status": 20.0}, "a")
+    calm = fleet_regression.Whole({"failed status": (1, 500)}, {"ms status": 20.0}, "a")
     bad = replace(calm, rates={"failed status": (50, 500)})
     slow = replace(calm, levels={"ms status": 30.0})
     allowed = Limits().allowed
 
-    def said(*windows: fleetwide.Whole) -> str:
-        recent: tuple[fleetwide.Whole, ...] = ()
+    def said(*windows: fleet_regression.Whole) -> str:
+        recent: tuple[fleet_regression.Whole, ...] = ()
         for one in windows:
-            recent = fleetwide.lately(recent, one)
-        return fleetwide.worse((calm,) * 6, recent, allowed)
+            recent = fleet_regression.lately(recent, one)
+        return fleet_regression.worse((calm,) * 6, recent, allowed)
 
     assert said(*[bad] * 6) == "failed status 10% where it was 0.2%"
     assert said(*[slow] * 5, calm) == "ms status 30 where it was 20"
@@ -301,13 +302,15 @@
     assert said(*[replace(bad, backends=word) for word in "ababababababab"]) == ""
     assert said(*[bad] * 6, replace(calm, backends="b")) == ""  # known: another list
     assert said(*[bad] * 3, *[replace(bad, backends="b")] * 7) != ""
-    assert fleetwide.worse((calm,) * 2, (bad,) * 6, allowed) == ""
+    assert fleet_regression.worse((calm,) * 2, (bad,) * 6, allowed) == ""
 
 
 def test_too_little_is_no_verdict() -> None:
     assert played(1, {}, 2, more=0)[0] is Answer.THIN
     few = dict(list(window(Random(1), 4.0, {}, 0).items())[:3])
-    assert verdict.weighed(Evidence(), few, {"p0"}, Limits()) == Evidence()  # two others are no comparison
+    assert (
+        canary_analysis.weighed(Evidence(), few, {"p0"}, Limits()) == Evidence()
+    )  # two others are no comparison
 
 
 @given(st.integers(0, 200), st.integers(0, 200), st.lists(st.tuples(st.integers(0, 50), st.integers(0, 200))))
@@ -315,14 +318,16 @@
     bad: int, good: int, others: list[tuple[int, int]]
 ) -> None:
     rest = [(min(b, n), n) for b, n in others]
-    assert max(verdict.rate_factor(bad, bad + good, rest, 0.01)) <= verdict.CAP + 1e-9
+    assert max(canary_analysis.rate_factor(bad, bad + good, rest, 0.01)) <= canary_analysis.CAP + 1e-9
 
 
 def test_a_rank_is_a_fair_wager() -> None:
     """Its mean over all ranks is at most 1: that bounds the false stops."""
     for others in (3, 11, 39):
         values = list(range(others + 1))
-        mean = sum(math.exp(verdict.rank_factor(v, [o for o in values if o != v], 0.0)) for v in values)
+        mean = sum(
+            math.exp(canary_analysis.rank_factor(v, [o for o in values if o != v], 0.0)) for v in values
+        )
         assert mean / (others + 1) <= 1.0
 
 
@@ -351,7 +356,7 @@
         for name in NAMES:
             if name != "p3":
                 found[name] = replace(found[name], late={})
-        evidence = verdict.weighed(evidence, found, {"p3"}, Limits())
+        evidence = canary_analysis.weighed(evidence, found, {"p3"}, Limits())
     assert evidence.peaks.get("late status", 0.0) == 0.0
 
 
@@ -361,19 +366,19 @@
 
     apart = 0
     for mine, others in (("a", "bbb"), ("a", "bbc"), ("a", "ccc"), ("", "ccc")):
-        apart = verdict.apart_for(apart, samples(mine), samples(*others))
+        apart = canary_analysis.apart_for(apart, samples(mine), samples(*others))
     assert apart == 0  # one that does not tell is no other
     for mine, others in (("a", "bbb"), ("a", "bbc"), ("a", "ccc")):
-        apart = verdict.apart_for(apart, samples(mine), samples(*others))
+        apart = canary_analysis.apart_for(apart, samples(mine), samples(*others))
     assert apart == 2
-    assert verdict.apart_for(apart, samples("c"), samples(*"ccc")) == 0
+    assert canary_analysis.apart_for(apart, samples("c"), samples(*"ccc")) == 0
 
 
 def test_time_alone_does_not_acquit_what_is_in_doubt() -> None:
     """Found by a simulated fleet: half of the requests failed, and evidence short of the bound was none."""
     half = Evidence(wagers={"failed status": (math.log(60),)}, peaks={"failed status": math.log(60)},
                     requests=500, windows=4)  # fmt: skip
-    found = verdict.judged(half, Limits(), True)
+    found = canary_analysis.judged(half, Limits(), True)
     assert found.answer is Answer.THIN and found.reason == "in doubt, failed status: e-value 60 of 100"
     calmed = replace(half, wagers={"failed status": (math.log(2),)})  # it was bad once, and is not any more
-    assert verdict.judged(calmed, Limits(), True).answer is Answer.NOT_WORSE
+    assert canary_analysis.judged(calmed, Limits(), True).answer is Answer.NOT_WORSE
--- a/tests/test_door.py
+++ b/tests/limits/test_connection_limits.py
@@ -11,12 +11,12 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from netkit import Backend, Caller, Proxy, proxy, run
+from support.loopback import Backend, Caller, Proxy, proxy, run
 
-from gladegw.limits.descriptors import LEAST_START, REST, shares
-from gladegw.limits.pace import FIRST, HEAD, SLOWEST, STALL, Pace
-from gladegw.limits.room import FIRST as SILENT
-from gladegw.limits.room import PATIENCE, YOUNG, Press, Stage, gives_way, late
+from gladegw.limits.connection_eviction import FIRST as SILENT
+from gladegw.limits.connection_eviction import PATIENCE, YOUNG, Press, Stage, gives_way, late
+from gladegw.limits.descriptor_budget import LEAST_START, REST, shares
+from gladegw.limits.request_timeouts import FIRST, HEAD, SLOWEST, STALL, Pace
 
 TRUE_RATE = 64_000  # bytes a second at which a slow true client writes
 
--- a/tests/test_flood.py
+++ b/tests/limits/test_flood.py
@@ -6,7 +6,7 @@
 import sys
 
 import pytest
-from netkit import Backend, proxy, run
+from support.loopback import Backend, proxy, run
 
 from gladegw.rig import process
 from gladegw.rig.traffic import flood
--- a/tests/test_addresses.py
+++ b/tests/net/test_addresses.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 import pytest
-from certificates import Authority
-from netkit import PATIENCE, Backend, Caller, Proxy, free_port, proxy, run
+from support.certificates import Authority
+from support.loopback import PATIENCE, Backend, Caller, Proxy, free_port, proxy, run
 
 from gladegw.net.addresses import (
     LONGEST,
@@ -231,7 +231,7 @@
                 caller = await started(node, header)
                 assert (await caller.call("stock", "a" * 16)).code == 403
                 assert await caller.ended()
-                assert "via=127.0.0.1" in await node.line("gladegw.net.access", "code=403")
+                assert "via=127.0.0.1" in await node.line("gladegw.net.access_log", "code=403")
             await node.line("gladegw.answers:", "class:stock,tenant:other,code:403")
             admitted = await started(node, v2("203.0.114.1", 7))
             assert (await admitted.call("stock", "b" * 16)).code == 200
--- a/tests/test_attempts_sockets.py
+++ b/tests/net/test_attempts_sockets.py
@@ -10,7 +10,7 @@
 import time
 from pathlib import Path
 
-from netkit import (
+from support.loopback import (
     GRADES,
     PATIENCE,
     SETTINGS,
--- a/tests/test_capture.py
+++ b/tests/net/test_capture.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 import pytest
-from netkit import (
+from support.loopback import (
     GRADES,
     PATIENCE,
     ROOT,
@@ -28,14 +28,14 @@
 )
 
 from gladegw import Arrival, Balancer, Gone, ListKind, Outcome, Probe, Probed, Send, ServerList, Status
-from gladegw.benchlink import read_settings
-from gladegw.interface import Event
+from gladegw.balancing.events import Event
+from gladegw.balancing.server_selection import Servers
 from gladegw.net.capture import Capture, CaptureSettings
 from gladegw.net.config import Config, flatten
-from gladegw.net.lists import read_listing, server_id
+from gladegw.net.endpoint_lists import read_listing, server_id
 from gladegw.net.request import Request
 from gladegw.replay import Unusable, differences, replay
-from gladegw.servers import Servers
+from gladegw.simulator_adapter import read_settings
 
 TENANTS = [{"name": "hill-routes", "quota_rps": 20.0, "portion": 0.5}]
 NAMES = [f"s-{number:08x}" for number in range(1, 7)]
--- a/tests/test_closing.py
+++ b/tests/net/test_closing.py
@@ -9,14 +9,14 @@
 from typing import Any
 
 import pytest
-from netkit import PATIENCE, Backend, Seen, proxy, run, serve_ok
+from support.loopback import PATIENCE, Backend, Seen, proxy, run, serve_ok
 
-from gladegw.interface import Effect
-from gladegw.net.client import NO_HEADERS
-from gladegw.net.peer import Reply
+from gladegw.balancing.events import Effect
+from gladegw.net.downstream.connection import NO_HEADERS
+from gladegw.net.downstream.server import Server
+from gladegw.net.interfaces import Reply
 from gladegw.net.request import Request
-from gladegw.net.server import Server
-from gladegw.operators.ledger import Ledger
+from gladegw.operators.request_counters import Ledger
 
 LARGE = 4 << 20  # bytes of an answer that no socket's buffers hold
 
--- a/tests/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from netkit import (
+from support.loopback import (
     PATIENCE,
     SETTINGS,
     Backend,
--- a/tests/test_listener.py
+++ b/tests/net/test_listener.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from netkit import free_port
+from support.loopback import free_port
 
 from gladegw.net import listener, sockets
 
--- a/tests/test_many_servers.py
+++ b/tests/net/test_many_servers.py
@@ -7,11 +7,11 @@
 import contextlib
 import time
 
-from netkit import SETTINGS, read_message, response, run
-from proxykit import WatchedDiscovery, proxies
+from support.loopback import SETTINGS, read_message, response, run
+from support.proxies import WatchedDiscovery, proxies
 
+from gladegw.rig.cpu_limit import CpuShare
 from gladegw.rig.nodes.many import ManyServers
-from gladegw.rig.share import CpuShare
 
 SERVERS = 3200
 GRACE = 0.55  # s, with the slack of sockets
--- a/tests/test_figures.py
+++ b/tests/net/test_metrics.py
@@ -14,14 +14,14 @@
 from typing import Any
 
 import pytest
-from helpers import settings as served
-from netkit import PATIENCE, Backend, Caller, proxy, run, start_program
+from support.balancing import settings as served
+from support.loopback import PATIENCE, Backend, Caller, proxy, run, start_program
 
 from gladegw import Tenant
 from gladegw.net import features
-from gladegw.net.figures import DATAGRAM, Figures, FiguresSettings, LineFormat, StatsD, datagrams
-from gladegw.net.peer import Asked
-from gladegw.net.writer import Writer
+from gladegw.net.background_writer import Writer
+from gladegw.net.interfaces import Asked
+from gladegw.net.metrics import DATAGRAM, Figures, FiguresSettings, LineFormat, StatsD, datagrams
 
 TENANTS = [{"name": "coastal-cabs", "quota_rps": 100.0, "portion": 0.5}]
 
--- a/tests/test_stamps.py
+++ b/tests/net/test_policy_epochs.py
@@ -8,15 +8,15 @@
 from pathlib import Path
 
 import pytest
-from fleetkit import store
 from hypothesis import given
 from hypothesis import strategies as st
-from netkit import PATIENCE, Answer, Backend, Proxy, Seen, response, run
+from support.fleet import store
+from support.loopback import PATIENCE, Answer, Backend, Proxy, Seen, response, run
 from test_policy_sockets import Site
 
 from gladegw import replay
-from gladegw.coordination.stamps import DECIDES, MOST_HELD, Shelf, Stamp, Standing, read
-from gladegw.rig.trouble.links import Link
+from gladegw.coordination.policy_epochs import DECIDES, MOST_HELD, Shelf, Stamp, Standing, read
+from gladegw.rig.faults.links import Link
 
 STAMP = "X-Policy-Epoch"
 
@@ -116,7 +116,7 @@
         writer.write(response(told.code, told.body, **more))
 
     async def _tier(self, tier: str, backends: dict[str, Backend], more: str) -> Proxy:
-        from netkit import proxy
+        from support.loopback import proxy
 
         made = proxy(backends, features=self.settings_of(tier, more), name=tier)
         return await self.stack.enter_async_context(made)
--- a/tests/test_proxy.py
+++ b/tests/net/test_proxy.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from netkit import (
+from support.loopback import (
     PATIENCE,
     SETTINGS,
     Backend,
@@ -31,9 +31,9 @@
 
 from gladegw import Status
 from gladegw.net.config import address
-from gladegw.net.exchange import Exchange
-from gladegw.net.lists import read_listing
-from gladegw.net.upstream import REST, Upstreams
+from gladegw.net.endpoint_lists import read_listing
+from gladegw.net.upstream.connections import REST, Upstreams
+from gladegw.net.upstream.exchange import Exchange
 
 
 async def next_call(backend: Backend) -> Seen:
--- a/tests/test_routes_sockets.py
+++ b/tests/net/test_routes_sockets.py
@@ -17,14 +17,26 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from netkit import PATIENCE, Backend, Discovery, Proxy, Seen, config, endpoint, listing, proxy, response, run
+from support.loopback import (
+    PATIENCE,
+    Backend,
+    Discovery,
+    Proxy,
+    Seen,
+    config,
+    endpoint,
+    listing,
+    proxy,
+    response,
+    run,
+)
 
 from gladegw.net.config import load
-from gladegw.net.desk import OpenCall
 from gladegw.net.features import RoutesSettings
 from gladegw.net.request import read_head
+from gladegw.net.route_tables import prepared
 from gladegw.net.routes import Pools, Unheard
-from gladegw.net.tables import prepared
+from gladegw.net.shared_resources import OpenCall
 from gladegw.replay import differences
 from gladegw.routing.findings import RoutingError
 from gladegw.routing.split import hasher
--- a/tests/test_silent_watches.py
+++ b/tests/net/test_silent_watches.py
@@ -17,8 +17,8 @@
 from typing import Any
 
 import pytest
-from netkit import SETTINGS, read_message, response, run
-from proxykit import WatchedDiscovery, proxies
+from support.loopback import SETTINGS, read_message, response, run
+from support.proxies import WatchedDiscovery, proxies
 
 from gladegw.rig.nodes.many import ManyServers
 
--- a/tests/test_streams.py
+++ b/tests/net/test_streams.py
@@ -14,9 +14,9 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from netkit import PATIENCE, Backend, Proxy, proxy, response, run
+from support.loopback import PATIENCE, Backend, Proxy, proxy, response, run
 
-from gladegw.limits.memory import LEAST_PIECE, MOST_PIECE, PIECES, STREAMS_SHARE, piece
+from gladegw.limits.buffer_budget import LEAST_PIECE, MOST_PIECE, PIECES, STREAMS_SHARE, piece
 
 MB = 1 << 20
 
--- a/tests/test_system_calls.py
+++ b/tests/net/test_system_calls.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from netkit import (
+from support.loopback import (
     PATIENCE,
     Backend,
     Discovery,
@@ -23,11 +23,11 @@
     until_ready,
 )
 
-from gladegw.interface import Status
-from gladegw.net.entrance import Entrance
-from gladegw.net.exchange import Exchange
-from gladegw.net.lists import read_listing
-from gladegw.net.upstream import Upstreams
+from gladegw.balancing.events import Status
+from gladegw.net.acceptor import Entrance
+from gladegw.net.endpoint_lists import read_listing
+from gladegw.net.upstream.connections import Upstreams
+from gladegw.net.upstream.exchange import Exchange
 
 TOLD_AFTER_SIGHUP = 4.0  # s
 REQUEST = b"GET /stock HTTP/1.1\r\nX-Call-Id: 1\r\n\r\n"
--- a/tests/test_tls.py
+++ b/tests/net/test_tls.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 import pytest
-from certificates import Authority
-from netkit import PATIENCE, Backend, Caller, Proxy, free_port, proxy, response, run, start_program
+from support.certificates import Authority
+from support.loopback import PATIENCE, Backend, Caller, Proxy, free_port, proxy, response, run, start_program
 
 from gladegw.net.config import ConfigError
 from gladegw.net.tls import Tls, TlsSettings, subject
@@ -97,7 +97,7 @@
         async with proxy({"s-1": Backend()}, features=port.features) as node:
             known = await port.caller(node, port.client(car))
             assert (await known.call("stock", "a" * 16, X_Caller='dash"link')).code == 200
-            line = await node.line("gladegw.net.access", '"aaaaaaaaaaaaaaaa"')
+            line = await node.line("gladegw.net.access_log", '"aaaaaaaaaaaaaaaa"')
             assert 'client_subject="CN=dash-0412,O=dash-link"' in line and "code=200" in line
             assert 'tenant="dash\\"link' in line
             unknown = await port.caller(node)
@@ -219,7 +219,7 @@
     async def test() -> None:
         file = tmp_path / "malabar.hcl"
         file.write_text('tls {\n  port = 1\n  cert = "/none"\n  key = "/none"\n}\n')
-        from netkit import config, listing
+        from support.loopback import config, listing
 
         raw = config("127.0.0.1:1", listing(1), f"127.0.0.1:{free_port()}")
         process = await start_program(raw, str(tmp_path), "-f", str(file))
--- a/tests/test_upstream_reuse.py
+++ b/tests/net/test_upstream_reuse.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 
 import pytest
-from netkit import PATIENCE, Backend, Seen, endpoint, listing, response, run, serve_ok
+from support.loopback import PATIENCE, Backend, Seen, endpoint, listing, response, run, serve_ok
 
-from gladegw.interface import Status
-from gladegw.net.exchange import Exchange
-from gladegw.net.lists import read_listing
-from gladegw.net.upstream import REST, Upstreams
+from gladegw.balancing.events import Status
+from gladegw.net.endpoint_lists import read_listing
+from gladegw.net.upstream.connections import REST, Upstreams
+from gladegw.net.upstream.exchange import Exchange
 
 REQUEST = b"GET /stock HTTP/1.1\r\nX-Call-Id: %d\r\n\r\n"
 
--- a/tests/test_wall_clock.py
+++ b/tests/net/test_wall_clock.py
@@ -6,9 +6,9 @@
 import time
 
 import pytest
-from netkit import endpoint, listing
+from support.loopback import endpoint, listing
 
-from gladegw.net.lists import Inventory
+from gladegw.net.endpoint_lists import Inventory
 
 STEPS = (-3600.0, -5.0, 5.0, 3600.0)  # s
 AGE = 3.0  # s since a server started, when a list first tells of it
--- a/tests/test_watch_continuity.py
+++ b/tests/net/test_watch_continuity.py
@@ -20,10 +20,10 @@
 from typing import Any
 
 import pytest
-from netkit import PATIENCE, endpoint, listing, response, run
+from support.loopback import PATIENCE, endpoint, listing, response, run
 
 from gladegw.net.discovery import Discovery
-from gladegw.net.lists import Listing
+from gladegw.net.endpoint_lists import Listing
 
 GOES_ON = 0.2  # s from an answer to the next call of a watch
 SLOW = 2.0  # s that it takes here until a list is taken
--- a/tests/test_operators.py
+++ b/tests/operators/test_commands.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gladegw.operators.calls import LONGEST, Backends, Line, Operators
-from gladegw.operators.ledger import Ledger
+from gladegw.operators.commands import LONGEST, Backends, Line, Operators
 from gladegw.operators.lifecycle import TABLE, Event, Lifecycle, Refused, State
+from gladegw.operators.request_counters import Ledger
 
 
 def operators(life: Lifecycle | None = None, able: bool = True) -> Operators:
--- a/tests/test_operators_sockets.py
+++ b/tests/operators/test_operators_sockets.py
@@ -9,7 +9,7 @@
 import tempfile
 
 import pytest
-from netkit import (
+from support.loopback import (
     PATIENCE,
     Backend,
     Caller,
--- a/tests/test_losses.py
+++ b/tests/rig/test_failover.py
@@ -7,9 +7,9 @@
 import sys
 
 import pytest
-from netkit import ROOT, run
+from support.loopback import ROOT, run
 
-from gladegw.rig.measures.losses import Judge, one_kind, quantiles
+from gladegw.rig.measures.failover import Judge, one_kind, quantiles
 from gladegw.rig.measures.member import Line
 
 
--- a/tests/test_linear.py
+++ b/tests/rig/test_linearizability.py
@@ -10,15 +10,15 @@
 from random import Random
 
 import pytest
-from fleetkit import Store, store
 from hypothesis import given
 from hypothesis import strategies as st
-from netkit import PATIENCE, run
+from support.fleet import Store, store
+from support.loopback import PATIENCE, run
 
-from gladegw.control.client import Client
 from gladegw.control.errors import RefusedByStore, StoreFault
+from gladegw.control.store_client import Client
 from gladegw.coordination.store import Compare, Get, Put, Target, Txn
-from gladegw.rig.store.linear import Seen, violations
+from gladegw.rig.store.linearizability import Seen, violations
 from gladegw.rig.store.record import read as recorded
 
 
--- a/tests/test_ports.py
+++ b/tests/rig/test_ports.py
@@ -7,7 +7,7 @@
 import sys
 
 import pytest
-from netkit import ROOT
+from support.loopback import ROOT
 
 from gladegw.rig import ports
 from gladegw.rig.errors import RigError
--- a/tests/test_rig_pure.py
+++ b/tests/rig/test_rig_pure.py
@@ -15,13 +15,13 @@
 
 from gladegw.rig import scenario
 from gladegw.rig.errors import ScenarioError, TraceError
+from gladegw.rig.faults import schedule
 from gladegw.rig.measures.report import bootstrap
 from gladegw.rig.nodes.model import KeyWindow, Kind, Life, NodeModel, Turn
 from gladegw.rig.nodes.registry import Endpoint, Registry
 from gladegw.rig.traffic.arrivals import Shape, Surge, times
 from gladegw.rig.traffic.traces import Count, Options, read
 from gladegw.rig.traffic.workload import CallClass, Mix, calls, retry_wait, try_budget
-from gladegw.rig.trouble import faults
 
 # -- arrivals ----------------------------------------------------------------------------------------
 
@@ -378,18 +378,18 @@
 
 def test_a_seed_gives_the_same_script_byte_for_byte(tmp_path: Path) -> None:
     first, again = (scenario_of(WHOLE, tmp_path) for _ in range(2))
-    assert msgspec.json.encode(faults.script(first)) == msgspec.json.encode(faults.script(again))
-    assert faults.digest(faults.script(first)) == "2bb3db9af6d5772f"
+    assert msgspec.json.encode(schedule.script(first)) == msgspec.json.encode(schedule.script(again))
+    assert schedule.digest(schedule.script(first)) == "2bb3db9af6d5772f"
     other = scenario_of(WHOLE.replace("seed     = 4", "seed     = 5"), tmp_path)
-    assert faults.digest(faults.script(other)) != faults.digest(faults.script(first))
+    assert schedule.digest(schedule.script(other)) != schedule.digest(schedule.script(first))
 
 
 def test_a_deploy_replaces_its_share_a_few_at_a_time(tmp_path: Path) -> None:
-    steps = [step for step in faults.script(scenario_of(WHOLE, tmp_path)) if step.action == "replace"]
+    steps = [step for step in schedule.script(scenario_of(WHOLE, tmp_path)) if step.action == "replace"]
     assert len(steps) == 8 == len({step.target for step in steps})
     assert len({step.at for step in steps}) == 8  # one at a time of ten nodes, at 15 in 100
     assert all(step.until == pytest.approx(step.at + 3) for step in steps)
-    kills = [step for step in faults.script(scenario_of(WHOLE, tmp_path)) if step.action == "kill"]
+    kills = [step for step in schedule.script(scenario_of(WHOLE, tmp_path)) if step.action == "kill"]
     assert len(kills) == 3 and all(step.until == 6 for step in kills)
 
 
--- a/tests/test_rig_sockets.py
+++ b/tests/rig/test_rig_sockets.py
@@ -24,7 +24,7 @@
 from gladegw.rig.play import play
 from gladegw.rig.scenario import read
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 PATIENCE = 60.0  # s
 
 SERVER = """
--- a/tests/test_rolled.py
+++ b/tests/rig/test_rolled.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from gladegw.control.duties.rollout import POINTS, THINNED, point_of
-from gladegw.coordination.fleetwide import Whole
+from gladegw.control.duties.rollout_controller import POINTS, THINNED, point_of
+from gladegw.coordination.canary_analysis import Evidence, Sample
+from gladegw.coordination.fleet_regression import Whole
 from gladegw.coordination.records import Limits, Point, Rollout, decode, encode
-from gladegw.coordination.verdict import Evidence, Sample
 from gladegw.rig.measures import rolled
 
 LIMITS = Limits(failed=0.002, refused=0.02, level=0.1, alpha=0.01, least_requests=200)
--- a/tests/test_scenario_store.py
+++ b/tests/rig/test_scenario_store.py
@@ -6,17 +6,17 @@
 
 import msgspec
 import pytest
-from netkit import run
+from support.loopback import run
 
 from gladegw.rig import scenario as scenarios
 from gladegw.rig.errors import ScenarioError
+from gladegw.rig.faults.schedule import bands, script
 from gladegw.rig.judging.judge import judge_folder
 from gladegw.rig.judging.ledger import FaultBand
 from gladegw.rig.judging.ledger import read as ledgers
 from gladegw.rig.play import play
-from gladegw.rig.store.linear import Seen
+from gladegw.rig.store.linearizability import Seen
 from gladegw.rig.store.record import RECORD, read
-from gladegw.rig.trouble.faults import bands, script
 
 TEXT = """scenario "s" { duration = 7 }
 load { rate = 40 }
--- a/tests/test_simulate.py
+++ b/tests/rig/test_simulate.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from gladegw.coordination import policy as table
+from gladegw.coordination import policy_commit as table
 from gladegw.rig.errors import RigError
-from gladegw.rig.simulate import many, outages, rollouts
-from gladegw.rig.simulate.course import Simulated
-from gladegw.rig.simulate.many import Asked, courses, first_found
-from gladegw.rig.simulate.planted import DEFECTS
+from gladegw.rig.simulate import outages, parallel_runs, rollouts
+from gladegw.rig.simulate.parallel_runs import Asked, courses, first_found
+from gladegw.rig.simulate.scenario_run import Simulated
+from gladegw.rig.simulate.seeded_defects import DEFECTS
 
 LASTS = 60.0
 SEEDS = 4  # that are looked at for a defect: another program has other courses
@@ -57,7 +57,7 @@
 
 
 def test_a_course_that_does_not_end_is_said(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(many, "WITHIN", 0.05)
+    monkeypatch.setattr(parallel_runs, "WITHIN", 0.05)
     with pytest.raises(RigError, match="seed=3.* has not ended"):
         asyncio.run(played(Asked(seed=3)))
 
--- a/tests/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from netkit import run
+from support.loopback import run
 
 from gladegw.rig import soak
 
--- a/tests/test_supervise.py
+++ b/tests/supervisor/test_supervise.py
@@ -14,7 +14,7 @@
 
 import msgspec
 import pytest
-from netkit import ROOT, run
+from support.loopback import ROOT, run
 
 from gladegw.rig import process
 from gladegw.rig.judging import ledger
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""Helpers that several tests share."""
--- a/tests/fleetkit.py
+++ b/tests/support/fleet.py
@@ -13,15 +13,15 @@
 from typing import Any
 
 import msgspec
-from netkit import PATIENCE, ROOT, Proxy
 
-from gladegw.control import fleet
-from gladegw.control.client import Client
+from gladegw.control import fleet_status
 from gladegw.control.errors import StoreFault
+from gladegw.control.store_client import Client
 from gladegw.coordination.records import Fleet, RecordError, decode
 from gladegw.coordination.store import Get
 from gladegw.rig import process
 from gladegw.rig.store.launch import launch
+from support.loopback import PATIENCE, ROOT, Proxy
 
 PREFIX = "/malabar"
 TTL = 1  # s
@@ -52,18 +52,18 @@
         async with asyncio.timeout(PATIENCE):
             while True:
                 with contextlib.suppress(StoreFault):
-                    return await fleet.read(self.client, PREFIX)
+                    return await fleet_status.read(self.client, PREFIX)
                 await asyncio.sleep(0.02)
 
     async def members(self, wanted: Callable[[list[dict[str, Any]]], bool]) -> list[dict[str, Any]]:
-        found: list[dict[str, Any]] = await self._until(fleet.members, wanted)
+        found: list[dict[str, Any]] = await self._until(fleet_status.members, wanted)
         return found
 
     async def duties(self, wanted: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
         """Holder and token by duty, once they are as wanted."""
 
         def told(view: Any) -> dict[str, Any]:
-            return {duty["name"]: (duty["holder"], duty["token"]) for duty in fleet.duties(view)}
+            return {duty["name"]: (duty["holder"], duty["token"]) for duty in fleet_status.duties(view)}
 
         found: dict[str, Any] = await self._until(told, wanted)
         return found
--- a/tests/netkit.py
+++ b/tests/support/loopback.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 PATIENCE = 20.0  # s; a test that waits longer has failed
 
 GRADES: list[dict[str, Any]] = [
--- a/tests/proxykit.py
+++ b/tests/support/proxies.py
@@ -11,7 +11,8 @@
 from pathlib import Path
 from typing import Any, Self
 
-from netkit import (
+from gladegw.rig.nodes.many import ManyServers
+from support.loopback import (
     PATIENCE,
     ROOT,
     Caller,
@@ -23,8 +24,6 @@
     until_ready,
 )
 
-from gladegw.rig.nodes.many import ManyServers
-
 
 class WatchedDiscovery:
     """A stand-in for discovery whose watches wait for a change, of which there is one at a time."""
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -7,8 +7,8 @@
 import sys
 from pathlib import Path
 
-import known_red
 import pytest
+from support import known_red
 
 HERE = Path(__file__).parent
 TESTS = """
@@ -35,8 +35,8 @@
 
 
 def run_tests(folder: Path, listed: str) -> subprocess.CompletedProcess[str]:
-    (folder / "tests").mkdir()
-    for name in ("conftest.py", "known_red.py"):
+    (folder / "tests" / "support").mkdir(parents=True)
+    for name in ("conftest.py", "support/__init__.py", "support/known_red.py"):
         shutil.copy(HERE / name, folder / "tests" / name)
     (folder / "tests" / "test_it.py").write_text(TESTS)
     (folder / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
--- a/tests/test_wire.py
+++ b/tests/test_simulator_adapter.py
@@ -11,7 +11,7 @@
 import pytest
 
 from gladegw import Balancer, Settings, Tell
-from gladegw.benchlink import Host, read_settings, write_action
+from gladegw.simulator_adapter import Host, read_settings, write_action
 
 ROOT = Path(__file__).parent.parent
 PARAMS = (
@@ -63,7 +63,7 @@
 
 def run(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "gladegw.benchlink"],
+        [sys.executable, "-m", "gladegw.simulator_adapter"],
         input=text,
         capture_output=True,
         text=True,
@@ -244,7 +244,7 @@
 
 def test_input_that_is_not_utf8_ends_with_status_2() -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "gladegw.benchlink"],
+        [sys.executable, "-m", "gladegw.simulator_adapter"],
         input=b"tick clock=1 seq=0\n\xff\xfe=1\nm\n",
         capture_output=True,
         cwd=ROOT,
