--- a/gladegw/balancing/admission.py
+++ b/gladegw/balancing/admission.py
@@ -33,14 +33,19 @@
     """A class of requests with what was learned of it."""
 
     def __init__(self, cls: RequestClass, stage: int) -> None:
-        self.worth, self.aim, self.deadline, self.effect = cls.worth, cls.aim, cls.deadline, cls.effect
+        self.worth, self.aim, self.deadline, self.effect = (
+            cls.priority_weight,
+            cls.latency_objective,
+            cls.deadline,
+            cls.effect,
+        )
         self.group, self.window = cls.group, cls.window
-        self.late_counts = cls.late_worth > 0
+        self.late_counts = cls.late_weight_fraction > 0
         # The target of an inner call: a caller makes about two calls, one after another, at each tier.
-        self.least_target = TARGET * cls.aim / 2**stage
+        self.least_target = TARGET * cls.latency_objective / 2**stage
         # Until the unhurried latency is known the target is the loosest: where an instance sees a call a
         # second, a guess of the unhurried latency that is too low closes W on a quiet day and keeps it shut.
-        self.target = MOST_TARGET * cls.aim
+        self.target = MOST_TARGET * cls.latency_objective
         self.base = math.inf  # s, the mean latency when little is in the way
         self.mean = Mean(self.least_target / 2)
         self.budgets: deque[float] = deque(maxlen=BUDGETS)
--- a/gladegw/balancing/balancer.py
+++ b/gladegw/balancing/balancer.py
@@ -18,15 +18,16 @@
     Action,
     Arrival,
     Cancel,
+    ClientDisconnected,
     CloseIdle,
+    DecisionObserver,
     Effect,
     Event,
-    Gone,
     ListKind,
     Log,
     Outcome,
     Probe,
-    Probed,
+    ProbeResult,
     ServerList,
     ServerState,
     SetTimer,
@@ -35,7 +36,6 @@
     StreamStarted,
     Timer,
     Watch,
-    Witness,
 )
 from gladegw.balancing.parameters import (
     EJECT_FIRST,
@@ -101,10 +101,10 @@
         self.stalled = False  # this batch comes after a pause of the instance's own
         self.timer_set = False
         self.freshness = Freshness(
-            self.random, settings.ask_for_list, settings.drain_grace, settings.connect_timeout
+            self.random, settings.polls_endpoints, settings.drain_grace, settings.connect_timeout
         )
         self.servers.sure_for = self.freshness.sure_for
-        self.witness: Witness | None = None
+        self.observer: DecisionObserver | None = None
         self.arriving: dict[int, dict[str, Any]] = {}  # for the witness: what a fresh call was made of
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
@@ -120,11 +120,11 @@
             elif type(event) is Timer:
                 if event.token == TICK_TOKEN:
                     self.timer_set = False
-            elif type(event) is Probed:
+            elif type(event) is ProbeResult:
                 self.on_probed(event)
             elif type(event) is ServerList:
                 self.on_list(event)
-            elif type(event) is Gone:
+            elif type(event) is ClientDisconnected:
                 self.on_gone(event)
             elif type(event) is StreamStarted:
                 self.on_stream(event)
@@ -147,7 +147,7 @@
         self.last_step = self.now
         _, crowd = self.servers.standing(self.now, 0.0)
         self.admission.window = max(FIRST_WINDOW, FIRST_SHARE * crowd)
-        self.freshness.start(self.now, self.settings.must_ask_within)
+        self.freshness.start(self.now, self.settings.max_poll_gap)
 
     # events
     def on_list(self, event: ServerList) -> None:
@@ -160,11 +160,11 @@
                 f"lapses_in_s={freshness.lapses_at - self.now:.3f}"
             )
             return
-        if event.kind is ListKind.MOVED:
+        if event.kind is ListKind.ADDRESS_CHANGED:
             self.freshness.moved(self.now)
             return
         if event.current:
-            self.freshness.told(self.now, event.kind is not ListKind.SAVED)
+            self.freshness.told(self.now, event.kind is not ListKind.CACHED)
         self.servers.take_list(event, self.now)
         self.admission.set_least(len(self.servers.known), self.settings.balancers)
 
@@ -174,8 +174,8 @@
         cls = self.kinds.get(event.cls)
         if cls is None or not 0 < event.budget < math.inf:
             self.gate.turn_away(event.call)
-            if self.witness is not None:
-                self.witness(event.call, "admit", {"at": self.now}, CUT)
+            if self.observer is not None:
+                self.observer(event.call, "admit", {"at": self.now}, CUT)
             return
         self.arrivals += 1
         cls.recent += 1
@@ -184,13 +184,13 @@
             self.quota_left[event.tenant] -= 1
         usual = 0.0 if cls.late_counts or self.settings.stage else cls.usual_budget(event.budget)
         call = self.call(event, cls, quota, usual)
-        call.most = event.attempts
-        if self.witness is not None:
+        call.most = event.max_attempts
+        if self.observer is not None:
             self.arriving[call.id] = {"work": event.work, "quota": quota, "usual": usual}
-            if event.attempts:
-                self.arriving[call.id]["most"] = event.attempts
-            if event.limit < math.inf:
-                self.arriving[call.id]["limit"] = event.limit
+            if event.max_attempts:
+                self.arriving[call.id]["most"] = event.max_attempts
+            if event.route_timeout < math.inf:
+                self.arriving[call.id]["limit"] = event.route_timeout
         self.gate.calls[call.id] = call
         self.admission.history.append(call.worth)
         self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_SHARE)
@@ -201,12 +201,12 @@
         budget of its class."""
         now = self.now
         worth = cls.worth
-        if self.settings.worth_by_work and event.work > 0:
+        if self.settings.weight_by_work and event.work > 0:
             worth *= event.work
         if quota is not None and quota < 1:
-            worth *= self.settings.over_share_worth
+            worth *= self.settings.over_quota_weight
         aim_left = self.aim_left(cls, event.budget, usual)
-        left = min(event.budget, event.limit)
+        left = min(event.budget, event.route_timeout)
         useful = left if cls.late_counts else min(left, aim_left)
         return Call(event.call, cls, worth, now, now + left, now + useful)
 
@@ -215,12 +215,12 @@
 
     def admit(self, call: Call) -> None:
         admitted = self.admits(call)
-        if self.witness is not None:
+        if self.observer is not None:
             admission = self.admission
             cut = None if math.isinf(admission.cut) else admission.cut
             used = {"cut": cut, "tie": admission.tie, "draw": admission.drawn}
             used |= {"at": self.now, **self.arriving[call.id]}
-            self.witness(call.id, "admit", used, HELD if admitted else CUT)
+            self.observer(call.id, "admit", used, HELD if admitted else CUT)
         if admitted:
             self.hold(call)
         else:
@@ -242,14 +242,14 @@
     def advice(self) -> float:
         """When a refused client should come back: by then the calls that fill W now have been answered. A
         client that is told nothing comes back sooner, into the same crowd."""
-        if not self.settings.may_advise_wait:
+        if not self.settings.may_send_retry_after:
             return 0.0
-        return min(self.settings.max_wait_advice, max(STEP, ADVICE * self.admission.proc))
+        return min(self.settings.max_retry_after, max(STEP, ADVICE * self.admission.proc))
 
     def refuse(self, call: Call) -> None:
         self.gate.answer(call, self.advice())
 
-    def on_gone(self, event: Gone) -> None:
+    def on_gone(self, event: ClientDisconnected) -> None:
         call = self.gate.calls.get(event.call)
         if call is None or call.ended:
             return
@@ -281,9 +281,9 @@
         status = event.status
         busy = self.busy
         server.out -= 1
-        if status == Status.FULL:
+        if status == Status.REJECTED:
             server.healthy_at = server.took_at = -math.inf  # a draining server says the same
-        if status != Status.MOOT:
+        if status != Status.NOT_SENT:
             server.since -= 1
         if status == Status.OK:
             server.used_at = now
@@ -303,9 +303,9 @@
         if call.out or call.queued:
             return
         repeats = self.repeats(call)
-        if self.witness is not None:
+        if self.observer is not None:
             used = {"at": now, "mean": cls.mean.value, "tokens": self.retry_tokens, "tries": tries(call)}
-            self.witness(call.id, "repeat", used, HELD if repeats else TRIES)
+            self.observer(call.id, "repeat", used, HELD if repeats else TRIES)
         if repeats:
             self.retry_tokens -= 1
             self.hold(call)
@@ -321,7 +321,7 @@
         """What an outcome says of procQ, W and the server."""
         cls, server, admission, servers = attempt.call.cls, attempt.server, self.admission, self.servers
         now = self.now
-        if status in (Status.CANCELLED, Status.MOOT):
+        if status in (Status.CANCELLED, Status.NOT_SENT):
             return
         if self.stalled and status in (Status.OK, Status.TIMEOUT):
             # The instance stood still: what looks slow or overdue was answered long ago. Guards against
@@ -338,9 +338,9 @@
             cls.mean.add(elapsed, 50)
         if ok and elapsed <= cls.target:
             admission.good(busy)
-        elif status in (Status.ERROR, Status.FULL):
+        elif status in (Status.ERROR, Status.REJECTED):
             own_fault = server.errors > servers.errors.value + 0.1
-            if not own_fault and (status == Status.FULL or servers.crowded(server, now)):
+            if not own_fault and (status == Status.REJECTED or servers.crowded(server, now)):
                 admission.bad()
         elif (
             not attempt.late
@@ -361,7 +361,7 @@
             server.latency_sum = server.latency_sum * FORGET + latency
             server.load_sum = server.load_sum * FORGET + attempt.load + 1
             servers.mean_load.add(attempt.load + 1, 100)
-        failed = status in (Status.ERROR, Status.RESET, Status.FULL)
+        failed = status in (Status.ERROR, Status.RESET, Status.REJECTED)
         server.errors += (failed - server.errors) * 0.2
         servers.errors.add(float(failed), 100)
         if ok:
@@ -397,7 +397,7 @@
                 self.busy -= 1
         self.servers.fill_pool(self.now)
 
-    def on_probed(self, event: Probed) -> None:
+    def on_probed(self, event: ProbeResult) -> None:
         server = self.servers.known.get(event.server)
         if server is None:
             return
@@ -409,7 +409,7 @@
             if server.ejected_until and self.now >= server.ejected_until:
                 self.servers.readmit(server, self.now)
                 self.servers.fill_pool(self.now)
-        elif event.status != Status.FULL:
+        elif event.status != Status.REJECTED:
             server.fail_streak += 1
             if server.ejected_until:
                 server.ejected_until = self.now + min(EJECT_LONGEST, EJECT_FIRST * 2**server.ejections)
@@ -498,12 +498,12 @@
         call = attempt.call
         if call.ended or call.streaming or call.queued or call.out > 1 or self.retry_tokens < 1:
             return
-        if call.cls.effect is not Effect.REPEATABLE or not self.gate.may_repeat(call):
+        if call.cls.effect is not Effect.IDEMPOTENT or not self.gate.may_repeat(call):
             return
         if call.useful_until - self.now < call.cls.mean.value:
             return
         attempt.rescued = True
-        if self.settings.may_duplicate:
+        if self.settings.may_hedge:
             self.retry_tokens -= 1
             self.hold(call)
         elif self.settings.may_cancel:
@@ -590,9 +590,9 @@
             if self.too_late(call):
                 del queue[place]
                 call.queued = False
-                if self.witness is not None:
+                if self.observer is not None:
                     used = {"at": now, "mean": call.cls.mean.value, "busy": self.busy, "tries": tries(call)}
-                    self.witness(call.id, "start", used, LATE)
+                    self.observer(call.id, "start", used, LATE)
                 self.refuse(call)
                 continue
             if self.asks and self.must_wait(call):
@@ -605,9 +605,9 @@
                 place += 1
                 continue
             server, load = choice
-            if self.witness is not None:
+            if self.observer is not None:
                 used = {"at": now, "mean": call.cls.mean.value, "busy": self.busy, "tries": tries(call)}
-                self.witness(call.id, "pick", used | servers.used(), server.id)
+                self.observer(call.id, "pick", used | servers.used(), server.id)
             until = call.deadline if call.cls.late_counts else max(call.useful_until, now + STEP)
             idle = servers.idle(server, now)
             if idle > servers.idle_safe and servers.opening < OPEN_DEAR:
@@ -640,10 +640,10 @@
         kept: list[Call] = []
         for call in self.queue:
             verdict = self.holds(call, len(kept), wait)
-            if self.witness is not None and (verdict != HELD or call.place is None):
+            if self.observer is not None and (verdict != HELD or call.place is None):
                 used = {"at": self.now, "mean": call.cls.mean.value, "place": len(kept), "before": call.place,
                         "wait": wait, "asked_until": call.asked_until, "tries": tries(call)}  # fmt: skip
-                self.witness(call.id, "hold", used, verdict)
+                self.observer(call.id, "hold", used, verdict)
             if verdict == HELD:
                 call.place = len(kept)
                 kept.append(call)
--- a/gladegw/balancing/endpoint_freshness.py
+++ b/gladegw/balancing/endpoint_freshness.py
@@ -10,7 +10,7 @@
 import math
 from random import Random
 
-from gladegw.balancing.events import CallFailure
+from gladegw.balancing.events import DiscoveryFailure
 
 WATCH_RETRY = 0.1  # s, doubled at each failure in a row: the pause before discovery is asked again
 WATCH_RETRY_MOST = 1.0  # s; with a call that hangs, still twice within the 6 s that a change may take
@@ -46,7 +46,7 @@
         )
         self.watch_at = -1.0
         self.fails = 0  # in a row
-        self.last_failure = CallFailure.UNANSWERED
+        self.last_failure = DiscoveryFailure.UNANSWERED
         self.news_at = 0.0  # until when no change can have been missed
         self.moved_at = math.inf  # when discovery got another address that has not answered yet
         self.asked_at = -math.inf  # since when the watch, or its present call, has been out
@@ -69,7 +69,7 @@
         """Discovery has another address; what the one before still tells is no news any more."""
         self.moved_at = now
 
-    def failed(self, now: float, failure: CallFailure) -> None:
+    def failed(self, now: float, failure: DiscoveryFailure) -> None:
         """A call failed."""
         self.watching = False
         if not self.fails:  # until then a watch was open, which may have fallen silent as it began
@@ -77,12 +77,12 @@
         self.fails += 1
         self.last_failure = failure
         doublings = min(self.fails, MOST_DOUBLINGS)
-        if failure is CallFailure.REFUSED_AT_ONCE and self.crowds:
+        if failure is DiscoveryFailure.REJECTED_IMMEDIATELY and self.crowds:
             most = CROWDED_RETRY_MOST if now < self.lapses_at else LAPSED_RETRY_MOST
             self.watch_at = now + self._drawn(CROWDED_RETRY * 2**doublings, most)
             return
         self.watch_at = now + self._drawn(WATCH_RETRY * 2**doublings, WATCH_RETRY_MOST)
-        if failure is CallFailure.REFUSED and self.crowds and self.fails > 1:
+        if failure is DiscoveryFailure.REJECTED and self.crowds and self.fails > 1:
             self.watch_at = max(self.watch_at, self.asked_at + self.random.uniform(*REFUSED_RETRY))
 
     def _drawn(self, longest: float, most: float) -> float:
@@ -124,4 +124,4 @@
     @property
     def reachable(self) -> bool:
         """Whether discovery is known to be up though it refuses calls, so that its changes count as known."""
-        return self.fails > 0 and self.last_failure is CallFailure.REFUSED_AT_ONCE
+        return self.fails > 0 and self.last_failure is DiscoveryFailure.REJECTED_IMMEDIATELY
--- a/gladegw/balancing/requests.py
+++ b/gladegw/balancing/requests.py
@@ -9,7 +9,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from gladegw.balancing.events import NEVER_RAN, Action, Effect, Fail, Refuse, Send, ServerState, Settings
+from gladegw.balancing.events import NEVER_RAN, Action, Effect, Fail, Reject, Send, ServerState, Settings
 from gladegw.balancing.parameters import STEP
 
 if TYPE_CHECKING:
@@ -109,12 +109,12 @@
             return False
         if not call.attempts:
             return True
-        if self.spent(call) or (call.out and not settings.may_duplicate):
+        if self.spent(call) or (call.out and not settings.may_hedge):
             return False
         first = self.may_have_run(call)
-        if first is None or call.cls.effect is Effect.REPEATABLE:
+        if first is None or call.cls.effect is Effect.IDEMPOTENT:
             return True
-        if call.cls.effect is Effect.ONCE:
+        if call.cls.effect is Effect.NOT_IDEMPOTENT:
             return False
         return self.same_group(call.cls, first.server, server) and now - first.sent_at < call.cls.window
 
@@ -135,7 +135,7 @@
 
     def may_refuse(self, call: Call) -> bool:
         effect = call.cls.effect
-        if effect is Effect.REPEATABLE or (effect is Effect.BY_KEY and call.cls.group == "all"):
+        if effect is Effect.IDEMPOTENT or (effect is Effect.IDEMPOTENCY_KEY and call.cls.group == "all"):
             return True
         return self.may_have_run(call) is None
 
@@ -143,7 +143,7 @@
         """Whether some further attempt could still be allowed."""
         if call.ended or call.streaming or self.spent(call):
             return False
-        return call.cls.effect is not Effect.ONCE or self.may_have_run(call) is None
+        return call.cls.effect is not Effect.NOT_IDEMPOTENT or self.may_have_run(call) is None
 
     def send(self, call: Call, server: Server, now: float, timeout: float, load: float) -> Attempt | None:
         if not self.may_send(call, server, now):
@@ -158,7 +158,7 @@
     def start_within(self, call: Call, now: float) -> float:
         """How long a further attempt may take to begin (seconds): a connection may be slow to come up."""
         first = self.may_have_run(call)
-        if first is None or call.cls.effect is not Effect.BY_KEY:
+        if first is None or call.cls.effect is not Effect.IDEMPOTENCY_KEY:
             return math.inf
         return first.sent_at + call.cls.window - now
 
@@ -167,14 +167,14 @@
         if call.ended:
             return
         if self.may_refuse(call):
-            self.actions.append(Refuse(call.id, retry_after))
+            self.actions.append(Reject(call.id, retry_after))
         else:
             self.actions.append(Fail(call.id))
         self.end(call)
 
     def turn_away(self, id: int) -> None:
         """The one answer to what cannot be a call: its class is unknown or its time is over."""
-        self.actions.append(Refuse(id))
+        self.actions.append(Reject(id))
         self.remember(id)
 
     def remember(self, id: int) -> None:
--- a/gladegw/balancing/server_selection.py
+++ b/gladegw/balancing/server_selection.py
@@ -94,7 +94,7 @@
         self.send_rate = self.peak_rate = 0.0
         self.learned_on = 0.0  # capacity, in units of weight, that W was learned on
         self.unit = 0.1  # s, the mean latency of a call
-        self.aim = max(cls.aim for cls in settings.classes)
+        self.aim = max(cls.latency_objective for cls in settings.classes)
         self.call_time = self.aim  # s of one call, at most: the mean latency once it is known
         self.idle_safe = settings.conn_idle  # s without use after which a connection is still trusted
         self.on_open, self.on_new = Mean(1.0), Mean(1.0)  # mean latencies of a call on such
@@ -107,7 +107,7 @@
             named.add(entry.server)
             server = self.known.get(entry.server)
             if server is None:
-                if entry.state is not ServerState.GONE:
+                if entry.state is not ServerState.REMOVED:
                     self.known[entry.server] = Server(entry, self.random.random())
                 continue
             restarted = entry.started_at > server.started_at
@@ -122,29 +122,29 @@
         if event.kind is not ListKind.INCREMENTAL:
             for server in self.known.values():
                 if server.id not in named:
-                    server.state = ServerState.GONE
-        for server in [s for s in self.known.values() if s.state is ServerState.GONE and not s.out]:
+                    server.state = ServerState.REMOVED
+        for server in [s for s in self.known.values() if s.state is ServerState.REMOVED and not s.out]:
             del self.known[server.id]
         self.rings = rings_of(s for s in self.known.values() if s.state is ServerState.SERVING)
         self.fill_pool(now)
 
     def fill_pool(self, now: float) -> None:
-        self.pool = pool_of(self.rings, self.settings.zone, self.settings.me)
+        self.pool = pool_of(self.rings, self.settings.zone, self.settings.instance)
         self.withhold(now)
 
     def ramp(self, server: Server, now: float) -> float:
         """Share of its capacity that a server surely has: it warms no slower than evenly."""
         age = now - server.ramp_from
-        if server.ramp_from <= 0 or age >= self.settings.cold_for:
+        if server.ramp_from <= 0 or age >= self.settings.warmup_time:
             return 1.0
-        from_share = self.settings.cold_from
-        return from_share + (1 - from_share) * max(0.0, age) / self.settings.cold_for
+        from_share = self.settings.warmup_start_fraction
+        return from_share + (1 - from_share) * max(0.0, age) / self.settings.warmup_time
 
     def fill_tokens(self, now: float, span: float) -> None:
         """A cold server looks idle to every instance at once: each may send no more than its fair share of
         what the server can do by now, so that all together stay under the budget of any window."""
         total = sum(server.hint for server in self.pool)
-        share = COLD_SHARE * self.settings.fall_multiple
+        share = COLD_SHARE * self.settings.overload_multiple
         # The peak, not the present rate: else few sends allow fewer still, and a fleet in a roll stays cold.
         self.peak_rate = max(self.send_rate, self.peak_rate * (1 - span / PEAK_MEMORY))
         all_cold = all(self.ramp(server, now) < 1 for server in self.pool)
@@ -161,13 +161,13 @@
         """Calls a second that an instance may send to a cold server though it has sent nothing yet that would
         tell what servers bear. Without it a fleet that is cold as a whole would not be served. Each bears one
         call at a time, and all instances together one call in the time that counts."""
-        return max(scale / self.call_time, 1 / self.settings.fall_within) / self.settings.balancers
+        return max(scale / self.call_time, 1 / self.settings.overload_window) / self.settings.balancers
 
     def lapse(self, server: Server, now: float) -> None:
         """What is not spent soon is lost: else a burst after a pause spends what all instances saved."""
         if server.tokens < 1:
             server.unspent_since = now
-        elif now > server.unspent_since + self.settings.fall_within:
+        elif now > server.unspent_since + self.settings.overload_window:
             server.tokens -= 1
 
     def standing(self, now: float, span: float) -> tuple[float, float]:
--- a/gladegw/net/capture.py
+++ b/gladegw/net/capture.py
@@ -23,7 +23,7 @@
 VERSION = 1
 LONGEST = 200  # characters of a peer's text
 TEXT_SHARE = 4  # a table of routes is kept with its text up to this part of the ring
-STATUS = {ServerState.SERVING: "Ready", ServerState.DRAINING: "Terminating", ServerState.GONE: "Gone"}
+STATUS = {ServerState.SERVING: "Ready", ServerState.DRAINING: "Terminating", ServerState.REMOVED: "Gone"}
 
 
 @dataclass(frozen=True, slots=True)
@@ -182,7 +182,7 @@
         for server in self.gone:
             del self.names[server]
         self.gone = {
-            listed.entry.server for listed in listing.backends if listed.entry.state is ServerState.GONE
+            listed.entry.server for listed in listing.backends if listed.entry.state is ServerState.REMOVED
         }
         if listing.whole:
             self.endpoints, self.names = {}, {}
@@ -202,7 +202,7 @@
         self.size += len(text)
         self._forget_list(before)
         for listed in listing.backends:
-            if listed.entry.state is ServerState.GONE:
+            if listed.entry.state is ServerState.REMOVED:
                 del self.endpoints[listed.name]
                 self.reports.pop(listed.entry.server, None)
         if listing.whole:
--- a/gladegw/net/discovery.py
+++ b/gladegw/net/discovery.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from gladegw.balancing.events import CallFailure
+from gladegw.balancing.events import DiscoveryFailure
 from gladegw.net.config import Address
 from gladegw.net.endpoint_lists import Inventory, Listing, decode
 
@@ -168,7 +168,7 @@
         version: int | None,
         must_ask_within: float,
         on_list: Callable[[Listing], None],
-        on_failed: Callable[[CallFailure], None],
+        on_failed: Callable[[DiscoveryFailure], None],
         inventory: Inventory | None = None,
     ) -> None:
         """`inventory`: the list of `version`, if one is known. `on_failed` is told how a call failed."""
@@ -315,11 +315,11 @@
             self.on_failed(self._kind(call, fault))
 
     @staticmethod
-    def _kind(call: Call, fault: Exception) -> CallFailure:
+    def _kind(call: Call, fault: Exception) -> DiscoveryFailure:
         if not isinstance(fault, RefusedError):
-            return CallFailure.UNANSWERED
+            return DiscoveryFailure.UNANSWERED
         waited = time.monotonic() - call.begun_at
-        return CallFailure.REFUSED_AT_ONCE if waited < AT_ONCE else CallFailure.REFUSED
+        return DiscoveryFailure.REJECTED_IMMEDIATELY if waited < AT_ONCE else DiscoveryFailure.REJECTED
 
     def _hand_on(self, listing: Listing, call: Call, size: int) -> None:
         began = time.monotonic()
--- a/gladegw/net/driver.py
+++ b/gladegw/net/driver.py
@@ -79,7 +79,7 @@
         self.on_empty: Callable[[], None] | None = None
         self.carriers: dict[type, Callable[[Any], None]] = {
             api.Send: self._send,
-            api.Refuse: self._refuse,
+            api.Reject: self._refuse,
             api.Fail: self._fail,
             api.Cancel: self._cancel,
             api.Probe: self._probe,
@@ -88,24 +88,24 @@
             api.Watch: lambda action: self.feed.watch(action.on),
             api.Fetch: lambda action: self.feed.fetch(),
             api.Log: lambda action: log.info("module: %s", action.text),
-            api.Tell: lambda action: None,  # there is no talk between proxies
+            api.SendToPeer: lambda action: None,  # there is no talk between proxies
         }
         self.feed: Feed = feed or self._own_feed()
         if capture is not None:
-            self.balancer.witness = capture.step
+            self.balancer.observer = capture.step
 
     def _own_feed(self) -> Discovery:
         config, inventory = self.config, Inventory()
         known = self.known(config, inventory)
         version = known.version if config.known else None
-        within = config.settings.must_ask_within
+        within = config.settings.max_poll_gap
         self.discovery = Discovery(
             config.discovery, version, within, self._on_list, self.list_failed, inventory
         )
         self.upstreams.apply(known)
         if self.capture is not None:
             self.capture.listed(known)
-        self.events.append(self._server_list(known, api.ListKind.SAVED))
+        self.events.append(self._server_list(known, api.ListKind.CACHED))
         return self.discovery
 
     @staticmethod
@@ -117,7 +117,7 @@
             raise ConfigError(f"bad configuration: known: {fault}") from None
 
     def start(self) -> None:
-        if not self.settings.ask_for_list:
+        if not self.settings.polls_endpoints:
             self.feed.watch(True)  # lists count as pushed from the first moment, and the module asks for none
         self._flush()
 
@@ -169,7 +169,7 @@
         call = self.calls.get(number)
         if call is not None:
             self._close(call, 502, (), b"internal error\n")
-            self._push(api.Gone(number))
+            self._push(api.ClientDisconnected(number))
 
     @staticmethod
     def _server_list(listing: Listing, kind: api.ListKind) -> api.ServerList:
@@ -183,12 +183,12 @@
         kind = api.ListKind.FULL if listing.whole else api.ListKind.INCREMENTAL
         self._push(self._server_list(listing, kind))
 
-    def list_failed(self, failure: api.CallFailure) -> None:
+    def list_failed(self, failure: api.DiscoveryFailure) -> None:
         self._push(api.ServerList(api.ListKind.FAILED, failure=failure))
 
     def discovery_moved(self) -> None:
         """A new configuration may name another address of discovery."""
-        self._push(api.ServerList(api.ListKind.MOVED))
+        self._push(api.ServerList(api.ListKind.ADDRESS_CHANGED))
 
     def follows(self, other: Driver) -> None:
         """This one begins with the list of one that has served until now: it is as old here as there."""
@@ -211,7 +211,7 @@
             # An earlier one of this name is still out, and a second copy could run beside it.
             reply.answer(409, (), b"this X-Call-Id is in use\n")
             return None
-        if self.settings.most_held and len(self.calls) >= self.settings.most_held:
+        if self.settings.max_open_requests and len(self.calls) >= self.settings.max_open_requests:
             reply.answer(503, ((b"retry-after", b"1"),), b"too many calls\n")
             return None
         while self.resting:
@@ -236,13 +236,13 @@
             budget=left,
             tenant=request.tenant,
             work=request.work,
-            resent=request.resent,
+            is_retry=request.resent,
             key=request.subject,
         )
         if request.routed is not None:
-            arrival.attempts = request.routed.attempts
+            arrival.max_attempts = request.routed.attempts
             if limit < request.budget:
-                arrival.limit = left - (request.budget - limit)
+                arrival.route_timeout = left - (request.budget - limit)
         if self.capture is not None and request.id:
             self.capture.taken(request, arrival, self.pool)
         self._push(arrival)
@@ -275,7 +275,7 @@
         if call.open:
             exchange = call.exchange
             self._settle(call, None)
-            self._push(api.Gone(call.number))
+            self._push(api.ClientDisconnected(call.number))
             if exchange is not None and (call.streaming or exchange.coming):
                 exchange.cancel()  # the module does not, where something has begun to flow
 
@@ -290,9 +290,9 @@
         harmless = not call.ran and (call.exchange is None or not call.exchange.sent)
         exchange = call.exchange
         self._close(call, 503 if harmless else 504, (), b"out of time\n")
-        self._push(api.Gone(call.number))
+        self._push(api.ClientDisconnected(call.number))
         if exchange is not None:
-            exchange.end(api.Status.TIMEOUT if exchange.sent else api.Status.MOOT)
+            exchange.end(api.Status.TIMEOUT if exchange.sent else api.Status.NOT_SENT)
 
     def _close(self, call: OpenCall, code: int, headers: Any, body: bytes) -> None:
         """The final answer. After it the call is gone from the table, so there is no second one."""
@@ -319,7 +319,7 @@
             # It ended before the module had heard of it; every send is owed an outcome, under its number.
             number = self.ended.get(action.call, 0)
             self.ended[action.call] = number + 1
-            self._push(api.Outcome(action.call, number, action.server, api.Status.MOOT, 0.0, True))
+            self._push(api.Outcome(action.call, number, action.server, api.Status.NOT_SENT, 0.0, True))
             return
         number = call.attempts
         call.attempts += 1
@@ -327,7 +327,7 @@
         if upstream is None or not upstream.serving or call.exchange is not None:
             if call.exchange is not None:
                 log.error("call %d: a second attempt while one is out", call.number)
-            self._push(api.Outcome(call.number, number, action.server, api.Status.MOOT, 0.0, False))
+            self._push(api.Outcome(call.number, number, action.server, api.Status.NOT_SENT, 0.0, False))
             return
         timeout = min(action.timeout, call.deadline - time.monotonic())
         request = call.request
@@ -419,7 +419,7 @@
                         self.capture.reported(server, value)
         self._push(api.Outcome(call.number, number, server, status, exchange.elapsed, not call.open, report))
 
-    def _refuse(self, action: api.Refuse) -> None:
+    def _refuse(self, action: api.Reject) -> None:
         call = self.calls.get(action.call)
         if call is not None:
             advice = ((b"retry-after", b"%.3f" % action.retry_after),) if action.retry_after > 0 else ()
@@ -438,7 +438,7 @@
     def _probe(self, action: api.Probe) -> None:
         upstream = self.upstreams.by_id.get(action.server)
         if upstream is None or not upstream.serving or self.probes >= MOST_PROBES:
-            self._push(api.Probed(action.server, api.Status.FULL, 0.0))  # not the backend's fault
+            self._push(api.ProbeResult(action.server, api.Status.REJECTED, 0.0))  # not the backend's fault
             return
         self.probes += 1
         target = "/healthz" if self.settings.reports == "none" else "/load"
@@ -452,9 +452,9 @@
             report = read_report(exchange.body) if status is api.Status.OK else None
             if report is not None and self.capture is not None:
                 self.capture.reported(action.server, exchange.body)
-            if status is api.Status.MOOT:
-                status = api.Status.FULL  # not asked, so nothing is known against it
-            self._push(api.Probed(action.server, status, exchange.elapsed, report))
+            if status is api.Status.NOT_SENT:
+                status = api.Status.REJECTED  # not asked, so nothing is known against it
+            self._push(api.ProbeResult(action.server, status, exchange.elapsed, report))
 
         probe = Exchange(upstream, lambda: request, PROBE_TIMEOUT, lambda: upstream.serving, done)
         self.upstreams.start(probe)
--- a/gladegw/net/endpoint_lists.py
+++ b/gladegw/net/endpoint_lists.py
@@ -12,7 +12,7 @@
 from gladegw.net.config import Address, address
 from gladegw.net.wallclock import StartTimes
 
-STATES = {"Ready": ServerState.SERVING, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
+STATES = {"Ready": ServerState.SERVING, "Terminating": ServerState.DRAINING, "Gone": ServerState.REMOVED}
 
 
 class Entry(msgspec.Struct, frozen=True, gc=False):
@@ -122,7 +122,7 @@
         for name, (entry, told) in changed.items():
             self.entries[name], self.known[name] = entry, told
         for told in found:
-            if told.entry.state is ServerState.GONE:
+            if told.entry.state is ServerState.REMOVED:
                 self.entries.pop(told.name, None)
                 self.known.pop(told.name, None)
         return Listing(answer.index, answer.snapshot and first, found)
@@ -139,7 +139,7 @@
         """What a whole list does not name is gone."""
         for name, told in self.known.items():
             if name not in named:
-                yield Listed(name, told.address, replace(told.entry, state=ServerState.GONE))
+                yield Listed(name, told.address, replace(told.entry, state=ServerState.REMOVED))
 
     def forget(self) -> None:
         """The next whole list is handed on whole."""
--- a/gladegw/net/request.py
+++ b/gladegw/net/request.py
@@ -150,9 +150,9 @@
         raise BadRequest(400, "X-Call-Id is missing")
     if budget is None:
         raise BadRequest(400, "X-Budget is missing or malformed")
-    if method != (b"GET" if effect is Effect.REPEATABLE else b"POST"):
+    if method != (b"GET" if effect is Effect.IDEMPOTENT else b"POST"):
         raise BadRequest(400, "wrong method for the class")
-    if (effect is Effect.BY_KEY) != bool(key):
+    if (effect is Effect.IDEMPOTENCY_KEY) != bool(key):
         raise BadRequest(400, "Idempotency-Key goes with a keyed class, and only with one")
     try:
         work = max(0.0, float(_one(headers, b"x-call-cost") or 0)) / 1e6
--- a/gladegw/net/route_tables.py
+++ b/gladegw/net/route_tables.py
@@ -20,7 +20,9 @@
     description = read_text(text, file, ("expect",))
     table = Table(description)
     rules = {
-        cls.name: ClassRule(cls.name, cls.worth, cls.aim * 1000, cls.deadline * 1000, cls.effect.value)
+        cls.name: ClassRule(
+            cls.name, cls.priority_weight, cls.latency_objective * 1000, cls.deadline * 1000, cls.effect.value
+        )
         for cls in classes
     }
     # A route's time and attempts are bounded when they are used; what they should be is the tool's to say.
--- a/gladegw/net/routes.py
+++ b/gladegw/net/routes.py
@@ -48,7 +48,7 @@
 MOST_MOVES = 4  # from pool to pool, of one request
 NO_MEMBER = 1.0  # s that a client is told to stay away from a pool without members
 STATUS = {api.ServerState.SERVING: "Ready", api.ServerState.DRAINING: "Terminating",
-          api.ServerState.GONE: "Gone"}  # fmt: skip
+          api.ServerState.REMOVED: "Gone"}  # fmt: skip
 RULES = frozenset({"x-call-id", "idempotency-key", "x-budget"})  # headers that are never told of
 
 
@@ -163,7 +163,7 @@
         self.beside: list[Generation] = []  # not in use, and kept for requests that are stamped with them
         inventory = Inventory()
         known = Driver.known(config, inventory)
-        version, within = known.version if config.known else None, config.settings.must_ask_within
+        version, within = known.version if config.known else None, config.settings.max_poll_gap
         self.discovery = Discovery(
             config.discovery, version, within, self._on_list, self._on_failed, inventory
         )
@@ -190,7 +190,7 @@
                 served[pool.name] = old.served[pool.name]
                 continue
             driver = Driver(self.config, self.capture, self.desk, self, pool.name)
-            me = f"{self.config.name}#{self.config.settings.me}"
+            me = f"{self.config.name}#{self.config.settings.instance}"
             served[pool.name] = Served(pool, driver, Membership(pool, self.config.settings.zone, me))
             begun.append(served[pool.name])
         matches = [match for route in description.routes for match in route.matches]
@@ -201,7 +201,7 @@
         if self.capture is not None:
             self.capture.routes(self.made, digest_of(text), self.settings.file, text, epoch)
         for one in begun:
-            self._tell(one, api.ListKind.SAVED)
+            self._tell(one, api.ListKind.CACHED)
             one.driver.start()
             for other in old.served.values():
                 one.driver.follows(other.driver)
@@ -304,7 +304,7 @@
         self.desk.upstreams.apply(listing)
         if self.capture is not None:
             self.capture.listed(listing)
-        gone = [n for n, listed in self.backends.items() if listed.entry.state is api.ServerState.GONE]
+        gone = [n for n, listed in self.backends.items() if listed.entry.state is api.ServerState.REMOVED]
         for name in gone:
             del self.backends[name]
         self.version = listing.version
@@ -319,7 +319,7 @@
         for one in self._every():
             self._tell(one, api.ListKind.FULL, listing)
 
-    def _on_failed(self, failure: api.CallFailure) -> None:
+    def _on_failed(self, failure: api.DiscoveryFailure) -> None:
         self.watching = False
         for one in self._every():
             one.driver.list_failed(failure)
@@ -430,10 +430,12 @@
         name = stand_in(routed, served)
         self.division.arrived(request.tenant, name or routed.pool)
         if name is None:
-            advice = ((b"retry-after", b"%.3f" % NO_MEMBER),) if self.config.settings.may_advise_wait else ()
+            advice = (
+                ((b"retry-after", b"%.3f" % NO_MEMBER),) if self.config.settings.may_send_retry_after else ()
+            )
             reply.answer(503, advice, b"the pool has no member\n")
             return None
-        most = self.config.settings.most_held
+        most = self.config.settings.max_open_requests
         if most and self.calls >= most:
             reply.answer(503, ((b"retry-after", b"1"),), b"too many calls\n")
             return None
@@ -469,7 +471,7 @@
         assert mirror is not None
         target = served.get(mirror.pool)
         self.mirrored = {call for call in self.mirrored if call.open}
-        safe = self.effects.get(request.cls) is api.Effect.REPEATABLE
+        safe = self.effects.get(request.cls) is api.Effect.IDEMPOTENT
         if target is None or not safe or len(self.mirrored) >= self.settings.mirrors:
             return
         if mirror.share < 1 and unit(routed.ask.call_id, "mirror") >= mirror.share:
--- a/gladegw/net/serve.py
+++ b/gladegw/net/serve.py
@@ -100,7 +100,7 @@
         from gladegw.coordination.serving_lease import Gate
         from gladegw.net.policy_router import Stamped
 
-        router = Stamped(driver, Gate(boot), features.policy, config.settings.may_advise_wait)
+        router = Stamped(driver, Gate(boot), features.policy, config.settings.may_send_retry_after)
         carried = carrier(router, asyncio.get_running_loop())
     desk = driver.desk
     return joined(settings, config, desk.ledger, desk.listed, routes, carried, timing), router
--- a/gladegw/net/timing.py
+++ b/gladegw/net/timing.py
@@ -15,7 +15,7 @@
     """Read from the agent's thread: figures that may be one step apart."""
 
     def __init__(self, classes: Iterable[RequestClass]) -> None:
-        self.aims = {cls.name: cls.aim for cls in classes}
+        self.aims = {cls.name: cls.latency_objective for cls in classes}
         self.took = dict.fromkeys(self.aims, 0.0)  # s, of those that were answered with 200
         self.late = dict.fromkeys(self.aims, 0)  # of these, not within their class's aim
         self.count = dict.fromkeys(self.took, 0)
--- a/gladegw/net/upstream/connections.py
+++ b/gladegw/net/upstream/connections.py
@@ -360,13 +360,13 @@
             self._told(listed)
         if listing.whole:
             for server in [server for server in self.by_id if server not in named]:
-                self._ended(server, ServerState.GONE)
+                self._ended(server, ServerState.REMOVED)
 
     def _told(self, listed: Listed) -> None:
         entry = listed.entry
         upstream = self.by_id.get(entry.server)
         if upstream is None:
-            if entry.state is not ServerState.GONE:
+            if entry.state is not ServerState.REMOVED:
                 self.by_id[entry.server] = Upstream(self, listed.address, entry.started_at, entry.state)
             return
         if upstream.address != listed.address or entry.started_at > upstream.started_at:
@@ -381,7 +381,7 @@
         upstream = self.by_id[server]
         upstream.state = state
         upstream.close_idle()
-        if state is ServerState.GONE:
+        if state is ServerState.REMOVED:
             del self.by_id[server]
 
     def start(self, exchange: Exchange) -> None:
@@ -392,7 +392,7 @@
         if connection is not None:
             exchange.run_on(connection)
         elif self.open >= self.most_open and not self._spare_one():
-            exchange.end(Status.MOOT)  # this proxy's own bound: no fault of the backend's
+            exchange.end(Status.NOT_SENT)  # this proxy's own bound: no fault of the backend's
         else:
             task = self.loop.create_task(self._connect(exchange, upstream))
             self._connects.add(task)
@@ -413,7 +413,7 @@
         except LocalFaultError as fault:
             log.warning("backend %s: no connection could be made here: %s", at, fault)
             connection.abandon()
-            exchange.end(Status.MOOT)
+            exchange.end(Status.NOT_SENT)
         except (OSError, TimeoutError):
             upstream.refused_at = time.monotonic()
             connection.abandon()
--- a/gladegw/net/upstream/exchange.py
+++ b/gladegw/net/upstream/exchange.py
@@ -95,7 +95,7 @@
             log.exception("the end of an exchange failed")
 
     def cancel(self) -> None:
-        self.end(Status.CANCELLED if self.sent else Status.MOOT)
+        self.end(Status.CANCELLED if self.sent else Status.NOT_SENT)
 
     def _out_of_time(self) -> None:
         now = time.monotonic()
@@ -111,7 +111,7 @@
             # The backend said nothing to anyone meanwhile. A machine that vanished leaves its connections
             # open and silent; when it is back, each would cost one more call or probe to find out.
             self.upstream.close_idle(self.started_at)
-        self.end(Status.TIMEOUT if self.sent else Status.MOOT)
+        self.end(Status.TIMEOUT if self.sent else Status.NOT_SENT)
 
     def _look_at_stream(self, now: float) -> None:
         """What flows has no time limit, as long as it flows; how long a caller may take is for the callers'
@@ -127,7 +127,7 @@
         """Writes the request, unless it has ended or must not start any more."""
         if self.status is not None or not self.may_start():
             connection.upstream.keep(connection)
-            self.end(Status.MOOT)
+            self.end(Status.NOT_SENT)
             return
         self.connection = connection
         self.sent = True
@@ -185,6 +185,6 @@
         if code == 200:
             self.end(Status.OK)
         elif code in (503, 504) and any(name == b"x-rejected" and value == b"1" for name, value in headers):
-            self.end(Status.FULL)
+            self.end(Status.REJECTED)
         else:
             self.end(Status.ERROR)
--- a/gladegw/replay.py
+++ b/gladegw/replay.py
@@ -108,7 +108,7 @@
         if self.settings.stage == 0 and record["tenant"] in balancer.quota:
             quota = balancer.quota[record["tenant"]] if step.get("quota") is None else step["quota"]
         event = Arrival(1, record["class"], budget, record["tenant"], step.get("work", 0.0))
-        event.limit = step.get("limit", math.inf)
+        event.route_timeout = step.get("limit", math.inf)
         self.call = balancer.call(event, self.cls, quota, step.get("usual", 0.0))
         self.call.most = step.get("most", 0)
         cut = step.get("cut")
--- a/gladegw/simulator_adapter.py
+++ b/gladegw/simulator_adapter.py
@@ -18,10 +18,10 @@
 STATES = {
     "SERVING": api.ServerState.SERVING,
     "DRAINING": api.ServerState.DRAINING,
-    "DELETED": api.ServerState.GONE,
+    "DELETED": api.ServerState.REMOVED,
 }
 KINDS = {
-    "SAVED": api.ListKind.SAVED,
+    "SAVED": api.ListKind.CACHED,
     "FULL": api.ListKind.FULL,
     "INCREMENTAL": api.ListKind.INCREMENTAL,
     "FAILED": api.ListKind.FAILED,
@@ -147,15 +147,15 @@
         classes.append(
             api.RequestClass(
                 name=_get(params, path + "name"),
-                worth=_number(params, path + "value"),
-                aim=_number(params, path + "objective"),
+                priority_weight=_number(params, path + "value"),
+                latency_objective=_number(params, path + "objective"),
                 deadline=_number(params, path + "deadline"),
-                late_worth=_number(params, path + "late_worth", 0.0),
+                late_weight_fraction=_number(params, path + "late_worth", 0.0),
                 effect=api.Effect(effect),
                 group=params.get(path + "group", "all"),
                 window=_number(params, path + "window", 0.0),
                 stream=_bool(params, path + "stream", False),
-                aim_stretch=_number(params, path + "aim_stretch", 0.0),
+                objective_stretch=_number(params, path + "aim_stretch", 0.0),
             )
         )
     tenants = []
@@ -171,26 +171,26 @@
         classes=classes,
         tenants=tenants,
         zone=params.get("zone", ""),
-        me=_int(params, "me"),
+        instance=_int(params, "me"),
         balancers=_int(params, "balancers"),
         stage=_whole(params, "stage", 0),
         stages=len(_names(params.get("stages", ""))) or _whole(params, "stage", 0) + 1,
         zones=_names(params.get("dcs", "")),
         kinds=_names(params.get("kinds", "")),
         quantum=_number(params, "quantum", 0.0),
-        ask_for_list=discovery == "ask",
-        must_ask_within=_number(params, "contract.must_ask_in", 10.0),
+        polls_endpoints=discovery == "ask",
+        max_poll_gap=_number(params, "contract.must_ask_in", 10.0),
         max_attempts=_int(params, limits + "send_cap"),
-        may_duplicate=_bool(params, limits + "may_duplicate"),
+        may_hedge=_bool(params, limits + "may_duplicate"),
         may_cancel=_bool(params, limits + "may_cancel"),
         may_probe=_bool(params, limits + "probes"),
-        may_tell=_bool(params, limits + "peers", False),
-        most_held=_whole(params, limits + "most_held", 0),
+        may_message_peers=_bool(params, limits + "peers", False),
+        max_open_requests=_whole(params, limits + "most_held", 0),
         clients_mark_retries=_bool(params, "callers.marks_retry", False),
-        may_advise_wait=_bool(params, limits + "retry_after", False),
-        max_wait_advice=_number(params, limits + "max_retry_after", 0.0),
-        over_share_worth=_number(params, "over_share_worth", 1.0),
-        worth_by_work=_choice(params, "worth_by", WORTH_BY, "request") == "work",
+        may_send_retry_after=_bool(params, limits + "retry_after", False),
+        max_retry_after=_number(params, limits + "max_retry_after", 0.0),
+        over_quota_weight=_number(params, "over_share_worth", 1.0),
+        weight_by_work=_choice(params, "worth_by", WORTH_BY, "request") == "work",
         passes_deadline=_bool(params, "specifics.passes_deadline", False),
         report_names=tuple(n for n in _names(params.get("report.names", "")) if n in REPORT_NAMES),
         reports=_choice(params, "report.via", REPORT_VIA, "probe"),
@@ -199,23 +199,23 @@
         calls_per_connection=_whole(params, limits + "streams_per_conn", 1),
         cpu_per_s=_number(params, limits + "cpu_us_per_s", 0.0) / 1e6,
         cpu_per_call=_number(params, limits + "cpu_us_per_request", 0.0) / 1e6,
-        goal_whole=_number(params, "objective_mix.whole", 1.0),
+        goal_overall=_number(params, "objective_mix.whole", 1.0),
         goal_window=_number(params, "objective_mix.worst_window", 0.0),
         goal_class=_number(params, "objective_mix.worst_class", 0.0),
         goal_tenant=_number(params, "objective_mix.worst_tenant", 0.0),
         conn_idle=_number(params, limits + "conn_idle", 15.0),
         answer_slack=_number(params, "contract.grace_to_answer"),
         drain_grace=_number(params, "contract.drain_grace"),
-        cold_from=_number(params, "contract.cold_from"),
-        cold_for=_number(params, "contract.cold"),
-        fall_multiple=_number(params, "contract.fall_multiple"),
-        fall_within=_number(params, "contract.overload_for"),
+        warmup_start_fraction=_number(params, "contract.cold_from"),
+        warmup_time=_number(params, "contract.cold"),
+        overload_multiple=_number(params, "contract.fall_multiple"),
+        overload_window=_number(params, "contract.overload_for"),
         price_crossing=_number(params, "charges.cross_zone", 0.0),
         price_probe=_number(params, "charges.probe", 0.0),
         price_handshake=_number(params, "charges.handshake", 0.0),
         price_connection=_number(params, "charges.connection", 0.0),
         price_waste=_number(params, "charges.waste", 0.0),
-        price_late_fail=_number(params, "charges.late_fail", 0.0),
+        price_late_failure=_number(params, "charges.late_fail", 0.0),
         price_peer=_number(params, "charges.peer", 0.0),
         price_discovery=_number(params, "charges.discovery", 0.0),
     )
@@ -275,11 +275,11 @@
 
 
 def _gone(fields: Fields) -> api.Event:
-    return api.Gone(_int(fields, "call"))
+    return api.ClientDisconnected(_int(fields, "call"))
 
 
 def _probed(fields: Fields) -> api.Event:
-    return api.Probed(
+    return api.ProbeResult(
         _int(fields, "backend"), _status(fields), _number(fields, "cost_time", 0.0), _report(fields)
     )
 
@@ -315,7 +315,7 @@
 
 WRITERS: dict[str, Callable[[str, Any], str]] = {
     "Send": lambda w, a: f"try who={w} call={a.call} backend={a.server} allow_for={a.timeout:.6f}",
-    "Refuse": lambda w, a: f"bounce who={w} call={a.call}"
+    "Reject": lambda w, a: f"bounce who={w} call={a.call}"
     + (f" come_back={a.retry_after:.6f}" if a.retry_after > 0 else ""),
     "Fail": lambda w, a: f"fail who={w} call={a.call}",
     "Cancel": lambda w, a: f"recall who={w} call={a.call} shot={a.attempt}",
@@ -324,7 +324,7 @@
     "Fetch": lambda w, a: f"refresh who={w}",
     "SetTimer": lambda w, a: f"defer who={w} offset={a.delay:.6f} key_back={a.token}",
     "CloseIdle": lambda w, a: f"disconnect who={w} backend={a.server}",
-    "Tell": lambda w, a: f"broadcast_to who={w} dst={'all' if a.peer is None else a.peer} "
+    "SendToPeer": lambda w, a: f"broadcast_to who={w} dst={'all' if a.peer is None else a.peer} "
     f"data={a.data.hex() or '-'}",
     "Log": lambda w, a: f"emit who={w} words=" + " ".join(a.text.split()),
 }
@@ -442,7 +442,7 @@
         if who in self.instances:
             version = _whole(fields, "stamp", 0)
             # A failed call has waited too long, or discovery is down: both are what a refusal tells.
-            failure = api.CallFailure.REFUSED
+            failure = api.DiscoveryFailure.REJECTED
             self.pending.setdefault(who, []).append(api.ServerList(kind, entries, version, failure))
 
     def flush(self, who: str) -> None:
--- a/tests/balancing/test_balancer.py
+++ b/tests/balancing/test_balancer.py
@@ -9,15 +9,15 @@
 
 from gladegw import (
     Arrival,
+    ClientDisconnected,
     CloseIdle,
     Effect,
     Fail,
-    Gone,
     ListKind,
     Outcome,
     Probe,
-    Probed,
-    Refuse,
+    ProbeResult,
+    Reject,
     RequestClass,
     ServerEntry,
     ServerList,
@@ -115,7 +115,7 @@
     part = driver.balancer.admission
     for call in range(40):
         for server in driver.balancer.servers.known:
-            driver.feed(Probed(server, Status.OK, 0.01, {"busy_reqs": held}))
+            driver.feed(ProbeResult(server, Status.OK, 0.01, {"busy_reqs": held}))
         for send in sends(driver.arrive(call)):
             driver.wait(0.1)
             driver.settle(send, Status.OK, elapsed=0.95)
@@ -145,8 +145,8 @@
         out = sends(driver.arrive(call))
         for attempt in range(4):
             if out:
-                status = Status.FULL if out[0].server in rejecting else Status.OK
-                away += status is Status.FULL
+                status = Status.REJECTED if out[0].server in rejecting else Status.OK
+                away += status is Status.REJECTED
                 out = sends(driver.settle(out[0], status, attempt), call)
         driver.wait(0.05)
     return away
@@ -159,7 +159,7 @@
     driver = Driver(settings(may_probe=True))
     for call in range(20):
         for server in driver.balancer.servers.known:
-            driver.feed(Probed(server, Status.OK, 0.01, {"busy_reqs": held}))
+            driver.feed(ProbeResult(server, Status.OK, 0.01, {"busy_reqs": held}))
         for send in sends(driver.arrive(call, "once")):
             driver.settle(send, Status.ERROR)
     assert (driver.balancer.admission.window < 4) is closes
@@ -182,8 +182,8 @@
 def test_refused_calls_weigh_in_proc() -> None:
     # Found in r5136: with the cheap calls refused, procQ was that of the heavy ones, three times as long, and
     # the cut that followed from it kept the cheap ones out for good.
-    light = RequestClass("light", worth=1, aim=1.0, deadline=2.0)
-    heavy = RequestClass("heavy", worth=9, aim=4.0, deadline=8.0)
+    light = RequestClass("light", priority_weight=1, latency_objective=1.0, deadline=2.0)
+    heavy = RequestClass("heavy", priority_weight=9, latency_objective=4.0, deadline=8.0)
     driver = Driver(settings(classes=[light, heavy]))
     driver.balancer.admission.window = 50.0
     for call in range(0, 400, 4):
@@ -192,7 +192,7 @@
                 if call < 200:
                     driver.settle(send, Status.OK, elapsed=0.05)
                 else:
-                    driver.feed(Gone(number))  # as good as refused: nothing is learned from it
+                    driver.feed(ClientDisconnected(number))  # as good as refused: nothing is learned from it
                     driver.settle(send, Status.CANCELLED, final=True)
         driver.settle(only_send(driver.arrive(call + 3, "heavy", 8.0)), Status.OK, elapsed=0.45)
         driver.wait(0.1)
@@ -201,8 +201,8 @@
 
 def test_heavy_calls_in_flight_are_not_old() -> None:
     # The calls that are out at a moment are the long ones of the mix: only what is old for its class counts.
-    light = RequestClass("light", worth=1, aim=1.0, deadline=2.0)
-    heavy = RequestClass("heavy", worth=9, aim=4.0, deadline=8.0)
+    light = RequestClass("light", priority_weight=1, latency_objective=1.0, deadline=2.0)
+    heavy = RequestClass("heavy", priority_weight=9, latency_objective=4.0, deadline=8.0)
     driver = Driver(settings(classes=[light, heavy]))
     kinds, part = driver.balancer.kinds, driver.balancer.admission
     kinds["light"].mean.value, kinds["heavy"].mean.value = 0.05, 0.45
@@ -224,8 +224,8 @@
 
 
 def test_queue_holds_what_its_wait_allows_and_drops_the_lowest() -> None:
-    cheap = RequestClass("cheap", worth=1, aim=1.0, deadline=2.0)
-    dear = RequestClass("dear", worth=9, aim=1.0, deadline=2.0)
+    cheap = RequestClass("cheap", priority_weight=1, latency_objective=1.0, deadline=2.0)
+    dear = RequestClass("dear", priority_weight=9, latency_objective=1.0, deadline=2.0)
     driver = Driver(settings(classes=[cheap, dear, *settings().classes]))
     full(driver)
     part = driver.balancer.admission
@@ -234,10 +234,10 @@
         kind.mean.value = 0.2
     # Within an aim of 1 s: 0.2 n + 2 x 0.2 <= 1 allows three places.
     actions = driver.feed(*[Arrival(call, "cheap", 2.0) for call in (1, 2, 3, 4)])
-    assert [a for a in actions if isinstance(a, Refuse)] == [Refuse(4)]
+    assert [a for a in actions if isinstance(a, Reject)] == [Reject(4)]
     # A worthier newcomer displaces the lowest held call and goes first.
     actions = driver.arrive(5, "dear")
-    assert [a for a in actions if isinstance(a, Refuse)] == [Refuse(3)]
+    assert [a for a in actions if isinstance(a, Reject)] == [Reject(3)]
     assert [call.id for call in driver.balancer.queue] == [5, 1, 2]
 
 
@@ -246,7 +246,7 @@
     full(driver)
     driver.balancer.admission.mix = 50.0
     actions = driver.arrive(1)
-    assert not [a for a in actions if isinstance(a, Refuse)]
+    assert not [a for a in actions if isinstance(a, Reject)]
     assert [call.id for call in driver.balancer.queue] == [1]
 
 
@@ -260,7 +260,8 @@
 def test_pick_takes_the_fewest_in_flight_counting_own_sends() -> None:
     driver = Driver(settings(may_probe=True), servers=entries(1, 2))
     driver.feed(
-        Probed(1, Status.OK, 0.001, {"busy_reqs": 5.0}), Probed(2, Status.OK, 0.001, {"busy_reqs": 3.0})
+        ProbeResult(1, Status.OK, 0.001, {"busy_reqs": 5.0}),
+        ProbeResult(2, Status.OK, 0.001, {"busy_reqs": 3.0}),
     )
     servers = [only_send(driver.arrive(call)).server for call in (1, 2)]
     assert servers == [2, 2]  # 3, then 4 of its own against 5
@@ -291,7 +292,7 @@
 def test_pool_is_bounded_and_covers_all_servers_evenly() -> None:
     counts = dict.fromkeys(range(1, 61), 0)
     for me in range(60):
-        driver = Driver(settings(me=me, balancers=60), servers=entries(*range(1, 61)))
+        driver = Driver(settings(instance=me, balancers=60), servers=entries(*range(1, 61)))
         pool = driver.balancer.servers.pool
         assert len(pool) <= 16
         for server in pool:
@@ -307,7 +308,7 @@
     assert send.server not in others
     driver.wait(1.0)
     assert Probe(send.server) in driver.said
-    driver.feed(Probed(send.server, Status.OK, 0.001, None))
+    driver.feed(ProbeResult(send.server, Status.OK, 0.001, None))
     assert not driver.balancer.servers.known[send.server].ejected_until
 
 
@@ -385,7 +386,7 @@
 
 
 def test_over_share_calls_are_worth_less() -> None:
-    driver = Driver(settings(tenants=[Tenant("t", 2.0)], over_share_worth=0.1, balancers=1), servers=[])
+    driver = Driver(settings(tenants=[Tenant("t", 2.0)], over_quota_weight=0.1, balancers=1), servers=[])
     driver.feed(*[Arrival(call, "safe", 2.0, "t") for call in range(4)])
     assert [call.worth for call in driver.balancer.queue] == [10.0, 10.0, 1.0, 1.0]
 
@@ -422,7 +423,7 @@
 
 
 def test_asking_starts_within_two_seconds_and_backs_off() -> None:
-    driver = Driver(settings(ask_for_list=True))
+    driver = Driver(settings(polls_endpoints=True))
     driver.wait(2.1)
     assert driver.said.count(Watch(True)) == 1
     assert Watch(True) not in driver.feed(ServerList(ListKind.FAILED))
@@ -433,7 +434,7 @@
 
 def test_a_failed_call_is_repeated_within_a_second_however_many_failed() -> None:
     """A change counts as told 6 s after discovery could be reached, whatever calls failed before."""
-    driver = Driver(settings(ask_for_list=True, must_ask_within=40.0))
+    driver = Driver(settings(polls_endpoints=True, max_poll_gap=40.0))
     driver.wait(2.1)
     for failures in range(1100):
         driver.feed(ServerList(ListKind.FAILED))
@@ -445,7 +446,14 @@
 def test_class_without_late_worth_times_out_at_its_aim() -> None:
     driver = Driver(settings())
     assert only_send(driver.arrive(1)).timeout == pytest.approx(1.0)
-    late = RequestClass("late", worth=1, aim=1.0, deadline=2.0, late_worth=0.5, effect=Effect.ONCE)
+    late = RequestClass(
+        "late",
+        priority_weight=1,
+        latency_objective=1.0,
+        deadline=2.0,
+        late_weight_fraction=0.5,
+        effect=Effect.NOT_IDEMPOTENT,
+    )
     driver = Driver(settings(classes=[late]))
     send = only_send(driver.arrive(1, "late"))
     assert send.timeout == pytest.approx(2.0)
@@ -483,8 +491,8 @@
     actions = driver.arrive(1)
     asked = [a.server for a in actions if isinstance(a, Probe)]
     assert len(asked) == 3 and not sends(actions)
-    driver.feed(*[Probed(server, Status.OK, 0.001, {"busy_reqs": 4.0}) for server in asked[:2]])
-    idle = driver.feed(Probed(asked[2], Status.OK, 0.001, {"busy_reqs": 0.0}))
+    driver.feed(*[ProbeResult(server, Status.OK, 0.001, {"busy_reqs": 4.0}) for server in asked[:2]])
+    idle = driver.feed(ProbeResult(asked[2], Status.OK, 0.001, {"busy_reqs": 0.0}))
     assert only_send(idle).server not in asked[:2]
 
 
@@ -526,7 +534,7 @@
     driver.balancer.kinds["safe"].mean.value = 0.4
     only_send(driver.arrive(1))
     actions = driver.arrive(2, budget=0.3)
-    assert Refuse(2) in actions and not sends(actions)
+    assert Reject(2) in actions and not sends(actions)
     alone = Driver(settings())
     alone.balancer.kinds["safe"].mean.value = 0.4
     assert len(sends(alone.arrive(2, budget=0.3))) == 1
@@ -536,12 +544,12 @@
     # Found at full size: two probes a second cost several probes a call where a call a second comes.
     driver = Driver(settings(may_probe=True))
     first = [a for a in driver.wait(1.0) if isinstance(a, Probe)]
-    driver.feed(*[Probed(a.server, Status.OK, 0.001, {"busy_reqs": 0.0}) for a in first])
+    driver.feed(*[ProbeResult(a.server, Status.OK, 0.001, {"busy_reqs": 0.0}) for a in first])
     probes = 0
     for _ in range(200):
         asked = [a for a in driver.wait(0.1) if isinstance(a, Probe)]
         probes += len(asked)
-        driver.feed(*[Probed(a.server, Status.OK, 0.001, {"busy_reqs": 0.0}) for a in asked])
+        driver.feed(*[ProbeResult(a.server, Status.OK, 0.001, {"busy_reqs": 0.0}) for a in asked])
     assert 2 <= probes <= 12
 
 
@@ -596,7 +604,9 @@
     listed = entries(1, 2, 3, zone="a") + entries(4, 5, zone="b")
     driver = Driver(settings(may_probe=True, price_crossing=0.04), servers=listed)
     reports = {1: 9.0, 2: 9.0, 4: 0.0}
-    driver.feed(*[Probed(server, Status.OK, 0.01, {"busy_reqs": busy}) for server, busy in reports.items()])
+    driver.feed(
+        *[ProbeResult(server, Status.OK, 0.01, {"busy_reqs": busy}) for server, busy in reports.items()]
+    )
     assert {only_send(driver.arrive(call)).server for call in range(3)} <= {4, 5}
 
 
@@ -623,7 +633,7 @@
         *[Outcome(send.call, 0, send.server, Status.OK, 1.9, True) for send in out[:2]],
         Outcome(out[2].call, 0, out[2].server, Status.TIMEOUT, 1.9, False),
     )
-    assert part.window == window and part.proc == pytest.approx(proc) and Refuse(out[2].call) in actions
+    assert part.window == window and part.proc == pytest.approx(proc) and Reject(out[2].call) in actions
     assert not any(server.ejected_until for server in driver.balancer.servers.known.values())
 
 
@@ -633,13 +643,13 @@
     driver = Driver(settings(may_probe=True, price_probe=0.001), servers=entries(1, 2, 3, 4, 5))
     driver.balancer.kinds["safe"].mean.value = 0.05
     actions = driver.arrive(1, budget=0.08)
-    assert not sends(actions) and Refuse(1) not in actions
+    assert not sends(actions) and Reject(1) not in actions
     assert len(sends(driver.wait(0.012))) == 1
 
 
 def test_a_route_lets_no_more_run_than_it_allows_and_what_never_ran_costs_nothing() -> None:
     driver = Driver(settings(max_attempts=4))
-    first = only_send(driver.arrive(1, attempts=1))
+    first = only_send(driver.arrive(1, max_attempts=1))
     (again,) = sends(driver.settle(first, Status.CONNECT_FAILED) + driver.wait(0.2), 1)
     assert sends(driver.settle(again, Status.ERROR, 1) + driver.wait(1.0), 1) == []
     free = Driver(settings(max_attempts=4))
@@ -651,14 +661,14 @@
     for call in range(60):  # the usual budget becomes known
         driver.settle(only_send(driver.arrive(call, budget=2.0)), Status.OK)
         driver.wait(0.05)
-    send = only_send(driver.arrive(99, budget=2.0, limit=0.15))
+    send = only_send(driver.arrive(99, budget=2.0, route_timeout=0.15))
     assert send.timeout < 0.151
 
 
 def replaced(driver: Driver, *gone: int) -> None:
     """These servers are gone and others, cold, have come in their place."""
     driver.feed(
-        ServerList(ListKind.INCREMENTAL, entries(*gone, state=ServerState.GONE)),
+        ServerList(ListKind.INCREMENTAL, entries(*gone, state=ServerState.REMOVED)),
         ServerList(ListKind.INCREMENTAL, entries(*(20 + n for n in gone), started_at=driver.now)),
     )
     driver.wait(0.1)
@@ -677,7 +687,7 @@
     # Found on join+vast: six in ten were replaced within 7 s, seven instances each kept the W that they had
     # learned on all ten, and the warm ones held up to 22 calls each until time-outs closed W for good.
     listed = entries(*range(1, 11))
-    instances = [Driver(settings(me=me, balancers=12), seed=me, servers=listed) for me in range(12)]
+    instances = [Driver(settings(instance=me, balancers=12), seed=me, servers=listed) for me in range(12)]
     held = dict.fromkeys(range(1, 11), 0)
     for driver in instances:
         driver.wait(0.1)
--- a/tests/balancing/test_endpoint_freshness.py
+++ b/tests/balancing/test_endpoint_freshness.py
@@ -9,7 +9,7 @@
 import pytest
 from support.balancing import Driver, entries, only_send, sends, settings
 
-from gladegw import Balancer, CallFailure, ListKind, ServerList, SetTimer, Status, Timer, Watch
+from gladegw import Balancer, DiscoveryFailure, ListKind, ServerList, SetTimer, Status, Timer, Watch
 from gladegw.balancing.balancer import TICK_TOKEN
 from gladegw.balancing.endpoint_freshness import Freshness
 from gladegw.balancing.events import Event
@@ -40,7 +40,7 @@
 
 def test_a_list_holds_until_what_it_may_lack_counts_as_told_and_its_grace_is_over() -> None:
     made = freshness()
-    made.failed(BEGIN + 2.0, CallFailure.UNANSWERED)
+    made.failed(BEGIN + 2.0, DiscoveryFailure.UNANSWERED)
     assert TOLD_WITHIN < lapses_after(made) < TOLD_WITHIN + DRAIN_GRACE - CONNECT
 
 
@@ -51,10 +51,10 @@
 def test_after_a_move_a_list_holds_no_longer_than_what_the_new_address_tells_may_take() -> None:
     made = freshness()
     made.moved(BEGIN)
-    made.failed(BEGIN + 2.1, CallFailure.UNANSWERED)
+    made.failed(BEGIN + 2.1, DiscoveryFailure.UNANSWERED)
     assert MOVED_TOLD_WITHIN < lapses_after(made) < MOVED_TOLD_WITHIN + DRAIN_GRACE - CONNECT
     made.told(BEGIN + 3.0, by_discovery=True)
-    made.failed(BEGIN + 3.0, CallFailure.UNANSWERED)
+    made.failed(BEGIN + 3.0, DiscoveryFailure.UNANSWERED)
     assert lapses_after(made) > 3.0 + TOLD_WITHIN
 
 
@@ -66,7 +66,7 @@
 
 def test_one_that_begins_with_the_list_of_another_holds_it_no_longer() -> None:
     old, new = freshness(), freshness()
-    old.failed(BEGIN + 2.0, CallFailure.REFUSED_AT_ONCE)
+    old.failed(BEGIN + 2.0, DiscoveryFailure.REJECTED_IMMEDIATELY)
     new.told(BEGIN + 5.0, by_discovery=False)
     new.continues(old)
     assert lapses_after(new) == lapses_after(old)
@@ -75,10 +75,10 @@
 
 @pytest.mark.parametrize("current", [True, False])
 def test_a_list_that_is_no_news_does_not_lengthen_what_is_known(current: bool) -> None:
-    driver = Driver(settings(ask_for_list=True), servers=entries(1, 2))
+    driver = Driver(settings(polls_endpoints=True), servers=entries(1, 2))
     driver.wait(3.0)
     driver.feed(ServerList(ListKind.FULL, entries(1, 2)))
-    driver.feed(ServerList(ListKind.FAILED, failure=CallFailure.REFUSED_AT_ONCE))
+    driver.feed(ServerList(ListKind.FAILED, failure=DiscoveryFailure.REJECTED_IMMEDIATELY))
     driver.wait(5.0)
     driver.feed(ServerList(ListKind.FULL, entries(1, 2), current=current))
     driver.wait(2.0)
@@ -87,11 +87,11 @@
 
 def test_a_list_that_has_lapsed_is_used_in_an_outage_and_not_where_discovery_is_up() -> None:
     for failure, used in (
-        (CallFailure.REFUSED_AT_ONCE, False),
-        (CallFailure.REFUSED, True),
-        (CallFailure.UNANSWERED, True),
+        (DiscoveryFailure.REJECTED_IMMEDIATELY, False),
+        (DiscoveryFailure.REJECTED, True),
+        (DiscoveryFailure.UNANSWERED, True),
     ):
-        driver = Driver(settings(ask_for_list=True, may_probe=False), servers=entries(1, 2))
+        driver = Driver(settings(polls_endpoints=True, may_probe=False), servers=entries(1, 2))
         driver.wait(3.0)
         driver.feed(ServerList(ListKind.FULL, entries(1, 2)))
         for call in range(40):
@@ -104,10 +104,10 @@
 
 
 def test_a_withheld_server_gets_calls_again_with_the_next_news() -> None:
-    driver = Driver(settings(ask_for_list=True, may_probe=False), servers=entries(1))
+    driver = Driver(settings(polls_endpoints=True, may_probe=False), servers=entries(1))
     driver.wait(3.0)
     driver.feed(ServerList(ListKind.FULL, entries(1)))
-    driver.feed(ServerList(ListKind.FAILED, failure=CallFailure.REFUSED_AT_ONCE))
+    driver.feed(ServerList(ListKind.FAILED, failure=DiscoveryFailure.REJECTED_IMMEDIATELY))
     driver.wait(7.0)
     assert not sends(driver.arrive(1))
     driver.feed(ServerList(ListKind.INCREMENTAL, []))
@@ -132,10 +132,10 @@
 
     @staticmethod
     def _proxy(number: int, proxies: int, seed: int) -> Balancer:
-        setup = settings(ask_for_list=True, must_ask_within=10.0, balancers=proxies, me=number)
+        setup = settings(polls_endpoints=True, max_poll_gap=10.0, balancers=proxies, instance=number)
         proxy = Balancer(setup, seed * 1000 + number)
         now = 0.0
-        while Watch(True) not in proxy.handle(now, [ServerList(ListKind.SAVED), Timer(TICK_TOKEN)]):
+        while Watch(True) not in proxy.handle(now, [ServerList(ListKind.CACHED), Timer(TICK_TOKEN)]):
             now += 0.1
         proxy.handle(BEGIN, [ServerList(ListKind.FULL)])
         return proxy
@@ -146,7 +146,7 @@
     def _call(self, now: float, proxy: int) -> None:
         begins_at = max(now, self.busy_until)
         if begins_at - now > MOST_WAIT:
-            self._put(now, proxy, ServerList(ListKind.FAILED, failure=CallFailure.REFUSED_AT_ONCE))
+            self._put(now, proxy, ServerList(ListKind.FAILED, failure=DiscoveryFailure.REJECTED_IMMEDIATELY))
         else:
             self.busy_until = begins_at + self.turn
             self._put(self.busy_until, proxy, ServerList(ListKind.FULL))
--- a/tests/balancing/test_overdue_updates.py
+++ b/tests/balancing/test_overdue_updates.py
@@ -10,7 +10,7 @@
 
 from support.balancing import Driver, entries, only_send, sends, settings
 
-from gladegw import CallFailure, ListKind, Probe, Probed, ServerList, Status
+from gladegw import DiscoveryFailure, ListKind, Probe, ProbeResult, ServerList, Status
 
 TOLD_WITHIN = 6.0  # s after which a change counts as told
 CALL = 0.05  # s that a call takes here
@@ -18,12 +18,12 @@
 
 def without_news(span: float, *servers: int, may_probe: bool = False) -> Driver:
     """An instance whose calls to discovery were refused for this long; nothing was sent meanwhile."""
-    driver = Driver(settings(ask_for_list=True, may_probe=may_probe), servers=entries(*servers))
+    driver = Driver(settings(polls_endpoints=True, may_probe=may_probe), servers=entries(*servers))
     driver.wait(3.0)
     driver.feed(ServerList(ListKind.FULL, entries(*servers)))
     begun = driver.now
     while driver.now < begun + span:
-        driver.feed(ServerList(ListKind.FAILED, failure=CallFailure.REFUSED))
+        driver.feed(ServerList(ListKind.FAILED, failure=DiscoveryFailure.REJECTED))
         driver.wait(min(2.0, begun + span - driver.now))
     return driver
 
@@ -58,7 +58,7 @@
     driver.wait(2.0)
     refusing = only_send(driver.arrive(20))
     driver.now += CALL
-    retries = sends(driver.settle(refusing, Status.FULL, elapsed=CALL) + driver.wait(0.1), 20)
+    retries = sends(driver.settle(refusing, Status.REJECTED, elapsed=CALL) + driver.wait(0.1), 20)
     assert [send.server != refusing.server for send in retries] == [True]
     driver.settle(retries[0], Status.OK, attempt=1, elapsed=CALL)
     assert refusing.server not in used(driver, 30, 12)
@@ -70,10 +70,10 @@
     driver.now += CALL
     driver.settle(first, Status.OK, elapsed=CALL)
     other = 3 - first.server
-    driver.feed(Probed(first.server, Status.OK, CALL), Probed(other, Status.FULL, CALL))
+    driver.feed(ProbeResult(first.server, Status.OK, CALL), ProbeResult(other, Status.REJECTED, CALL))
     assert Probe(other) in driver.wait(3.0)
     assert used(driver, 10, 4) == {first.server}
-    driver.feed(Probed(other, Status.OK, CALL))
+    driver.feed(ProbeResult(other, Status.OK, CALL))
     driver.wait(0.1)
     assert other in used(driver, 20, 12)
 
@@ -83,7 +83,7 @@
     driver = without_news(3.0, 1, 2, may_probe=True)
     for call in range(0, 120, 4):
         used(driver, call, 4)
-        driver.feed(Probed(1, Status.OK, CALL), Probed(2, Status.ERROR, CALL))
+        driver.feed(ProbeResult(1, Status.OK, CALL), ProbeResult(2, Status.ERROR, CALL))
         driver.wait(0.2)
     assert used(driver, 200, 12) == {1}
 
@@ -97,7 +97,7 @@
 
 
 def test_a_watch_that_goes_on_quietly_withholds_nothing() -> None:
-    driver = Driver(settings(ask_for_list=True, may_probe=False), servers=entries(1, 2, 3, 4))
+    driver = Driver(settings(polls_endpoints=True, may_probe=False), servers=entries(1, 2, 3, 4))
     driver.wait(3.0)
     driver.feed(ServerList(ListKind.FULL, entries(1, 2, 3, 4)))
     driver.wait(30.0)
--- a/tests/balancing/test_properties.py
+++ b/tests/balancing/test_properties.py
@@ -13,15 +13,15 @@
     Arrival,
     Balancer,
     Cancel,
+    ClientDisconnected,
     Effect,
     Event,
     Fail,
-    Gone,
     ListKind,
     Outcome,
     Probe,
-    Probed,
-    Refuse,
+    ProbeResult,
+    Reject,
     Send,
     ServerList,
     ServerState,
@@ -30,7 +30,7 @@
     Timer,
 )
 
-NEVER = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)
+NEVER = (Status.REJECTED, Status.CONNECT_FAILED, Status.NOT_SENT)
 BY_NAME = {cls.name: cls for cls in CLASSES}
 
 
@@ -57,7 +57,7 @@
 def test_obligations_hold_on_any_events(
     data: st.DataObject, duplicate: bool, cancel: bool, probes: bool, seed: int
 ) -> None:
-    setup = settings(may_duplicate=duplicate, may_cancel=cancel, may_probe=probes, ask_for_list=seed % 2 == 0)
+    setup = settings(may_hedge=duplicate, may_cancel=cancel, may_probe=probes, polls_endpoints=seed % 2 == 0)
     balancer = Balancer(setup, seed)
     now = 50.0
     clients: dict[int, Client] = {}
@@ -66,10 +66,14 @@
     timers: list[tuple[float, int]] = []
     probing: list[int] = []
     listed = [entry for server, zone in zones.items() for entry in entries(server, zone=zone)]
-    events: list[Event] = [ServerList(ListKind.SAVED, listed)]
+    events: list[Event] = [ServerList(ListKind.CACHED, listed)]
     for _ in range(data.draw(st.integers(5, 40))):
         actions = balancer.handle(now, events)
-        ended_now = {e.call for e in events if isinstance(e, Gone) or (isinstance(e, Outcome) and e.final)}
+        ended_now = {
+            e.call
+            for e in events
+            if isinstance(e, ClientDisconnected) or (isinstance(e, Outcome) and e.final)
+        }
         for action in actions:
             if isinstance(action, Send):
                 client = clients[action.call]
@@ -80,21 +84,21 @@
                 if not duplicate:
                     assert all(a[2] is not None for a in client.attempts)
                 first = client.first_maybe()
-                if first is not None and client.cls.effect is Effect.ONCE:
+                if first is not None and client.cls.effect is Effect.NOT_IDEMPOTENT:
                     raise AssertionError("a second send of what may have run")
-                if first is not None and client.cls.effect is Effect.BY_KEY:
+                if first is not None and client.cls.effect is Effect.IDEMPOTENCY_KEY:
                     assert now - first[1] < client.cls.window
                     assert client.cls.group == "all" or zones[first[0]] == zones[action.server]
                 client.attempts.append((action.server, now, None))
-            elif isinstance(action, Refuse | Fail):
+            elif isinstance(action, Reject | Fail):
                 client = clients[action.call]
                 # In the batch that ends a call it may still be answered on an earlier event: that is ignored.
                 assert not client.ended or action.call in ended_now
                 assert now <= client.deadline + setup.answer_slack
                 assert all(a[2] is not None for a in client.attempts)
-                if isinstance(action, Refuse) and client.first_maybe() is not None:
-                    assert client.cls.effect is Effect.REPEATABLE or client.cls.group == "all"
-                    assert client.cls.effect is not Effect.ONCE
+                if isinstance(action, Reject) and client.first_maybe() is not None:
+                    assert client.cls.effect is Effect.IDEMPOTENT or client.cls.group == "all"
+                    assert client.cls.effect is not Effect.NOT_IDEMPOTENT
                 client.ended = True
             elif isinstance(action, Cancel):
                 assert cancel and clients[action.call].attempts[action.attempt]
@@ -141,7 +145,7 @@
                 if left:
                     call = data.draw(st.sampled_from(left))
                     clients[call].ended = True
-                    events.append(Gone(call))
+                    events.append(ClientDisconnected(call))
             elif kind == "list":
                 server = data.draw(st.sampled_from(sorted(zones)))
                 state[server] = data.draw(st.sampled_from(list(ServerState)))
@@ -153,7 +157,9 @@
                     )
                 )
             elif kind == "probed" and probing:
-                events.append(Probed(probing.pop(), data.draw(st.integers(0, 4)), 0.01, {"busy_reqs": 1.0}))
+                events.append(
+                    ProbeResult(probing.pop(), data.draw(st.integers(0, 4)), 0.01, {"busy_reqs": 1.0})
+                )
         # A held call is answered before its time: no open call without an attempt outlives its deadline.
         if not events:
             events = [Timer(99)]
@@ -174,7 +180,13 @@
 ) -> None:
     """Judged by an instance's own traffic alone, whatever the others do: what
     it sends in any window stays under multiple x capacity x window, with capacity its share of a warm one."""
-    setup = settings(fall_multiple=3.0, fall_within=1.5, cold_from=0.2, cold_for=10.0, may_probe=True)
+    setup = settings(
+        overload_multiple=3.0,
+        overload_window=1.5,
+        warmup_start_fraction=0.2,
+        warmup_time=10.0,
+        may_probe=True,
+    )
     driver = Driver(setup, seed, entries(*range(1, servers + 1)))
     driver.balancer.admission.window = 50.0
     chance = Random(seed)
@@ -188,7 +200,7 @@
         said = driver.wait(chance.expovariate(rate))
         for probe in [a for a in said if isinstance(a, Probe)]:  # the cold one looks idle, as it does to all
             busy = 0.0 if probe.server == 1 and restarted else 30.0
-            driver.feed(Probed(probe.server, Status.OK, 0.001, {"busy_reqs": busy}))
+            driver.feed(ProbeResult(probe.server, Status.OK, 0.001, {"busy_reqs": busy}))
         for send in [a for a in driver.arrive(call) if isinstance(a, Send)]:
             out.append((driver.now + latency, send))
             if restarted and send.server == 1:
--- a/tests/balancing/test_request_rules.py
+++ b/tests/balancing/test_request_rules.py
@@ -10,11 +10,11 @@
 from gladegw import (
     Action,
     Arrival,
+    ClientDisconnected,
     Fail,
-    Gone,
     ListKind,
-    Probed,
-    Refuse,
+    ProbeResult,
+    Reject,
     Send,
     ServerList,
     ServerState,
@@ -27,7 +27,7 @@
 from gladegw.balancing.requests import Call, Obligations
 from gladegw.balancing.server_selection import Server
 
-NEVER = [Status.FULL, Status.CONNECT_FAILED, Status.MOOT]
+NEVER = [Status.REJECTED, Status.CONNECT_FAILED, Status.NOT_SENT]
 MAYBE = [Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED]
 
 
@@ -35,7 +35,7 @@
     cls: str, status: Status | None, duplicate: bool = False, cap: int = 3
 ) -> tuple[Obligations, Call]:
     """A gate and a call with one earlier attempt on server 1, sent at 100.0; status None: still out."""
-    gate = Obligations(settings(may_duplicate=duplicate, max_attempts=cap), [])
+    gate = Obligations(settings(may_hedge=duplicate, max_attempts=cap), [])
     kind = Kind(next(c for c in CLASSES if c.name == cls), 0)
     call = Call(7, kind, 1.0, 100.0, 102.0, 101.0)
     gate.calls[7] = call
@@ -76,7 +76,7 @@
 
 
 def test_window_runs_from_the_first_attempt_that_may_have_run() -> None:
-    gate, call = gate_with("zoned", Status.FULL)
+    gate, call = gate_with("zoned", Status.REJECTED)
     second = gate.send(call, server(2), 100.3, 1.0, 0.0)
     assert second is not None
     gate.settle(second, Status.ERROR, False)
@@ -105,7 +105,7 @@
     assert not gate.may_send(call, server(2), 100.1)
     gate, call = gate_with("safe", Status.ERROR)
     assert gate.may_send(call, server(2), 101.999) and not gate.may_send(call, server(2), 102.0)
-    for state in (ServerState.DRAINING, ServerState.GONE):
+    for state in (ServerState.DRAINING, ServerState.REMOVED):
         assert not gate.may_send(call, server(2, state=state), 100.1)
     gate.answer(call)
     assert not gate.may_send(call, server(2), 100.1)
@@ -117,10 +117,10 @@
 def test_answer_is_a_refusal_only_where_harmless() -> None:
     for cls, status, kind in (
         ("once", Status.ERROR, Fail),
-        ("once", Status.FULL, Refuse),
-        ("safe", Status.ERROR, Refuse),
+        ("once", Status.REJECTED, Reject),
+        ("safe", Status.ERROR, Reject),
         ("zoned", Status.TIMEOUT, Fail),
-        ("keyed", Status.TIMEOUT, Refuse),
+        ("keyed", Status.TIMEOUT, Reject),
     ):
         gate, call = gate_with(cls, status)
         gate.answer(call)
@@ -128,7 +128,7 @@
 
 
 def test_drained_servers_get_nothing_new() -> None:
-    for state in (ServerState.DRAINING, ServerState.GONE):
+    for state in (ServerState.DRAINING, ServerState.REMOVED):
         driver = Driver(settings(), servers=entries(1, 2))
         driver.feed(drained(1, state))
         for call in range(20):
@@ -147,7 +147,7 @@
     driver = Driver(settings(), servers=[])
     assert not sends(driver.arrive(1, "once", budget=0.8))
     actions = driver.wait(0.8)
-    assert Refuse(1) in actions and not sends(actions)
+    assert Reject(1) in actions and not sends(actions)
 
 
 def test_held_call_goes_once_a_server_comes() -> None:
@@ -166,9 +166,9 @@
 def test_client_that_leaves_within_the_batch_it_came_in_gets_nothing() -> None:
     # Found on an overloaded day: arrivals were opened after all other events, so the leave was overlooked.
     driver = Driver(settings())
-    actions = driver.feed(Arrival(9, "safe", 2.0), Gone(9))
+    actions = driver.feed(Arrival(9, "safe", 2.0), ClientDisconnected(9))
     actions += driver.wait(3.0)
-    assert not any(isinstance(a, Refuse | Fail) or sends([a]) for a in actions)
+    assert not any(isinstance(a, Reject | Fail) or sends([a]) for a in actions)
 
 
 def test_unknown_ids_and_stale_timers_change_nothing() -> None:
@@ -176,9 +176,9 @@
     send = only_send(driver.arrive(1))
     driver.settle(send, Status.OK)
     actions: list[Action] = driver.settle(send, Status.OK)
-    actions += driver.feed(Gone(1), Gone(99), StreamStarted(1, 0, 1))
-    assert not [a for a in actions if isinstance(a, Fail | Refuse) or sends([a])]
-    assert not [a for a in driver.feed(Arrival(1, "safe", 2.0)) if isinstance(a, Fail | Refuse) or sends([a])]
+    actions += driver.feed(ClientDisconnected(1), ClientDisconnected(99), StreamStarted(1, 0, 1))
+    assert not [a for a in actions if isinstance(a, Fail | Reject) or sends([a])]
+    assert not [a for a in driver.feed(Arrival(1, "safe", 2.0)) if isinstance(a, Fail | Reject) or sends([a])]
 
 
 def test_started_stream_is_left_alone() -> None:
@@ -186,7 +186,7 @@
     send = only_send(driver.arrive(1))
     driver.feed(StreamStarted(1, 0, send.server))
     actions = driver.wait(4.0)
-    assert not [a for a in actions if isinstance(a, Fail | Refuse) or sends([a])]
+    assert not [a for a in actions if isinstance(a, Fail | Reject) or sends([a])]
     assert driver.balancer.busy == 0
 
 
@@ -221,14 +221,18 @@
 def test_what_cannot_be_a_call_is_answered_once_and_at_once(cls: str, budget: float) -> None:
     driver = Driver(settings())
     actions = driver.arrive(5, cls, budget) + driver.arrive(5, cls, budget) + driver.wait(3.0)
-    answers = [a for a in actions if isinstance(a, Refuse | Fail) or sends([a])]
-    assert answers == [Refuse(5)]
+    answers = [a for a in actions if isinstance(a, Reject | Fail) or sends([a])]
+    assert answers == [Reject(5)]
 
 
 def test_odd_events_change_nothing() -> None:
     driver = Driver(settings(may_probe=True))
-    driver.feed(Probed(77, Status.OK, 0.1, {"busy_reqs": 1.0}), Timer(12345), ServerList(ListKind.FULL, []))
-    driver.feed(Probed(1, Status.OK, 0.1, {"busy_reqs": float("nan")}), ServerList(ListKind.FULL, entries(1)))
+    driver.feed(
+        ProbeResult(77, Status.OK, 0.1, {"busy_reqs": 1.0}), Timer(12345), ServerList(ListKind.FULL, [])
+    )
+    driver.feed(
+        ProbeResult(1, Status.OK, 0.1, {"busy_reqs": float("nan")}), ServerList(ListKind.FULL, entries(1))
+    )
     for _ in range(3):  # the clock stands still
         driver.feed(Timer(1))
     assert only_send(driver.arrive(1)).server == 1
@@ -236,7 +240,7 @@
 
 def test_failed_watches_are_asked_again_within_the_ask_limit() -> None:
     # One site counts four seconds without asking as being told of every drain.
-    driver = Driver(settings(ask_for_list=True, must_ask_within=4.0))
+    driver = Driver(settings(polls_endpoints=True, max_poll_gap=4.0))
     asked: list[float] = []
     while driver.now < 140.0:
         if Watch(True) in driver.wait(0.05):
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -22,7 +22,7 @@
     ListKind,
     Outcome,
     Probe,
-    Probed,
+    ProbeResult,
     RequestClass,
     Send,
     ServerEntry,
@@ -35,7 +35,7 @@
 
 LATENCY = 0.05  # s of each call
 BUSY = 60.0  # calls that a warm server says it holds; a cold one says that it holds none
-CLASS = RequestClass("safe", worth=1, aim=1.0, deadline=2.0)
+CLASS = RequestClass("safe", priority_weight=1, latency_objective=1.0, deadline=2.0)
 
 
 @dataclass
@@ -62,7 +62,7 @@
 
     def _balancer(self, me: int) -> Balancer:
         values = {name: getattr(self.settings, name) for name in self.settings.__slots__}
-        balancer = Balancer(Settings(**{**values, "me": me}), self.random.getrandbits(32))
+        balancer = Balancer(Settings(**{**values, "instance": me}), self.random.getrandbits(32))
         self._later(0.0, me, ServerList(ListKind.FULL, self._entries()))
         return balancer
 
@@ -114,23 +114,25 @@
                 self._later(LATENCY, me, outcome)
             elif isinstance(action, Probe):
                 busy = BUSY if self.warmth(action.server, self.now) >= 1 else 0.0
-                self._later(0.001, me, Probed(action.server, Status.OK, 0.001, {"busy_reqs": busy}))
+                self._later(0.001, me, ProbeResult(action.server, Status.OK, 0.001, {"busy_reqs": busy}))
 
     def warmth(self, server: int, at: float) -> float:
         setup, since = self.settings, self.cold_since[server]
-        if not since or at >= since + setup.cold_for:
+        if not since or at >= since + setup.warmup_time:
             return 1.0
-        return setup.cold_from + (1 - setup.cold_from) * (at - since) / setup.cold_for
+        return (
+            setup.warmup_start_fraction + (1 - setup.warmup_start_fraction) * (at - since) / setup.warmup_time
+        )
 
     def most_over_budget(self, server: int, capacity: float) -> float:
         """The largest part of its budget that a cold server got in any span; a warm one bears `capacity`."""
         setup, since = self.settings, self.cold_since[server]
-        times = [at for at in self.sent[server] if since <= at < since + setup.cold_for]
+        times = [at for at in self.sent[server] if since <= at < since + setup.warmup_time]
         worst = 0.0
         for first, start in enumerate(times):
-            got = sum(1 for at in times[first:] if at < start + setup.fall_within)
-            middle = self.warmth(server, start + setup.fall_within / 2)
-            allowed = setup.fall_multiple * middle * capacity * setup.fall_within
+            got = sum(1 for at in times[first:] if at < start + setup.overload_window)
+            middle = self.warmth(server, start + setup.overload_window / 2)
+            allowed = setup.overload_multiple * middle * capacity * setup.overload_window
             worst = max(worst, got / bound(allowed))
         return worst
 
@@ -144,8 +146,9 @@
 
 def setup(balancers: int, cold_from: float, cold_for: float, multiple: float, within: float) -> Settings:
     return Settings(
-        classes=[CLASS], zone="a", balancers=balancers, max_attempts=1, cold_from=cold_from,
-        cold_for=cold_for, fall_multiple=multiple, fall_within=within, may_probe=True, price_probe=0.001,
+        classes=[CLASS], zone="a", balancers=balancers, max_attempts=1, warmup_start_fraction=cold_from,
+        warmup_time=cold_for, overload_multiple=multiple, overload_window=within, may_probe=True,
+        price_probe=0.001,
     )  # fmt: skip
 
 
@@ -163,7 +166,7 @@
     fleet = Fleet(drawn, servers, capacity * servers, skew, seed)
     fleet.run(25.0)
     fleet.restart(1)
-    fleet.run(drawn.cold_for)
+    fleet.run(drawn.warmup_time)
     assert fleet.most_over_budget(1, capacity) <= 1
 
 
--- a/tests/balancing/test_watch_pacing.py
+++ b/tests/balancing/test_watch_pacing.py
@@ -15,7 +15,7 @@
 
 from support.balancing import Driver, settings
 
-from gladegw import Balancer, CallFailure, ListKind, ServerList, SetTimer, Timer, Watch
+from gladegw import Balancer, DiscoveryFailure, ListKind, ServerList, SetTimer, Timer, Watch
 from gladegw.balancing.balancer import TICK_TOKEN
 from gladegw.balancing.events import Event
 
@@ -53,7 +53,7 @@
     discovery = CrowdedDiscovery(capacity, back_at)
     proxies = [
         Balancer(
-            settings(ask_for_list=True, must_ask_within=MUST_ASK_WITHIN, balancers=PROXIES, me=n), seed=n
+            settings(polls_endpoints=True, max_poll_gap=MUST_ASK_WITHIN, balancers=PROXIES, instance=n), seed=n
         )
         for n in range(PROXIES)
     ]
@@ -66,10 +66,10 @@
 
     for number, proxy in enumerate(proxies):
         asked_at = 0.0
-        while Watch(True) not in proxy.handle(asked_at, [ServerList(ListKind.SAVED), Timer(TICK_TOKEN)]):
+        while Watch(True) not in proxy.handle(asked_at, [ServerList(ListKind.CACHED), Timer(TICK_TOKEN)]):
             asked_at += 0.1
         proxy.handle(BEGIN - 1.0, [ServerList(ListKind.FULL)])
-        put(BEGIN, number, ServerList(ListKind.FAILED, failure=CallFailure.REFUSED))
+        put(BEGIN, number, ServerList(ListKind.FAILED, failure=DiscoveryFailure.REJECTED))
         put(BEGIN, number, Timer(TICK_TOKEN))
     while events and len(answered) < PROXIES:
         now, _, number, event = heapq.heappop(events)
@@ -83,7 +83,7 @@
             elif action == Watch(True):
                 at, heard = discovery.call(now)
                 kind = ListKind.FULL if heard else ListKind.FAILED
-                put(at, number, ServerList(kind, failure=CallFailure.REFUSED))
+                put(at, number, ServerList(kind, failure=DiscoveryFailure.REJECTED))
     return sorted(answered.values())
 
 
@@ -97,12 +97,12 @@
 
 def test_a_refused_call_is_repeated_early_enough_for_a_fleet_of_one() -> None:
     """A change of the outage counts as told 6 s after discovery is back, and the grace of a drain follows."""
-    driver = Driver(settings(ask_for_list=True, must_ask_within=MUST_ASK_WITHIN))
+    driver = Driver(settings(polls_endpoints=True, max_poll_gap=MUST_ASK_WITHIN))
     while Watch(True) not in driver.wait(0.1):
         pass
     driver.feed(ServerList(ListKind.FULL))
     for _ in range(200):
-        driver.feed(ServerList(ListKind.FAILED, failure=CallFailure.REFUSED))
+        driver.feed(ServerList(ListKind.FAILED, failure=DiscoveryFailure.REJECTED))
         asked_at = driver.now
         while Watch(True) not in driver.wait(0.05):
             assert driver.now - asked_at < TOLD_WITHIN + DRAIN_GRACE
@@ -110,7 +110,7 @@
 
 def test_where_lists_are_pushed_a_refused_call_is_repeated_within_a_second() -> None:
     """What this proxy's own agent has counts as told at once, and no other proxy calls there."""
-    driver = Driver(settings(ask_for_list=False))
+    driver = Driver(settings(polls_endpoints=False))
     for _ in range(50):
-        driver.feed(ServerList(ListKind.FAILED, failure=CallFailure.REFUSED))
+        driver.feed(ServerList(ListKind.FAILED, failure=DiscoveryFailure.REJECTED))
         assert Watch(True) in driver.wait(1.1)
--- a/tests/net/test_capture.py
+++ b/tests/net/test_capture.py
@@ -27,7 +27,18 @@
     run,
 )
 
-from gladegw import Arrival, Balancer, Gone, ListKind, Outcome, Probe, Probed, Send, ServerList, Status
+from gladegw import (
+    Arrival,
+    Balancer,
+    ClientDisconnected,
+    ListKind,
+    Outcome,
+    Probe,
+    ProbeResult,
+    Send,
+    ServerList,
+    Status,
+)
 from gladegw.balancing.events import Event
 from gladegw.balancing.server_selection import Servers
 from gladegw.net.capture import Capture, CaptureSettings
@@ -48,7 +59,7 @@
         self.capture, self.random = capture, random.Random(seed)
         self.balancer = Balancer(setup, seed)
         if watched and capture is not None:
-            self.balancer.witness = capture.step
+            self.balancer.observer = capture.step
         self.now = 1000.0
         self.said: list[Any] = []
         self.calls: dict[int, int] = {}  # attempts made
@@ -92,9 +103,9 @@
                 self.calls[event.call] = 0
             elif isinstance(event, Outcome) and event.final:
                 self.end(event.call, 200)
-            elif isinstance(event, Gone):
+            elif isinstance(event, ClientDisconnected):
                 self.end(event.call, None)
-            elif isinstance(event, Probed) and event.report and self.capture is not None:
+            elif isinstance(event, ProbeResult) and event.report and self.capture is not None:
                 figures = ",".join(f"{k}={v:g}" for k, v in event.report.items())
                 self.capture.reported(event.server, figures.replace("busy_reqs", "inflight").encode())
         for action in self.balancer.handle(self.now, events):
@@ -114,9 +125,9 @@
             self.due.append((self.now + took, ended))
         elif isinstance(action, Probe):
             figure = {"busy_reqs": float(self.random.randrange(9))}
-            self.due.append((self.now + 0.02, Probed(action.server, 0, 0.02, figure)))
-        elif hasattr(action, "call") and type(action).__name__ in ("Refuse", "Fail"):
-            self.end(action.call, 503 if type(action).__name__ == "Refuse" else 502)
+            self.due.append((self.now + 0.02, ProbeResult(action.server, 0, 0.02, figure)))
+        elif hasattr(action, "call") and type(action).__name__ in ("Reject", "Fail"):
+            self.end(action.call, 503 if type(action).__name__ == "Reject" else 502)
 
     def play(self, steps: int = 900) -> None:
         self.step([self.told(*NAMES)])
@@ -128,7 +139,7 @@
             if turn == 400:
                 events.append(self.told(*NAMES[1:]))
             if turn % 97 == 0 and self.calls:
-                events.append(Gone(next(iter(self.calls))))
+                events.append(ClientDisconnected(next(iter(self.calls))))
             self.step(events)
 
 
@@ -290,7 +301,7 @@
     for _ in range(20):
         came = world.arrive()
         assert isinstance(came, Arrival)
-        world.step([came, Gone(came.call)])
+        world.step([came, ClientDisconnected(came.call)])
     assert not world.balancer.arriving
     assert world.capture is not None and not world.capture.open and len(world.capture.records) == 20
 
--- a/tests/net/test_system_calls.py
+++ b/tests/net/test_system_calls.py
@@ -71,7 +71,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        assert await status_of_an_attempt(10_000, errno.EADDRNOTAVAIL, monkeypatch) is Status.MOOT
+        assert await status_of_an_attempt(10_000, errno.EADDRNOTAVAIL, monkeypatch) is Status.NOT_SENT
 
     run(test())
 
--- a/tests/support/balancing.py
+++ b/tests/support/balancing.py
@@ -23,10 +23,28 @@
     Timer,
 )
 
-SAFE = RequestClass("safe", worth=10, aim=1.0, deadline=2.0)
-ONCE = RequestClass("once", worth=1, aim=1.0, deadline=2.0, effect=Effect.ONCE)
-ZONED = RequestClass("zoned", worth=1, aim=1.0, deadline=2.0, effect=Effect.BY_KEY, group="zone", window=0.5)
-KEYED = RequestClass("keyed", worth=1, aim=1.0, deadline=2.0, effect=Effect.BY_KEY, group="all", window=0.5)
+SAFE = RequestClass("safe", priority_weight=10, latency_objective=1.0, deadline=2.0)
+ONCE = RequestClass(
+    "once", priority_weight=1, latency_objective=1.0, deadline=2.0, effect=Effect.NOT_IDEMPOTENT
+)
+ZONED = RequestClass(
+    "zoned",
+    priority_weight=1,
+    latency_objective=1.0,
+    deadline=2.0,
+    effect=Effect.IDEMPOTENCY_KEY,
+    group="zone",
+    window=0.5,
+)
+KEYED = RequestClass(
+    "keyed",
+    priority_weight=1,
+    latency_objective=1.0,
+    deadline=2.0,
+    effect=Effect.IDEMPOTENCY_KEY,
+    group="all",
+    window=0.5,
+)
 CLASSES = [SAFE, ONCE, ZONED, KEYED]
 
 
@@ -36,10 +54,10 @@
         "zone": "a",
         "max_attempts": 3,
         "price_probe": 0.01,
-        "cold_from": 0.3,
-        "cold_for": 10.0,
-        "fall_multiple": 3.0,
-        "fall_within": 1.5,
+        "warmup_start_fraction": 0.3,
+        "warmup_time": 10.0,
+        "overload_multiple": 3.0,
+        "overload_window": 1.5,
         "answer_slack": 0.02,
     }
     return Settings(**{**values, **changes})
@@ -58,7 +76,7 @@
         self.timers: list[tuple[float, int]] = []
         self.said: list[Action] = []
         listed = entries(1, 2, 3, 4) if servers is None else servers
-        self.feed(ServerList(ListKind.SAVED, listed))
+        self.feed(ServerList(ListKind.CACHED, listed))
 
     def feed(self, *events: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, list(events))
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from gladegw import Balancer, Settings, Tell
+from gladegw import Balancer, SendToPeer, Settings
 from gladegw.simulator_adapter import Host, read_settings, write_action
 
 ROOT = Path(__file__).parent.parent
@@ -177,7 +177,7 @@
     else:
         params[key] = value
     shown = key.split(".")[-1] if value is not None else key
-    names = {"objective": "aim", "send_cap": "max_attempts", "count": "classes"}
+    names = {"objective": "latency_objective", "send_cap": "max_attempts", "count": "classes"}
     names["streams_per_conn"] = "calls_per_connection"
     with pytest.raises(ValueError, match=names.get(shown, shown)):
         read_settings(params)
@@ -201,12 +201,12 @@
     assert [status.name for status in Status] == [
         "OK",
         "ERROR",
-        "FULL",
+        "REJECTED",
         "TIMEOUT",
         "CONNECT_FAILED",
         "RESET",
         "CANCELLED",
-        "MOOT",
+        "NOT_SENT",
     ]
 
 
@@ -225,11 +225,16 @@
     assert isinstance(shown, Settings)
     assert (shown.stages, shown.zones, shown.kinds, shown.quantum) == (2, ("north", "south"), ("std",), 0.005)
     assert (shown.report_names, shown.reports, shown.weights) == (("busy_reqs", "svc_ms"), "answer", "rough")
-    assert shown.worth_by_work and shown.may_tell and shown.clients_mark_retries and shown.most_held == 9
+    assert (
+        shown.weight_by_work
+        and shown.may_message_peers
+        and shown.clients_mark_retries
+        and shown.max_open_requests == 9
+    )
     assert (shown.connect_timeout, shown.calls_per_connection, shown.cpu_per_s) == (0.15, 100, 2.0)
-    assert (shown.price_waste, shown.price_late_fail, shown.goal_class) == (0.04, 0.05, 0.2)
+    assert (shown.price_waste, shown.price_late_failure, shown.goal_class) == (0.04, 0.05, 0.2)
     plain = read_settings(pairs(PARAMS))
-    assert (plain.reports, plain.weights, plain.may_tell, plain.connect_timeout) == (
+    assert (plain.reports, plain.weights, plain.may_message_peers, plain.connect_timeout) == (
         "probe",
         "nominal",
         False,
@@ -238,8 +243,8 @@
 
 
 def test_messages_to_peers() -> None:
-    assert write_action("3", Tell(b"hi", 2)) == "broadcast_to who=3 dst=2 data=6869"
-    assert write_action("3", Tell(b"")) == "broadcast_to who=3 dst=all data=-"
+    assert write_action("3", SendToPeer(b"hi", 2)) == "broadcast_to who=3 dst=2 data=6869"
+    assert write_action("3", SendToPeer(b"")) == "broadcast_to who=3 dst=all data=-"
 
 
 def test_input_that_is_not_utf8_ends_with_status_2() -> None:
