--- a/gladegw/supervisor/run.py
+++ b/gladegw/supervisor/run.py
@@ -113,11 +113,17 @@
         kept = state.phase is Phase.KEEPING
         order = self.companion.order if self.companion is not None else Order()
         return Supervised(
-            name=self.config.name, version=state.coming if kept else state.current,
-            state=state.phase.value, coming=state.coming,
-            wanted=state.wanted, refused=tuple(sorted(state.refused)), reason=state.reason,
-            restarts=state.restarts, epoch=order.epoch, alone=order.alone,
-        )  # fmt: skip
+            name=self.config.name,
+            version=state.coming if kept else state.current,
+            state=state.phase.value,
+            coming=state.coming,
+            wanted=state.wanted,
+            refused=tuple(sorted(state.refused)),
+            reason=state.reason,
+            restarts=state.restarts,
+            epoch=order.epoch,
+            alone=order.alone,
+        )
 
     # the loop
     async def run(self) -> None:
@@ -186,9 +192,11 @@
         before = self.processes.get(Slot.CURRENT) if slot is Slot.OTHER else None
         silent = self.settings.hang_s if slot is Slot.CURRENT else SILENT
         starting = self.state.phase in (Phase.STARTING, Phase.BRINGING)
-        bad = "" if starting else process.bad(
-            before, self.settings.most_failed, silent, self.config.memory, now
-        )  # fmt: skip
+        bad = (
+            ""
+            if starting
+            else process.bad(before, self.settings.most_failed, silent, self.config.memory, now)
+        )
         return process.seen(bad, process.thin(before))
 
     def _act(self, actions: Actions, now: float) -> None:
@@ -224,10 +232,12 @@
         while True:
             newest = Slot.OTHER if self.state.phase in SERVES_OTHER else Slot.CURRENT
             alone = self.state.phase in (*SERVES_OTHER, Phase.STEADY, Phase.STARTING)
-            await asyncio.gather(*(
-                process.look(self.config.listen if alone and slot is newest else None, boot())
-                for slot, process in list(self.processes.items())
-            ))  # fmt: skip
+            await asyncio.gather(
+                *(
+                    process.look(self.config.listen if alone and slot is newest else None, boot())
+                    for slot, process in list(self.processes.items())
+                )
+            )
             await asyncio.sleep(TICK)
 
     async def _end(self) -> None:
--- a/gladegw/supervisor/settings.py
+++ b/gladegw/supervisor/settings.py
@@ -39,8 +39,13 @@
         return Bounds(self.ready_s, self.prove_s, self.drain_s)
 
 
-RANGES = {"ready_s": (1, 3600), "prove_s": (0.5, 3600), "drain_s": (0.5, 3600), "hang_s": (1, 3600),
-          "most_failed": (0, 1)}  # fmt: skip
+RANGES = {
+    "ready_s": (1, 3600),
+    "prove_s": (0.5, 3600),
+    "drain_s": (0.5, 3600),
+    "hang_s": (1, 3600),
+    "most_failed": (0, 1),
+}
 SHAPE = re.compile(r"[A-Za-z0-9][A-Za-z0-9._+-]{0,63}")
 
 
--- a/tests/apps/test_apps.py
+++ b/tests/apps/test_apps.py
@@ -80,9 +80,14 @@
   timeout_ms = 800
 }
 """
-ENDPOINTS = json.dumps({"endpoints": [
-    {"name": "sh-1", "zone": "a"}, {"name": "st-1", "zone": "b"},
-]})  # fmt: skip
+ENDPOINTS = json.dumps(
+    {
+        "endpoints": [
+            {"name": "sh-1", "zone": "a"},
+            {"name": "st-1", "zone": "b"},
+        ]
+    }
+)
 BASE = {"front.hcl": FRONT, "shop.hcl": SHOP, "store.hcl": STORE}
 
 # A change to the sound set: file, what is replaced, by what; `@` marks the line of the finding, which may
@@ -94,7 +99,7 @@
     ("R001", "shop.hcl", 'owner = "b"', "@owner = b"),
     ("R001", "shop.hcl", 'owner = "b"', "@owner ="),
     ("R001", "shop.hcl", 'owner = "b"', '@owner = "b" calls = []'),
-    ("R001", "store.hcl", '  timeout_ms = 800\n}\n', "  timeout_ms = 800\n@"),
+    ("R001", "store.hcl", "  timeout_ms = 800\n}\n", "  timeout_ms = 800\n@"),
     ("R001", "store.hcl", 'app "store"', '@app ? "store"'),
     ("R001", "shop.hcl", 'zones = ["a", "b"]', '@zones = ["a" "b"]'),
     # keys and blocks
@@ -106,7 +111,12 @@
     ("R003", "shop.hcl", 'pool "spare"', '@poool "x" {}\npool "spare"'),
     ("R003", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '@  headr "x" { is = "1" }\n'),
     ("R004", "shop.hcl", 'pool "spare"', 'pool "x" {}\n@pool "x" {}\npool "spare"'),
-    ("R004", "shop.hcl", 'route "order"', 'route "a" { pool = "shop" }\n@route "a" { pool = "shop" }\nroute "order"'),
+    (
+        "R004",
+        "shop.hcl",
+        'route "order"',
+        'route "a" { pool = "shop" }\n@route "a" { pool = "shop" }\nroute "order"',
+    ),
     ("R004", "front.hcl", "  worth      = 1", "  worth      = 1\n@  worth = 2"),
     ("R004", "shop.hcl", 'app "shop"', 'app "x" { owner = "y" }\n@app "shop"'),
     ("R004", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '  header "x" { is = "1" }\n@  header "X" { is = "2" }\n'),
@@ -116,7 +126,7 @@
     ("R005", "shop.hcl", "  timeout_ms = 900", '@  timeout_ms = "900"'),
     ("R005", "shop.hcl", "  timeout_ms = 900", "@  timeout_ms = -1"),
     ("R005", "shop.hcl", 'zones = ["a", "b"]', '@zones = "a"'),
-    ("R005", "shop.hcl", 'zones = ["a", "b"]', '@subset = 0'),
+    ("R005", "shop.hcl", 'zones = ["a", "b"]', "@subset = 0"),
     ("R005", "shop.hcl", 'zones = ["a", "b"]', '@statuses = ["ready"]'),
     ("R005", "front.hcl", "  attempts   = 2", "@  attempts   = 2.5"),
     ("R005", "front.hcl", '  effect     = "once"', '@  effect = "twice"'),
@@ -130,10 +140,10 @@
     ("R006", "store.hcl", '  pool       = "store"\n', ""),
     ("R006", "shop.hcl", 'route "order"', "@route"),
     ("R006", "store.hcl", 'app "store" {\n  owner = "c"\n}', "@"),
-    ("R006", "shop.hcl", '  pool   = "shop"\n}', '  redirect { code = 302 }\n}'),
+    ("R006", "shop.hcl", '  pool   = "shop"\n}', "  redirect { code = 302 }\n}"),
     # what excludes each other
     ("R007", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '@  path = "/order"\n'),
-    ("R007", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '  answer { code = 503 }\n'),
+    ("R007", "shop.hcl", SHOP_ORDER, SHOP_ORDER + "  answer { code = 503 }\n"),
     ("R007", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '  match { path = "/order/1" }\n'),
     ("R007", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '@  hosts = ["shop.example"]\n'),
     ("R007", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '@  edit_headers { drop = ["X-Call-Id"] }\n'),
@@ -147,17 +157,49 @@
     ("R008", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '@  sources = ["10.0.0.1/8"]\n'),
     ("R008", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '@  method = "get"\n'),
     # routes against routes
-    ("R101", "shop.hcl", 'route "order" {', 'route "z" {\n  host = "shop.example"\n  prefix = "/order"\n  pool = "shop"\n}\nroute "order" {'),
-    ("R101", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '  header "a" { is = "1" }\n  pool = "shop"\n}\nroute "z" {\n  host = "shop.example"\n  prefix = "/order"\n  header "b" { present = true }\n'),
+    (
+        "R101",
+        "shop.hcl",
+        'route "order" {',
+        'route "z" {\n  host = "shop.example"\n  prefix = "/order"\n  pool = "shop"\n}\nroute "order" {',
+    ),
+    (
+        "R101",
+        "shop.hcl",
+        SHOP_ORDER,
+        SHOP_ORDER
+        + '  header "a" { is = "1" }\n  pool = "shop"\n}\nroute "z" {\n  host = "shop.example"\n  prefix = "/order"\n  header "b" { present = true }\n',
+    ),
     ("R102", "store.hcl", 'host       = "store.example"', 'host       = "shop.example"'),
     ("R102", "store.hcl", '  host       = "store.example"\n', ""),
-    ("R102", "store.hcl", 'host       = "store.example"\n  prefix     = "/stock"', 'host       = "*.example"\n  path     = "/stock/1"'),
-    ("R102", "store.hcl", 'host       = "store.example"\n  prefix     = "/stock"', 'host       = "shop.example"\n  class = "stock"\n  regex     = "/st.*"'),
-    ("R103", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '  pool = "shop"\n}\n@route "z" {\n  host = "shop.example"\n  path = "/order"\n  pool = "shop"\n}\nroute "y" {\n  host = "shop.example"\n  path = "/order"\n'),
+    (
+        "R102",
+        "store.hcl",
+        'host       = "store.example"\n  prefix     = "/stock"',
+        'host       = "*.example"\n  path     = "/stock/1"',
+    ),
+    (
+        "R102",
+        "store.hcl",
+        'host       = "store.example"\n  prefix     = "/stock"',
+        'host       = "shop.example"\n  class = "stock"\n  regex     = "/st.*"',
+    ),
+    (
+        "R103",
+        "shop.hcl",
+        SHOP_ORDER,
+        SHOP_ORDER
+        + '  pool = "shop"\n}\n@route "z" {\n  host = "shop.example"\n  path = "/order"\n  pool = "shop"\n}\nroute "y" {\n  host = "shop.example"\n  path = "/order"\n',
+    ),
     ("R104", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '  classes = ["stock"]\n'),
     # names
     ("R201", "shop.hcl", 'fallback   = ["spare"]', 'fallback   = ["spar"]'),
-    ("R201", "shop.hcl", SHOP_ORDER + '  pool   = "shop"', SHOP_ORDER + "  split { weights = { shop = 1, shp = 1 } }"),
+    (
+        "R201",
+        "shop.hcl",
+        SHOP_ORDER + '  pool   = "shop"',
+        SHOP_ORDER + "  split { weights = { shop = 1, shp = 1 } }",
+    ),
     ("R201", "shop.hcl", 'pool "spare" { zones = ["b"] }', '@pool "spare" { fallback = ["nowhere"] }'),
     ("R202", "shop.hcl", SHOP_ORDER, '  prefix = "/ordr"\n'),
     ("R202", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '  class = "ordr"\n'),
@@ -179,9 +221,19 @@
     ("R304", "store.hcl", "  timeout_ms = 800", "  timeout_ms = 100"),
     ("R304", "front.hcl", "  timeout_ms = 1000", "@  timeout_ms = 100"),
     # the rest
-    ("R401", "shop.hcl", SHOP_ORDER + '  pool   = "shop"', SHOP_ORDER + "@  split { weights = { shop = 0, spare = 0 } }"),
+    (
+        "R401",
+        "shop.hcl",
+        SHOP_ORDER + '  pool   = "shop"',
+        SHOP_ORDER + "@  split { weights = { shop = 0, spare = 0 } }",
+    ),
     ("R402", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '  mirror { pool = "spare" }\n'),
-    ("R403", "shop.hcl", 'pool "shop" { zones = ["a", "b"] }\npool "spare" { zones = ["b"] }', '@pool "shop" { fallback = ["spare"] }\npool "spare" { fallback = ["shop"] }'),
+    (
+        "R403",
+        "shop.hcl",
+        'pool "shop" { zones = ["a", "b"] }\npool "spare" { zones = ["b"] }',
+        '@pool "shop" { fallback = ["spare"] }\npool "spare" { fallback = ["shop"] }',
+    ),
     ("R403", "shop.hcl", 'pool "spare" { zones = ["b"] }', '@pool "spare" { fallback = ["spare"] }'),
     ("R404", "store.hcl", '  owner = "c"', '  owner = "c"\n  calls = ["shop"]'),
     ("R404", "store.hcl", '  owner = "c"', '  owner = "c"\n@  calls = ["store"]'),
@@ -192,9 +244,19 @@
     # expectations
     ("R501", "shop.hcl", 'pool "spare"', '@expect "x" { goes_to = pool "shop" }\npool "spare"'),
     ("R501", "shop.hcl", 'pool "spare"', '@expect "x" {\n  request { path = "/stock" }\n}\npool "spare"'),
-    ("R501", "shop.hcl", 'pool "spare"', 'expect "x" {\n  request { path = "/stock" }\n@  goes_to = server "shop"\n}\npool "spare"'),
-    ("R204", "shop.hcl", 'pool "spare"', '@expect "x" {\n  app = "nobody"\n  request { path = "/stock" }\n  refused = true\n}\npool "spare"'),
-]  # fmt: skip
+    (
+        "R501",
+        "shop.hcl",
+        'pool "spare"',
+        'expect "x" {\n  request { path = "/stock" }\n@  goes_to = server "shop"\n}\npool "spare"',
+    ),
+    (
+        "R204",
+        "shop.hcl",
+        'pool "spare"',
+        '@expect "x" {\n  app = "nobody"\n  request { path = "/stock" }\n  refused = true\n}\npool "spare"',
+    ),
+]
 
 
 def findings_of(files: dict[str, str], endpoints: str = ENDPOINTS) -> list[Finding]:
@@ -239,23 +301,57 @@
     ("shop.hcl", SHOP_ORDER, '  regex = "/order/[0-9]+"\n  class = "order"\n'),
     ("shop.hcl", SHOP_ORDER, SHOP_ORDER + '  header "x" { is = "1" }\n  query "q" { regex = "a+" }\n'),
     ("shop.hcl", SHOP_ORDER, '  match { path = "/order" }\n  match { path = "/order/1" }\n'),
-    ("shop.hcl", 'pool "shop" { zones = ["a", "b"] }', 'pool "shop" {\n  local = true\n  spill_below = 0.4\n  subset = 30\n}'),
-    ("shop.hcl", SHOP_ORDER + '  pool   = "shop"', SHOP_ORDER + "  split {\n  by = \"tenant\"\n  weights = { shop = 9, spare = 1 }\n}"),
-    ("shop.hcl", "  timeout_ms = 900", "  timeout_ms = 900\n  attempts = 1\n  mirror { pool = \"spare\" }"),
-    ("shop.hcl", 'route "order"', 'route "soon" {\n' + ROUTE + '  budget_ms = [0, 100]\n  answer { code = 429 }\n}\nroute "order"'),
-    ("shop.hcl", 'route "order"', 'route "acme" {\n' + ROUTE + '  tenant = "acme"\n  pool = "spare"\n}\nroute "order"'),
-    ("shop.hcl", 'route "order"', 'route "x" {\n  path = "/old"\n  redirect { location = "/order{query}" }\n}\nroute "order"'),
+    (
+        "shop.hcl",
+        'pool "shop" { zones = ["a", "b"] }',
+        'pool "shop" {\n  local = true\n  spill_below = 0.4\n  subset = 30\n}',
+    ),
+    (
+        "shop.hcl",
+        SHOP_ORDER + '  pool   = "shop"',
+        SHOP_ORDER + '  split {\n  by = "tenant"\n  weights = { shop = 9, spare = 1 }\n}',
+    ),
+    ("shop.hcl", "  timeout_ms = 900", '  timeout_ms = 900\n  attempts = 1\n  mirror { pool = "spare" }'),
+    (
+        "shop.hcl",
+        'route "order"',
+        'route "soon" {\n' + ROUTE + '  budget_ms = [0, 100]\n  answer { code = 429 }\n}\nroute "order"',
+    ),
+    (
+        "shop.hcl",
+        'route "order"',
+        'route "acme" {\n' + ROUTE + '  tenant = "acme"\n  pool = "spare"\n}\nroute "order"',
+    ),
+    (
+        "shop.hcl",
+        'route "order"',
+        'route "x" {\n  path = "/old"\n  redirect { location = "/order{query}" }\n}\nroute "order"',
+    ),
     ("shop.hcl", SHOP_ORDER, SHOP_ORDER + '  edit_headers { put = { "x-a" = "b" } }\n'),
     ("shop.hcl", SHOP_ORDER, SHOP_ORDER + '  sources = ["10.0.0.0/8", "fd00::/8"]\n'),
     ("shop.hcl", 'owner = "b"', 'owner = "b" // who\n  # a comment\n  /* and\n one more */'),
-    ("shop.hcl", 'pool "spare" { zones = ["b"] }', 'pool "spare" { fallback = ["last"] }\npool "last" { types = ["t"] }'),
+    (
+        "shop.hcl",
+        'pool "spare" { zones = ["b"] }',
+        'pool "spare" { fallback = ["last"] }\npool "last" { types = ["t"] }',
+    ),
     ("store.hcl", 'host       = "store.example"', 'host       = "*.store.example"'),
     ("store.hcl", "  timeout_ms = 800", ""),
     ("front.hcl", "retries = { stock = 2 }", "retries = { stock = 1, order = 1, pay = 1 }"),
     ("front.hcl", 'tenant "acme" {}', 'tenant "acme" { share = 0.5 }\nplatform { attempts_over_tiers = 4 }'),
-    ("front.hcl", 'tenant "acme" {}', 'tenant "acme" {}\nexpect "e" {\n  all { host = "shop.example" }\n  never = pool "store"\n}'),
-    ("shop.hcl", 'route "order"', 'route "get" {\n' + ROUTE + '  methods = ["GET"]\n  classes = ["order"]\n  answer { code = 403 }\n}\nroute "order"'),
-]  # fmt: skip
+    (
+        "front.hcl",
+        'tenant "acme" {}',
+        'tenant "acme" {}\nexpect "e" {\n  all { host = "shop.example" }\n  never = pool "store"\n}',
+    ),
+    (
+        "shop.hcl",
+        'route "order"',
+        'route "get" {\n'
+        + ROUTE
+        + '  methods = ["GET"]\n  classes = ["order"]\n  answer { code = 403 }\n}\nroute "order"',
+    ),
+]
 
 
 @pytest.mark.parametrize("file, old, new", SOUND)
@@ -369,8 +465,10 @@
     assert said("apps", "check", where, "--json") == (0, {"findings": []})
     out = str(tmp_path / "out")
     assert said("apps", "build", where, "--out", out, "--json")[1]["changed"] == [
-        "front.routes.hcl", "shop.routes.hcl", "store.routes.hcl",
-    ]  # fmt: skip
+        "front.routes.hcl",
+        "shop.routes.hcl",
+        "store.routes.hcl",
+    ]
     assert said("apps", "build", where, "--out", out, "--json")[1]["changed"] == []
     (tmp_path / "shop.hcl").write_text(SHOP + "@")
     code, told = said("apps", "check", where, "--json")
@@ -387,14 +485,30 @@
     ('prefix     = "/stock"\n  pool       = "shop"', 'prefix     = "/stock"\n  pool       = "spare"', {0, 4}),
     ('prefix     = "/stock"', 'prefix     = "/stok"', {0, 3, 4}),
     (SHOP_ORDER, SHOP_ORDER + '  header "x-old" { is = "1" }\n', {1, 6}),
-    ('  pool   = "shop"\n}', '  pool   = "shop"\n}\nroute "x" {\n  host = "shop.example"\n  prefix = "/order/7"\n  answer { code = 403 }\n}', {1, 6}),
+    (
+        '  pool   = "shop"\n}',
+        '  pool   = "shop"\n}\nroute "x" {\n  host = "shop.example"\n  prefix = "/order/7"\n  answer { code = 403 }\n}',
+        {1, 6},
+    ),
     ("  timeout_ms = 900", "  timeout_ms = 700", {3}),
     ('host       = "shop.example"', 'host       = "sh.example"', {0, 3, 4}),
-    ('  pool   = "shop"\n}', '  split { weights = { shop = 8, spare = 2 } }\n}', {1, 6}),
-    ('  pool   = "shop"\n}', '  pool   = "shop"\n}\nroute "x" {\n  host = "shop.example"\n  prefix = "/stock"\n  budget_ms = [0, 10]\n  pool = "spare"\n}', {4, 5}),
-    ('  pool   = "shop"\n}', '  pool   = "shop"\n}\nroute "x" {\n  prefix = "/pay"\n  pool = "spare"\n}', {2}),
-    ('  pool   = "shop"\n}', '  pool   = "shop"\n}\nroute "x" {\n  host = "shop.example"\n  prefix = "/stock"\n  header "x-trial" { present = true }\n  pool = "shop"\n  timeout_ms = 900\n}', {5}),
-]  # fmt: skip
+    ('  pool   = "shop"\n}', "  split { weights = { shop = 8, spare = 2 } }\n}", {1, 6}),
+    (
+        '  pool   = "shop"\n}',
+        '  pool   = "shop"\n}\nroute "x" {\n  host = "shop.example"\n  prefix = "/stock"\n  budget_ms = [0, 10]\n  pool = "spare"\n}',
+        {4, 5},
+    ),
+    (
+        '  pool   = "shop"\n}',
+        '  pool   = "shop"\n}\nroute "x" {\n  prefix = "/pay"\n  pool = "spare"\n}',
+        {2},
+    ),
+    (
+        '  pool   = "shop"\n}',
+        '  pool   = "shop"\n}\nroute "x" {\n  host = "shop.example"\n  prefix = "/stock"\n  header "x-trial" { present = true }\n  pool = "shop"\n  timeout_ms = 900\n}',
+        {5},
+    ),
+]
 EXPECTS = """
 expect "stock" {
   request { host = "shop.example"
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -146,16 +146,27 @@
 
 def setup(balancers: int, cold_from: float, cold_for: float, multiple: float, within: float) -> Settings:
     return Settings(
-        classes=[CLASS], zone="a", balancers=balancers, max_attempts=1, warmup_start_fraction=cold_from,
-        warmup_time=cold_for, overload_multiple=multiple, overload_window=within, may_probe=True,
+        classes=[CLASS],
+        zone="a",
+        balancers=balancers,
+        max_attempts=1,
+        warmup_start_fraction=cold_from,
+        warmup_time=cold_for,
+        overload_multiple=multiple,
+        overload_window=within,
+        may_probe=True,
         price_probe=0.001,
-    )  # fmt: skip
+    )
 
 
 SETUPS = st.builds(
-    setup, st.sampled_from([2, 5, 12, 30]), st.floats(0.14, 0.5), st.floats(6.0, 20.0),
-    st.floats(2.0, 4.0), st.floats(1.0, 3.0),
-)  # fmt: skip
+    setup,
+    st.sampled_from([2, 5, 12, 30]),
+    st.floats(0.14, 0.5),
+    st.floats(6.0, 20.0),
+    st.floats(2.0, 4.0),
+    st.floats(1.0, 3.0),
+)
 
 
 @check(max_examples=12, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
@@ -204,8 +215,14 @@
         now_ms = int(1000 * time.time())
         backends = [await Backend().start() for _ in range(3)]
         discovery = await Discovery().start()
-        discovery.put(2, *(endpoint(f"s-{number}", backend.address, since_ms=now_ms)
-                           for number, backend in enumerate(backends)), snapshot=True)  # fmt: skip
+        discovery.put(
+            2,
+            *(
+                endpoint(f"s-{number}", backend.address, since_ms=now_ms)
+                for number, backend in enumerate(backends)
+            ),
+            snapshot=True,
+        )
         limits = {**SETTINGS["policy_limits"], "send_cap": 1}
         async with proxy({"s-0": backends[0]}, discovery, policy_limits=limits, balancers=3) as node:
             async with asyncio.timeout(PATIENCE):
--- a/tests/balancing/test_watch_pacing.py
+++ b/tests/balancing/test_watch_pacing.py
@@ -53,7 +53,8 @@
     discovery = CrowdedDiscovery(capacity, back_at)
     proxies = [
         Balancer(
-            settings(polls_endpoints=True, max_poll_gap=MUST_ASK_WITHIN, balancers=PROXIES, instance=n), seed=n
+            settings(polls_endpoints=True, max_poll_gap=MUST_ASK_WITHIN, balancers=PROXIES, instance=n),
+            seed=n,
         )
         for n in range(PROXIES)
     ]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,9 +13,17 @@
 import pytest
 from support import known_red
 
-FLEETS = tuple(f"test_{what}.py" for what in (
-    "program_rollouts", "supervise", "rollout_sockets", "policy_sockets", "fleet_steps", "simulate",
-))  # fmt: skip
+FLEETS = tuple(
+    f"test_{what}.py"
+    for what in (
+        "program_rollouts",
+        "supervise",
+        "rollout_sockets",
+        "policy_sockets",
+        "fleet_steps",
+        "simulate",
+    )
+)
 
 
 @pytest.hookimpl(optionalhook=True)
--- a/tests/control/test_bundles.py
+++ b/tests/control/test_bundles.py
@@ -27,8 +27,18 @@
 from gladegw.coordination.store import Compare, Delete, Done, Get, Model, Operation, Put, Txn
 
 LIMITS = Limits(failed=0, refused=0, level=0, alpha=0.01, least_requests=1)
-ROLLOUT = Rollout(id="r", old="o", new="n", stages=(), limits=LIMITS, bake_s=1, most_s=1, confirm_s=1,
-                  deadline_s=1, everyone=True)  # fmt: skip
+ROLLOUT = Rollout(
+    id="r",
+    old="o",
+    new="n",
+    stages=(),
+    limits=LIMITS,
+    bake_s=1,
+    most_s=1,
+    confirm_s=1,
+    deadline_s=1,
+    everyone=True,
+)
 
 
 class Held:
--- a/tests/control/test_fleet.py
+++ b/tests/control/test_fleet.py
@@ -21,8 +21,14 @@
 
 
 def gladegw(*words: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run((sys.executable, "-m", "gladegw", *words), cwd=ROOT, capture_output=True,
-                          text=True, timeout=30, check=False)  # fmt: skip
+    return subprocess.run(
+        (sys.executable, "-m", "gladegw", *words),
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=30,
+        check=False,
+    )
 
 
 def test_members_and_duties_are_told_as_objects(tmp_path: Path) -> None:
--- a/tests/control/test_fleet_steps.py
+++ b/tests/control/test_fleet_steps.py
@@ -121,7 +121,7 @@
         async with (
             store() as at,
             proxy({"s-1": Backend()}, features=at.block(ttl_s=3 * TTL), name="p1") as node,
-        ):  # fmt: skip
+        ):
             before = await at.duties(held_by("p1"))
 
             async def ask() -> None:
--- a/tests/control/test_policy_sockets.py
+++ b/tests/control/test_policy_sockets.py
@@ -58,8 +58,12 @@
     def gladegw(self, *words: str) -> tuple[int, Any]:
         told = subprocess.run(
             (sys.executable, "-m", "gladegw", "policy", *words, "-f", str(self.settings), "--json"),
-            cwd=ROOT, capture_output=True, text=True, timeout=60, check=False,
-        )  # fmt: skip
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=60,
+            check=False,
+        )
         assert told.stdout, told.stderr
         return told.returncode, json.loads(told.stdout)
 
@@ -215,8 +219,22 @@
             code, told = await here.propose("second")
             assert code == 1 and told["reason"] == "not reached: p1"
             removed = await asyncio.to_thread(
-                subprocess.run, (sys.executable, "-m", "gladegw", "policy", "members", "--remove", "p1",
-                                 "-f", str(here.settings)), cwd=ROOT, timeout=60, check=False)  # fmt: skip
+                subprocess.run,
+                (
+                    sys.executable,
+                    "-m",
+                    "gladegw",
+                    "policy",
+                    "members",
+                    "--remove",
+                    "p1",
+                    "-f",
+                    str(here.settings),
+                ),
+                cwd=ROOT,
+                timeout=60,
+                check=False,
+            )
             assert removed.returncode == 0
             code, told = await here.propose("second")
             assert code == 0, told
@@ -427,8 +445,14 @@
 
 def test_changes_at_every_step_with_faults_break_no_rule() -> None:
     words = ("rig", "changes", "--proxies", "3", "--changes", "12", "--faults", "--ttl", "2", "--seed", "3")
-    told = subprocess.run((sys.executable, "-m", "gladegw", *words, "--json"), cwd=ROOT, text=True,
-                          capture_output=True, timeout=200, check=False)  # fmt: skip
+    told = subprocess.run(
+        (sys.executable, "-m", "gladegw", *words, "--json"),
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=200,
+        check=False,
+    )
     found = json.loads(told.stdout)
     assert told.returncode == 0 and found["breaches"] == [], told.stderr
     assert found["outcomes"]["everywhere"] >= 3 and found["answers"] > 500
@@ -436,8 +460,14 @@
 
 def test_changes_cost_no_request() -> None:
     words = ("rig", "changes", "--proxies", "3", "--changes", "4")
-    told = subprocess.run((sys.executable, "-m", "gladegw", *words, "--json"), cwd=ROOT, text=True,
-                          capture_output=True, timeout=200, check=False)  # fmt: skip
+    told = subprocess.run(
+        (sys.executable, "-m", "gladegw", *words, "--json"),
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=200,
+        check=False,
+    )
     found = json.loads(told.stdout)
     assert told.returncode == 0 and found["outcomes"] == {"everywhere": 4}, told.stderr
     assert found["refused"] == 0 and found["answers"] > 100
--- a/tests/control/test_program_rollouts.py
+++ b/tests/control/test_program_rollouts.py
@@ -28,8 +28,12 @@
 
 PROXIES = 6
 VERSIONS = {
-    "1.0": "none", "1.1": "none", "2.0": "exits", "2.2": "fails 20%", "2.3": "crashes",
-}  # fmt: skip
+    "1.0": "none",
+    "1.1": "none",
+    "2.0": "exits",
+    "2.2": "fails 20%",
+    "2.3": "crashes",
+}
 ROUTES = 'pool "all" {\n  names = ["*"]\n}\nroute "all" {\n  prefix = "/"\n  pool = "all"\n}\n'
 
 
@@ -39,8 +43,14 @@
         self.by_name = {one.name: one for one in running}
 
     def plan(self, version: str, **more: Any) -> str:
-        values = {"program": version, "stages": ["1", "2", "100%"], "bake_s": 3, "least_requests": 20,
-                  "most_s": 60, "move_s": 30} | more  # fmt: skip
+        values = {
+            "program": version,
+            "stages": ["1", "2", "100%"],
+            "bake_s": 3,
+            "least_requests": 20,
+            "most_s": 60,
+            "move_s": 30,
+        } | more
         return self.plan_file(version, values)
 
     async def comes_up(self) -> None:
@@ -71,14 +81,23 @@
         routes.write_text(ROUTES, encoding="utf-8")
         settings.write_text(
             at.block(ttl_s=ttl) + f'routes {{\n  file = "{routes}"\n}}\npolicy {{\n}}\n'
-            f"rollout {{\n  confirm_s = {confirm}\n}}\n", encoding="utf-8",
-        )  # fmt: skip
+            f"rollout {{\n  confirm_s = {confirm}\n}}\n",
+            encoding="utf-8",
+        )
         book = ledger.Ledger(folder / "rig.jsonl")
         stack.callback(book.close)
         running = []
         for number in range(PROXIES):
-            raw = config(SCENARIO, f"p{number}", f"127.0.0.1:{free_port()}", told["discovery"], told["known"],
-                         0, number, "ab"[number % 2])  # fmt: skip
+            raw = config(
+                SCENARIO,
+                f"p{number}",
+                f"127.0.0.1:{free_port()}",
+                told["discovery"],
+                told["known"],
+                0,
+                number,
+                "ab"[number % 2],
+            )
             one = Supervised(f"p{number}", raw, folder, book, str(settings), VERSIONS, "1.0")
             running.append(one)
             stack.push_async_callback(one.kill)
@@ -114,9 +133,15 @@
     run(test())
 
 
-@pytest.mark.parametrize(("version", "why"), [
-    ("2.0", "exit code 1"), ("2.2", "failed"), ("2.3", "exit code 3"), ("9", "no program"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("version", "why"),
+    [
+        ("2.0", "exit code 1"),
+        ("2.2", "failed"),
+        ("2.3", "exit code 3"),
+        ("9", "no program"),
+    ],
+)
 def test_a_bad_version_is_back_in_its_first_stage(version: str, why: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with site(tmp_path) as here:
--- a/tests/control/test_rollout_sockets.py
+++ b/tests/control/test_rollout_sockets.py
@@ -45,10 +45,13 @@
     async def begin(self) -> dict[str, Proxy]:
         self.file.write_text(routes("first"), encoding="utf-8")
         self.settings.write_text(self.block(10), encoding="utf-8")
-        self.nodes = dict(zip(
-            [f"p{n}" for n in range(PROXIES)],
-            await asyncio.gather(*(self.proxy(f"p{n}") for n in range(PROXIES))), strict=True,
-        ))  # fmt: skip
+        self.nodes = dict(
+            zip(
+                [f"p{n}" for n in range(PROXIES)],
+                await asyncio.gather(*(self.proxy(f"p{n}") for n in range(PROXIES))),
+                strict=True,
+            )
+        )
         code, told = await self.propose("old", routes("old"))
         assert code == 0, told
         self.old = told["digest"]
@@ -63,8 +66,13 @@
 
     def plan(self, word: str, text: str, **more: Any) -> str:
         self.bundle(word, text)
-        values = {"bundle": f"{word}.routes.hcl", "stages": ["1", "2", "100%"], "bake_s": 6,
-                  "least_requests": 20, "most_s": 60} | more  # fmt: skip
+        values = {
+            "bundle": f"{word}.routes.hcl",
+            "stages": ["1", "2", "100%"],
+            "bake_s": 6,
+            "least_requests": 20,
+            "most_s": 60,
+        } | more
         return self.plan_file(word, values)
 
     async def versions(self, wanted: Any) -> dict[str, str]:
@@ -122,8 +130,13 @@
             assert [one["state"] for one in told["history"]] == ["done"]
             page = tmp_path / "page.html"
             command = "rollout", "page", "-f", str(here.settings), "-o", str(page)
-            done = await asyncio.to_thread(subprocess.run, [sys.executable, "-m", "gladegw", *command],
-                                           cwd=ROOT, capture_output=True, text=True)  # fmt: skip
+            done = await asyncio.to_thread(
+                subprocess.run,
+                [sys.executable, "-m", "gladegw", *command],
+                cwd=ROOT,
+                capture_output=True,
+                text=True,
+            )
             assert done.returncode == 0 and done.stdout.startswith(f"{page}: rollout "), done.stderr
             text = page.read_text(encoding="utf-8")
             assert "<svg" in text and "<script" not in text
@@ -297,15 +310,26 @@
 
 @pytest.mark.parametrize(
     ("text", "why"),
-    [("rollout {\n}\n", ":1: bundle must"), ('rollout {\n  bundle = "x"\n  bake = 3\n}\n', ":3: unknown"),
-     ('rollout {\n  bundle = "x"\n  stages = ["1"]\n}\n', ":3: stages: "), ("x {\n}\n", ":1: a plan is one"),
-     ('rollout {\n  bundle = "x"\n  bake_s = 0\n}\n', ":3: bake_s must be"), ("rollout {", "not HCL"),
-     ('rollout {\n  bundle = "x"\n  on_worse = "go"\n}\n', ":3: on_worse must be"),
-     ('rollout {\n  bundle = "nothing.hcl"\n}\n', "nothing.hcl: No such file")],
-)  # fmt: skip
+    [
+        ("rollout {\n}\n", ":1: bundle must"),
+        ('rollout {\n  bundle = "x"\n  bake = 3\n}\n', ":3: unknown"),
+        ('rollout {\n  bundle = "x"\n  stages = ["1"]\n}\n', ":3: stages: "),
+        ("x {\n}\n", ":1: a plan is one"),
+        ('rollout {\n  bundle = "x"\n  bake_s = 0\n}\n', ":3: bake_s must be"),
+        ("rollout {", "not HCL"),
+        ('rollout {\n  bundle = "x"\n  on_worse = "go"\n}\n', ":3: on_worse must be"),
+        ('rollout {\n  bundle = "nothing.hcl"\n}\n', "nothing.hcl: No such file"),
+    ],
+)
 def test_a_bad_plan_is_one_line(text: str, why: str, tmp_path: Path) -> None:
     plan = tmp_path / "plan.hcl"
     plan.write_text(text, encoding="utf-8")
-    told = subprocess.run((sys.executable, "-m", "gladegw", "rollout", "check", str(plan)), cwd=ROOT,
-                          capture_output=True, text=True, timeout=60, check=False)  # fmt: skip
+    told = subprocess.run(
+        (sys.executable, "-m", "gladegw", "rollout", "check", str(plan)),
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
     assert told.returncode == 2 and why in told.stderr and told.stderr.count("\n") == 1, told.stderr
--- a/tests/coordination/test_blackout_windows.py
+++ b/tests/coordination/test_blackout_windows.py
@@ -45,10 +45,20 @@
     assert blackout_windows.holds(("what a later program may write",), friday)
 
 
-@pytest.mark.parametrize("text", [
-    "", "16:00", "16:00 - 24:01", "16:60 - 17:00", "Fri 16:00 - 18:00", "Fry 16:00 - Mon 06:00",
-    "16:00 - 16:00", "16:00 - 18:00 UTC", "\u0661\u0666:00 - 18:00",
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "text",
+    [
+        "",
+        "16:00",
+        "16:00 - 24:01",
+        "16:60 - 17:00",
+        "Fri 16:00 - 18:00",
+        "Fry 16:00 - Mon 06:00",
+        "16:00 - 16:00",
+        "16:00 - 18:00 UTC",
+        "\u0661\u0666:00 - 18:00",
+    ],
+)
 def test_what_is_no_span_is_refused(text: str) -> None:
     with pytest.raises(ValueError, match=r"."):
         blackout_windows.read(text)
--- a/tests/coordination/test_coordination.py
+++ b/tests/coordination/test_coordination.py
@@ -29,7 +29,7 @@
     Txn,
     prefix_end,
     within,
-)  # fmt: skip
+)
 
 keys = st.sampled_from([b"a", b"b", b"b/1", b"b/2", b"c"])
 writes = st.one_of(
@@ -143,8 +143,9 @@
 
 @given(
     st.lists(st.tuples(st.floats(0, 3), st.floats(0, 5), st.floats(0, 5), st.booleans()), max_size=12),
-    st.floats(-DRIFT / 2.2, DRIFT / 2.2), st.integers(1, 20),
-)  # fmt: skip
+    st.floats(-DRIFT / 2.2, DRIFT / 2.2),
+    st.integers(1, 20),
+)
 def test_the_holders_bound_lies_before_the_stores(
     course: list[tuple[float, float, float, bool]], pace: float, ttl: int
 ) -> None:
--- a/tests/coordination/test_duty_model.py
+++ b/tests/coordination/test_duty_model.py
@@ -76,31 +76,67 @@
 # Each with the long run that finds it (looked for once, from 0 on; a walk is the same each time) and how.
 MUTANTS: dict[str, tuple[Callable[[pytest.MonkeyPatch], None], int, str]] = {
     "the token is not compared": (
-        instead(duties, "fenced", lambda key, token, *effects: Txn((), effects, (Get(key),))), 2, OLDER),
+        instead(duties, "fenced", lambda key, token, *effects: Txn((), effects, (Get(key),))),
+        2,
+        OLDER,
+    ),
     "the clock is read after the answer": (from_the_answer, 17, TWO),
     "no share is given away for drift": (no_drift, 16, TWO),
     "a timer in place of the check": (
-        instead(duties, "may_act", lambda duty, lease, now: duty.phase is Phase.HOLDING), 0, LATE),
+        instead(duties, "may_act", lambda duty, lease, now: duty.phase is Phase.HOLDING),
+        0,
+        LATE,
+    ),
     "a key under an old lease counts as held": (
-        instead(duties, "heard", lambda token, by, lease: Event.MINE if token and by <= lease.id
-                else Event.OTHER if token else Event.NOBODY), 0, TWO),
+        instead(
+            duties,
+            "heard",
+            lambda token, by, lease: Event.MINE
+            if token and by <= lease.id
+            else Event.OTHER
+            if token
+            else Event.NOBODY,
+        ),
+        0,
+        TWO,
+    ),
     "a stale word is heeded": (instead(duties, "step", gullible), 16, TWO),
     "a claim takes what another holds": (
-        instead(duties, "claim", lambda key, record, lease: Txn((), (Delete(key),), ())), 0, TWO),
+        instead(duties, "claim", lambda key, record, lease: Txn((), (Delete(key),), ())),
+        0,
+        TWO,
+    ),
     "a claim overwrites": (
         instead(duties, "claim", lambda key, record, lease: Txn((), (Put(key, record, lease),), (Get(key),))),
-        0, TWO),
+        0,
+        TWO,
+    ),
     "an unanswered claim counts as won": (
-        without(Phase.ASKING, Event.UNKNOWN, (Phase.HOLDING, (Action.BEGIN,))), 3, TWO),
+        without(Phase.ASKING, Event.UNKNOWN, (Phase.HOLDING, (Action.BEGIN,))),
+        3,
+        TWO,
+    ),
     "an unanswered claim is never looked into": (without(Phase.ASKING, Event.UNKNOWN), 12, NONE),
     "an expired holder goes on under its next lease": (without(Phase.HOLDING, Event.EXPIRED), 0, TWO),
     "a lease that the store does not know keeps its bound": (
-        instead(leases, "renewed", lambda lease, id, sent, ttl, drift: real_renewed(
-            lease, id, sent, ttl or 2, drift)), 8, TWO),
+        instead(
+            leases,
+            "renewed",
+            lambda lease, id, sent, ttl, drift: real_renewed(lease, id, sent, ttl or 2, drift),
+        ),
+        8,
+        TWO,
+    ),
     "one that leaves goes on acting": (
-        instead(duties, "may_act", lambda duty, lease, now: lease.live(now) and duty.phase
-                in (Phase.HOLDING, Phase.LEAVING)), 4, TWO),
-}  # fmt: skip
+        instead(
+            duties,
+            "may_act",
+            lambda duty, lease, now: lease.live(now) and duty.phase in (Phase.HOLDING, Phase.LEAVING),
+        ),
+        4,
+        TWO,
+    ),
+}
 
 
 @pytest.mark.parametrize("name", MUTANTS)
--- a/tests/coordination/test_policy_commit.py
+++ b/tests/coordination/test_policy_commit.py
@@ -40,11 +40,23 @@
     """A verdict of which some arguments are planted."""
 
     def found(
-        change: Any, force: Any, proposed: Any, registered: Any, votes: Any, left: Any = (),
+        change: Any,
+        force: Any,
+        proposed: Any,
+        registered: Any,
+        votes: Any,
+        left: Any = (),
         unreached: Any = (),
-    ) -> Verdict:  # fmt: skip
-        told = {"change": change, "force": force, "proposed_with": proposed, "registered": registered,
-                "votes": votes, "signed_off": left, "unreached": unreached}  # fmt: skip
+    ) -> Verdict:
+        told = {
+            "change": change,
+            "force": force,
+            "proposed_with": proposed,
+            "registered": registered,
+            "votes": votes,
+            "signed_off": left,
+            "unreached": unreached,
+        }
         return policy_commit.verdict(**(told | {name: made(told) for name, made in changes.items()}))
 
     return found
@@ -52,8 +64,10 @@
 
 def any_vote(told: Any) -> Any:
     """Whatever it was about."""
-    return {who: replace(vote, change=told["change"].id, digest=told["change"].digest)
-            for who, vote in told["votes"].items()}  # fmt: skip
+    return {
+        who: replace(vote, change=told["change"].id, digest=told["change"].digest)
+        for who, vote in told["votes"].items()
+    }
 
 
 def goes_back(member: Member, force: Force, change: Any, revision: int) -> Any:
@@ -132,8 +146,15 @@
 names = st.sets(st.sampled_from(["a", "b", "c", "d"]))
 
 
-@given(names, names, st.dictionaries(st.sampled_from("abcd"), st.builds(
-    Vote, st.sampled_from([6, 7]), st.sampled_from(["new", "old"]), st.booleans())), names)  # fmt: skip
+@given(
+    names,
+    names,
+    st.dictionaries(
+        st.sampled_from("abcd"),
+        st.builds(Vote, st.sampled_from([6, 7]), st.sampled_from(["new", "old"]), st.booleans()),
+    ),
+    names,
+)
 def test_a_yes_needs_a_yes_of_each(
     proposed: set[str], registered: set[str], votes: dict[str, Vote], unreached: set[str]
 ) -> None:
--- a/tests/coordination/test_rollout.py
+++ b/tests/coordination/test_rollout.py
@@ -49,13 +49,37 @@
             break
     assert rollout.phase is Phase.DONE and world == World("new")
     assert [do for do in done if do is not Do.CONFIRM] == [
-        Do.PROPOSE, Do.BAKE, Do.NEXT, Do.PROPOSE, Do.BAKE, Do.FINISH, Do.FINISH, Do.END]  # fmt: skip
-
-
-course = st.lists(st.sampled_from([
-    *["step"] * 4, *["decided"] * 3, *["not worse"] * 3, "worse", "thin", "refused", "pause", "resume",
-    "back", "foreign", "alone", "quiet", "loud",
-]), max_size=60)  # fmt: skip
+        Do.PROPOSE,
+        Do.BAKE,
+        Do.NEXT,
+        Do.PROPOSE,
+        Do.BAKE,
+        Do.FINISH,
+        Do.FINISH,
+        Do.END,
+    ]
+
+
+course = st.lists(
+    st.sampled_from(
+        [
+            *["step"] * 4,
+            *["decided"] * 3,
+            *["not worse"] * 3,
+            "worse",
+            "thin",
+            "refused",
+            "pause",
+            "resume",
+            "back",
+            "foreign",
+            "alone",
+            "quiet",
+            "loud",
+        ]
+    ),
+    max_size=60,
+)
 
 
 @given(course)
@@ -111,9 +135,10 @@
     baking, last = World("old", ("r", ("a",)), quiet=True), World("old", ("r", ("a", "b")), quiet=True)
     bakes = replace(FIRST, phase=Phase.BAKING)
     for rollout, world in (
-        (FIRST, World("old", quiet=True)), (replace(FIRST, stage=1), baking),
+        (FIRST, World("old", quiet=True)),
+        (replace(FIRST, stage=1), baking),
         (replace(FIRST, stage=1, phase=Phase.FINISHING), last),
-    ):  # fmt: skip
+    ):
         after, do = step(rollout, world, None)
         assert after == rollout and do in (Do.WAIT, Do.CONFIRM)
         assert step(rollout, replace(world, quiet=False), None)[1] in (Do.PROPOSE, Do.FINISH)
@@ -129,10 +154,14 @@
     assert staged(members, ("zone b", "100%")) == (tuple(f"b{n}" for n in range(6)),)
     assert staged(members, ("100%",)) == ()
     for sizes, why in (
-        (("1",), "must be all"), (("3", "2", "100%"), "not larger"), (("x", "100%"), "a count"),
-        (("90%", "100%"), "of 6 members of zone"), (("zone c", "100%"), "no member is in zone"),
-        (("0", "100%"), "a count"), (("101%",), "a count"),
-    ):  # fmt: skip
+        (("1",), "must be all"),
+        (("3", "2", "100%"), "not larger"),
+        (("x", "100%"), "a count"),
+        (("90%", "100%"), "of 6 members of zone"),
+        (("zone c", "100%"), "no member is in zone"),
+        (("0", "100%"), "a count"),
+        (("101%",), "a count"),
+    ):
         with pytest.raises(ValueError, match=why):
             staged(members, sizes)
 
@@ -225,9 +254,13 @@
 
 
 def played(
-    seed: int, bad: dict[str, float], windows: int = 30, shocks: bool = False, others: float = 0.0,
+    seed: int,
+    bad: dict[str, float],
+    windows: int = 30,
+    shocks: bool = False,
+    others: float = 0.0,
     more: int = MORE,
-) -> tuple[Answer, int, str]:  # fmt: skip
+) -> tuple[Answer, int, str]:
     """A stage of one in twelve; the answer, after how many windows of 4 s, and why. One that is in doubt is
     judged for some more. `others`: share that fails for everybody since the stage began."""
     draws, limits, evidence = Random(seed), Limits(), Evidence()
@@ -244,11 +277,14 @@
 
 
 HARMS = {
-    "failed status": ({"failed status": 0.05}, 20), "ms nearby": ({"ms nearby": 30.0}, 20),
-    "kB/s": ({"kB/s": 1000.0}, 7), "CPU ms": ({"cpu": 2.0}, 7), "attempts": ({"attempts": 0.5}, 7),
+    "failed status": ({"failed status": 0.05}, 20),
+    "ms nearby": ({"ms nearby": 30.0}, 20),
+    "kB/s": ({"kB/s": 1000.0}, 7),
+    "CPU ms": ({"cpu": 2.0}, 7),
+    "attempts": ({"attempts": 0.5}, 7),
     "late status": ({"late status": 0.2}, 20),
     "works by other backends": ({"astray": 1.0}, canary_analysis.APART),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("figure", HARMS)
@@ -376,8 +412,12 @@
 
 def test_time_alone_does_not_acquit_what_is_in_doubt() -> None:
     """Found by a simulated fleet: half of the requests failed, and evidence short of the bound was none."""
-    half = Evidence(wagers={"failed status": (math.log(60),)}, peaks={"failed status": math.log(60)},
-                    requests=500, windows=4)  # fmt: skip
+    half = Evidence(
+        wagers={"failed status": (math.log(60),)},
+        peaks={"failed status": math.log(60)},
+        requests=500,
+        windows=4,
+    )
     found = canary_analysis.judged(half, Limits(), True)
     assert found.answer is Answer.THIN and found.reason == "in doubt, failed status: e-value 60 of 100"
     calmed = replace(half, wagers={"failed status": (math.log(2),)})  # it was bad once, and is not any more
--- a/tests/coordination/test_supervision.py
+++ b/tests/coordination/test_supervision.py
@@ -113,9 +113,14 @@
         assert set(self.there) == {Slot.CURRENT} and self.seen(Slot.CURRENT).ready
 
 
-course = st.lists(st.one_of(
-    st.integers(1, 30), st.sampled_from(VERSIONS), st.sampled_from(["kill current", "kill other", "again"]),
-), max_size=40)  # fmt: skip
+course = st.lists(
+    st.one_of(
+        st.integers(1, 30),
+        st.sampled_from(VERSIONS),
+        st.sampled_from(["kill current", "kill other", "again"]),
+    ),
+    max_size=40,
+)
 
 
 def walk(seed: int, events: list[Any]) -> None:
@@ -149,10 +154,16 @@
     return events
 
 
-@pytest.mark.parametrize(("version", "reason"), [
-    ("dies", "ended"), ("never", "not ready in 5 s"), ("late", "not ready"), ("bad", "serves errors"),
-    ("flaps", "ready no more"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("version", "reason"),
+    [
+        ("dies", "ended"),
+        ("never", "not ready in 5 s"),
+        ("late", "not ready"),
+        ("bad", "serves errors"),
+        ("flaps", "ready no more"),
+    ],
+)
 def test_a_version_that_does_badly_is_given_up(version: str, reason: str) -> None:
     world = World(1)
     world.settle("good")
@@ -230,11 +241,13 @@
     "who follows is not named": ("_followed", _plant("_followed", current=lambda was, _: was.current)),
     "a start that fails never falls back": ("DEATHS", 10**9),
     "one that leaves is not followed": (
-        "_giving_up", lambda state, *_: (replace(state, phase=Phase.STEADY, coming=""), ())),
+        "_giving_up",
+        lambda state, *_: (replace(state, phase=Phase.STEADY, coming=""), ()),
+    ),
     "nothing is started after a death": ("_pause", lambda *_: 1e9),
     "the one before is drained and never called back": ("_keeping", _not_called_back),
     "it is kept when all is confirmed": ("_keeping", _kept_for_ever),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("defect", PLANTED)
--- a/tests/limits/test_connection_limits.py
+++ b/tests/limits/test_connection_limits.py
@@ -32,9 +32,14 @@
 
 times = st.floats(0, 10)
 guests = st.lists(
-    st.builds(lambda stage, begun, after, size: Guest(stage, begun, min(10.0, begun + after), size),
-              st.sampled_from(Stage), times, times, st.integers(0, 1000))
-)  # fmt: skip
+    st.builds(
+        lambda stage, begun, after, size: Guest(stage, begun, min(10.0, begun + after), size),
+        st.sampled_from(Stage),
+        times,
+        times,
+        st.integers(0, 1000),
+    )
+)
 
 
 @given(guests)
--- a/tests/limits/test_flood.py
+++ b/tests/limits/test_flood.py
@@ -45,8 +45,12 @@
     async def measure() -> None:
         for manner, count in (("silent", 3000), ("drip", 3000), ("churn", 200), ("none", 0)):
             seen = await beside(manner, count, 800)
-            row = {"manner": manner, "codes": seen.codes, "p50_ms": round(1000 * seen.quantile(0.5), 1),
-                   "p99_ms": round(1000 * seen.quantile(0.99), 1)}  # fmt: skip
+            row = {
+                "manner": manner,
+                "codes": seen.codes,
+                "p50_ms": round(1000 * seen.quantile(0.5), 1),
+                "p99_ms": round(1000 * seen.quantile(0.99), 1),
+            }
             print(json.dumps(row), file=sys.stdout, flush=True)
 
     run(measure())
--- a/tests/net/test_addresses.py
+++ b/tests/net/test_addresses.py
@@ -66,15 +66,23 @@
 @pytest.mark.parametrize(
     "data",
     [
-        b"GET /stock HTTP/1.1\r\n", b"PROXX", b"PROXY TCP4 203.0.113.7 127.0.0.1 51022\r\n",
-        b"PROXY TCP4 2001:db8::7 ::1 51022 8081\r\n", b"PROXY TCP4 203.0.113.7 127.0.0.1 051022 8081\r\n",
-        b"PROXY TCP4 203.0.113.7 127.0.0.1 65536 8081\r\n", b"PROXY  TCP4 1.1.1.1 1.1.1.1 1 1\r\n",
-        b"PROXY TCP4 203.0.113.7 127.0.0.1 5\xb2 8081\r\n", b"PROXY UDP4 1.1.1.1 1.1.1.1 1 1\r\n",
-        b"PROXY \r\n", b"PROXY TCP4 " + b"1" * LONGEST_V1, V2 + b"\x31\x11\0\x0c" + b"\0" * 12,
-        V2 + b"\x22\x11\0\x0c" + b"\0" * 12, V2 + b"\x21\x11\0\x04" + b"\0" * 4,
+        b"GET /stock HTTP/1.1\r\n",
+        b"PROXX",
+        b"PROXY TCP4 203.0.113.7 127.0.0.1 51022\r\n",
+        b"PROXY TCP4 2001:db8::7 ::1 51022 8081\r\n",
+        b"PROXY TCP4 203.0.113.7 127.0.0.1 051022 8081\r\n",
+        b"PROXY TCP4 203.0.113.7 127.0.0.1 65536 8081\r\n",
+        b"PROXY  TCP4 1.1.1.1 1.1.1.1 1 1\r\n",
+        b"PROXY TCP4 203.0.113.7 127.0.0.1 5\xb2 8081\r\n",
+        b"PROXY UDP4 1.1.1.1 1.1.1.1 1 1\r\n",
+        b"PROXY \r\n",
+        b"PROXY TCP4 " + b"1" * LONGEST_V1,
+        V2 + b"\x31\x11\0\x0c" + b"\0" * 12,
+        V2 + b"\x22\x11\0\x0c" + b"\0" * 12,
+        V2 + b"\x21\x11\0\x04" + b"\0" * 4,
         V2 + b"\x21\x11" + struct.pack("!H", LONGEST),
     ],
-)  # fmt: skip
+)
 def test_what_is_no_header_is_refused(data: bytes) -> None:
     with pytest.raises(ValueError):
         read(data)
@@ -108,9 +116,14 @@
 
 
 @pytest.mark.parametrize(
-    "wrong", [{"allow": ("10.0.0.1/8",)}, {"deny": ("x",)}, {"trusted_fronts": ("1.2.3.4/33",)},
-              {"proxy_protocol": "v3"}],
-)  # fmt: skip
+    "wrong",
+    [
+        {"allow": ("10.0.0.1/8",)},
+        {"deny": ("x",)},
+        {"trusted_fronts": ("1.2.3.4/33",)},
+        {"proxy_protocol": "v3"},
+    ],
+)
 def test_settings_out_of_range_are_refused(wrong: dict[str, Any]) -> None:
     with pytest.raises(ValueError):
         AddressSettings(**wrong)
--- a/tests/net/test_capture.py
+++ b/tests/net/test_capture.py
@@ -177,8 +177,12 @@
 
 
 def verdicts(records: list[dict[str, Any]]) -> set[str]:
-    return {f"{step['step']} {step['said']}" for record in requests(records) for step in record["steps"]
-            if "said" in step}  # fmt: skip
+    return {
+        f"{step['step']} {step['said']}"
+        for record in requests(records)
+        for step in record["steps"]
+        if "said" in step
+    }
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -190,8 +194,17 @@
 
 def test_what_is_replayed_covers_every_refusal_and_later_attempts() -> None:
     records = played() + played(5)
-    wanted = {"admit held", "admit cut", "hold held", "hold queue", "hold displaced", "hold late",
-              "start late", "repeat held", "repeat tries"}  # fmt: skip
+    wanted = {
+        "admit held",
+        "admit cut",
+        "hold held",
+        "hold queue",
+        "hold displaced",
+        "hold late",
+        "start late",
+        "repeat held",
+        "repeat tries",
+    }
     assert wanted <= verdicts(records)
     assert any(len([s for s in r["steps"] if s["step"] == "pick"]) > 2 for r in requests(records))
 
@@ -199,8 +212,17 @@
 def test_a_request_record_reads_as_the_operators_wrote_it() -> None:
     served = next(r for r in requests(played()) if r["answer"] == 200)
     assert list(served)[:10] == [
-        "v", "kind", "id", "class", "tenant", "budget_ms", "index", "list", "inflight", "load",
-    ]  # fmt: skip
+        "v",
+        "kind",
+        "id",
+        "class",
+        "tenant",
+        "budget_ms",
+        "index",
+        "list",
+        "inflight",
+        "load",
+    ]
     assert served["v"] == 1 and served["server"] in served["inflight"] and served["index"] >= 1
     assert any(report.startswith("inflight=") for r in requests(played()) for report in r["load"].values())
 
@@ -259,7 +281,7 @@
     "held": (step_of("hold", "held", wait=1e9, place=9), "recorded=held replayed=refused-queue"),
     "late": (step_of("start", "late", busy=0), "recorded=refused-late replayed=held"),
     "tries": (step_of("repeat", "held", tokens=0.0), "recorded=held replayed=refused-tries"),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("name", CHANGES)
@@ -311,9 +333,11 @@
     World(capture, read_settings(flatten(settings())), 3).play()
     assert capture.size <= 64 * 1024
     assert capture.size == (
-        len(capture.start) + sum(map(len, capture.lists.values())) + sum(map(len, capture.records))
+        len(capture.start)
+        + sum(map(len, capture.lists.values()))
+        + sum(map(len, capture.records))
         + sum(opened.size for opened in capture.open.values())
-    )  # fmt: skip
+    )
     kept = lines(capture)
     assert [record["kind"] for record in kept[:2]] == ["start", "list"]
     assert capture.serial in capture.lists
@@ -341,8 +365,12 @@
     assert [record["index"] for record in told] == [41, 45]
     assert [len(record["endpoints"]) for record in told] == [6, 6]
     assert told[1]["endpoints"][1] == {
-        "name": NAMES[1], "zone": "a", "group": 0, "status": "Terminating", "weight": 45.0,
-    }  # fmt: skip
+        "name": NAMES[1],
+        "zone": "a",
+        "group": 0,
+        "status": "Terminating",
+        "weight": 45.0,
+    }
     assert requests(lines(capture))[0]["index"] == 41
 
 
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -49,9 +49,13 @@
 
 def callers_side(handler: Recorder) -> tuple[Server, tuple[str, int]]:
     server = Server(
-        {"stock": Effect.IDEMPOTENT}, handler, 100, Ledger(["stock"]), lambda: True,
+        {"stock": Effect.IDEMPOTENT},
+        handler,
+        100,
+        Ledger(["stock"]),
+        lambda: True,
         memoryview(bytearray(65536)),
-    )  # fmt: skip
+    )
     server.entrance.listen("127.0.0.1", 0)
     (listener,) = server.entrance.listeners
     return server, listener.getsockname()
--- a/tests/net/test_metrics.py
+++ b/tests/net/test_metrics.py
@@ -186,8 +186,11 @@
                 counts[f"{name} {tags}"] = counts.get(f"{name} {tags}", 0) + int(value)
             else:
                 gauges[tags] = int(value)
-        wanted = {"class:stock,tenant:other,code:200": 1, "class:other,tenant:other,code:404": 1,
-                  "class:other,tenant:other,code:400": 1}  # fmt: skip
+        wanted = {
+            "class:stock,tenant:other,code:200": 1,
+            "class:other,tenant:other,code:404": 1,
+            "class:other,tenant:other,code:400": 1,
+        }
         assert counts == {f"{n} {tags}": c for tags, c in wanted.items() for n in ("requests", "answers")}
         assert gauges and set(gauges.values()) == {0}
 
@@ -229,9 +232,11 @@
 
 @pytest.mark.parametrize(
     "text",
-    ['figures { format = "line", flush_ms = 500, file = "a,{b}" }\ncapture {}  # none, yet\n',
-     'figures {\n  format = "line"\n  flush_ms = 500\n  file = "a,{b}"\n}\ncapture {\n}\n'],
-)  # fmt: skip
+    [
+        'figures { format = "line", flush_ms = 500, file = "a,{b}" }\ncapture {}  # none, yet\n',
+        'figures {\n  format = "line"\n  flush_ms = 500\n  file = "a,{b}"\n}\ncapture {\n}\n',
+    ],
+)
 def test_settings_stand_on_lines_or_between_commas(text: str, tmp_path: Path) -> None:
     file = tmp_path / "malabar.hcl"
     file.write_text(text)
--- a/tests/net/test_policy_epochs.py
+++ b/tests/net/test_policy_epochs.py
@@ -72,8 +72,10 @@
 
 def front(word: str) -> str:
     """Says by a header which policy decided."""
-    return ('pool "back" {\n  names = ["*"]\n}\nroute "all" {\n  prefix = "/"\n  pool = "back"\n'
-            f'  edit_headers {{\n    put = {{ "x-word" = "{word}" }}\n  }}\n}}\n')  # fmt: skip
+    return (
+        'pool "back" {\n  names = ["*"]\n}\nroute "all" {\n  prefix = "/"\n  pool = "back"\n'
+        f'  edit_headers {{\n    put = {{ "x-word" = "{word}" }}\n  }}\n}}\n'
+    )
 
 
 def back(word: str) -> str:
@@ -253,9 +255,12 @@
             await here.begin()
             front.there.hold()  # its vote, so that nothing is decided
             changing = asyncio.create_task(here.change("1"))
-            await here.status(lambda found: found["change"] and any(
-                vote["member"] == "back" and vote["vote"] == "yes" for vote in found["change"]["votes"]
-            ))  # fmt: skip
+            await here.status(
+                lambda found: found["change"]
+                and any(
+                    vote["member"] == "back" and vote["vote"] == "yes" for vote in found["change"]["votes"]
+                )
+            )
             back.back.hold()
             front.heal()
             code, told = await changing
--- a/tests/net/test_proxy.py
+++ b/tests/net/test_proxy.py
@@ -344,10 +344,16 @@
         (404, b"GET /other" + HEAD + b"X-Budget: 500m\r\n\r\n"),
         (404, b"GET /load" + HEAD + b"X-Budget: 500m\r\n\r\n"),
         (413, b"POST /canje" + HEAD + b"X-Budget: 500m\r\nContent-Length: 33554433\r\n\r\n"),
-        (400, b"POST /stock" + HEAD + b"X-Budget: 500m\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n"
-         + b"a" * 0x10001 + b"\r\n0\r\n\r\n"),
+        (
+            400,
+            b"POST /stock"
+            + HEAD
+            + b"X-Budget: 500m\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n"
+            + b"a" * 0x10001
+            + b"\r\n0\r\n\r\n",
+        ),
     ],
-)  # fmt: skip
+)
 def test_bad_input_reaches_nobody_and_harms_no_other(code: int, data: bytes) -> None:
     async def test() -> None:
         backend = Backend()
--- a/tests/net/test_streams.py
+++ b/tests/net/test_streams.py
@@ -275,9 +275,10 @@
     async def test() -> None:
         async def act(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             start = {
-                "length": b"Content-Length: 300000\r\n\r\n", "close": b"\r\n",
+                "length": b"Content-Length: 300000\r\n\r\n",
+                "close": b"\r\n",
                 "chunked": b"Transfer-Encoding: chunked\r\n\r\n%x\r\n" % 300_000,
-            }[way]  # fmt: skip
+            }[way]
             writer.write(b"HTTP/1.1 200 OK\r\n" + start + b"a" * 100_000)
             await writer.drain()
             await asyncio.sleep(0.2)
@@ -597,9 +598,16 @@
 
 @pytest.mark.parametrize(
     "fields",
-    [BOTH, "Content-Length: 5\r\nContent-Length: 6", "Content-Length: 5, 5", "Content-Length: +5",
-     "Transfer-Encoding: chunked, identity", "Transfer-Encoding: xchunked", "Content-Length: 99999999999"],
-)  # fmt: skip
+    [
+        BOTH,
+        "Content-Length: 5\r\nContent-Length: 6",
+        "Content-Length: 5, 5",
+        "Content-Length: +5",
+        "Transfer-Encoding: chunked, identity",
+        "Transfer-Encoding: xchunked",
+        "Content-Length: 99999999999",
+    ],
+)
 def test_lengths_that_contradict_reach_nobody(fields: str) -> None:
     async def test() -> None:
         async with before(echo) as (node, raw):
--- a/tests/net/test_tls.py
+++ b/tests/net/test_tls.py
@@ -119,9 +119,11 @@
     async def test() -> None:
         root = Authority(tmp_path, "dash root")
         port = Port(
-            tmp_path, client_ca=f'"{root.file}"', client_cert='"required"',
+            tmp_path,
+            client_ca=f'"{root.file}"',
+            client_cert='"required"',
             min_version='"1.3"' if case == "too old" else '"1.2"',
-        )  # fmt: skip
+        )
         client = port.client(root.issue("car", "dash-0412", "dash-link")[:2])
         wanted = "UNSUPPORTED_PROTOCOL"
         if case == "too old":
@@ -232,9 +234,16 @@
 
 @pytest.mark.parametrize(
     "wrong",
-    [{"port": 0}, {"port": 70_000}, {"cert": None}, {"min_version": "1.1"}, {"reload_s": 0},
-     {"client_cert": "required"}, {"client_cert": "maybe"}],
-)  # fmt: skip
+    [
+        {"port": 0},
+        {"port": 70_000},
+        {"cert": None},
+        {"min_version": "1.1"},
+        {"reload_s": 0},
+        {"client_cert": "required"},
+        {"client_cert": "maybe"},
+    ],
+)
 def test_settings_out_of_range_are_refused(wrong: dict[str, Any]) -> None:
     with pytest.raises(ValueError):
         TlsSettings(**{"port": 8443, "cert": "c", "key": "k", **wrong})
--- a/tests/net/test_watch_continuity.py
+++ b/tests/net/test_watch_continuity.py
@@ -150,9 +150,12 @@
         old, new = Server(last_word), Server(lambda connection, number: None)
         taken: list[tuple[int, bool]] = []
         discovery = Discovery(
-            old.address, 1, 10.0, lambda told: taken.append((len(told.backends), told.current)),
+            old.address,
+            1,
+            10.0,
+            lambda told: taken.append((len(told.backends), told.current)),
             lambda *failed: None,
-        )  # fmt: skip
+        )
         discovery.watch(True)
         await until(lambda: bool(old.calls))
         discovery.move(new.address)
--- a/tests/operators/test_commands.py
+++ b/tests/operators/test_commands.py
@@ -86,11 +86,18 @@
     desk.ledger.tried()
     assert desk.answer(b"INFO").decode().splitlines() == [
         "SUCCESS",
-        "app.handled.a.passed=0", "app.handled.a.dropped=0", "app.handled.a.bad_gateway=0",
-        "app.handled.b.passed=1", "app.handled.b.dropped=0", "app.handled.b.bad_gateway=0",
-        "app.upstream_tries=1", "app.in_progress=1", "app.known_backends=5", "app.skipped_backends=2",
+        "app.handled.a.passed=0",
+        "app.handled.a.dropped=0",
+        "app.handled.a.bad_gateway=0",
+        "app.handled.b.passed=1",
+        "app.handled.b.dropped=0",
+        "app.handled.b.bad_gateway=0",
+        "app.upstream_tries=1",
+        "app.in_progress=1",
+        "app.known_backends=5",
+        "app.skipped_backends=2",
         "EOT",
-    ]  # fmt: skip
+    ]
 
 
 @given(st.lists(st.tuples(st.sampled_from("ab"), st.sampled_from([200, 429, 503, 502, 504, 409, None]))))
--- a/tests/rig/test_failover.py
+++ b/tests/rig/test_failover.py
@@ -16,10 +16,13 @@
 def test_two_that_held_at_once_are_told() -> None:
     judge = Judge()
     for line in (
-        Line("begin", 1.0, "a", "one", 3, 1.8), Line("effect", 1.5, "a", "one", 3, 2.2),
-        Line("begin", 2.1, "b", "one", 9, 3.0), Line("refused", 2.3, "a", "one", 3, 2.2),
-        Line("end", 2.9, "b", "one", 9), Line("begin", 2.95, "a", "one", 12, 4.0),
-    ):  # fmt: skip
+        Line("begin", 1.0, "a", "one", 3, 1.8),
+        Line("effect", 1.5, "a", "one", 3, 2.2),
+        Line("begin", 2.1, "b", "one", 9, 3.0),
+        Line("refused", 2.3, "a", "one", 3, 2.2),
+        Line("end", 2.9, "b", "one", 9),
+        Line("begin", 2.95, "a", "one", 12, 4.0),
+    ):
         judge.line(line)
     assert judge.overlaps() == ["token 3 of a until 2.200, token 9 of b from 2.100"]
     assert (judge.effects, judge.late, judge.refused) == (2, 1, 1)
@@ -27,8 +30,11 @@
 
 def test_one_that_ended_in_time_overlaps_nobody() -> None:
     judge = Judge()
-    for line in (Line("begin", 1.0, "a", "one", 3, 9.0), Line("end", 2.0, "a", "one", 3),
-                 Line("begin", 2.001, "b", "one", 4, 9.0)):  # fmt: skip
+    for line in (
+        Line("begin", 1.0, "a", "one", 3, 9.0),
+        Line("end", 2.0, "a", "one", 3),
+        Line("begin", 2.001, "b", "one", 4, 9.0),
+    ):
         judge.line(line)
     assert judge.overlaps() == []
 
@@ -41,8 +47,14 @@
     kinds = ["stop", "term", "slow clock", "cut in", "store stopped", "term heir", "versions"]
     wanted = (word for kind in kinds for word in ("--kind", kind))
     words = ("rig", "losses", "--losses", "2", "--at-once", "3", *wanted)
-    told = subprocess.run((sys.executable, "-m", "gladegw", *words, "--json"), cwd=ROOT, text=True,
-                          capture_output=True, timeout=120, check=False)  # fmt: skip
+    told = subprocess.run(
+        (sys.executable, "-m", "gladegw", *words, "--json"),
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=120,
+        check=False,
+    )
     assert told.returncode == 0, told.stderr
     rows = json.loads(told.stdout)["rows"]
     assert [row["kind"] for row in rows] == kinds
--- a/tests/rig/test_judge.py
+++ b/tests/rig/test_judge.py
@@ -29,10 +29,13 @@
 
 SCENARIO = Scenario(
     classes=(
-        Class(name="safe"), Class(name="keyed", effect="by_key"), Class(name="single", effect="once"),
+        Class(name="safe"),
+        Class(name="keyed", effect="by_key"),
+        Class(name="single", effect="once"),
     ),
-    tiers=(Tier(),), kinds=(Kind(),),
-)  # fmt: skip
+    tiers=(Tier(),),
+    kinds=(Kind(),),
+)
 
 
 @dataclass
@@ -140,12 +143,25 @@
 
 
 BREACHES: list[tuple[str, Callable[[Books], None]]] = [
-    ("one-answer", lose), ("in-time", late), ("in-time", silent), ("made-by-node", invent),
-    ("made-by-node", unseen), ("own-request", stray), ("attempts", often), ("repeat", twice),
-    ("repeat", key_twice), ("drain", drained), ("drain", gone_after_drain), ("cold", pushed),
-    ("manners", ignored), ("manners", dragged), ("operators", unanswered),
-    ("operators", hung_up_on), ("crash", crash), ("memory", grow),
-]  # fmt: skip
+    ("one-answer", lose),
+    ("in-time", late),
+    ("in-time", silent),
+    ("made-by-node", invent),
+    ("made-by-node", unseen),
+    ("own-request", stray),
+    ("attempts", often),
+    ("repeat", twice),
+    ("repeat", key_twice),
+    ("drain", drained),
+    ("drain", gone_after_drain),
+    ("cold", pushed),
+    ("manners", ignored),
+    ("manners", dragged),
+    ("operators", unanswered),
+    ("operators", hung_up_on),
+    ("crash", crash),
+    ("memory", grow),
+]
 
 
 def test_a_run_that_kept_the_rules_has_no_breach() -> None:
@@ -205,9 +221,17 @@
 
 @pytest.mark.parametrize(
     ("plant", "excuse"),
-    [(lose, kill), (silent, stop), (late, stop), (drained, anew), (drained, ready_again),
-     (drained, held_back), (unanswered, no_way_in), (hung_up_on, term)],
-)  # fmt: skip
+    [
+        (lose, kill),
+        (silent, stop),
+        (late, stop),
+        (drained, anew),
+        (drained, ready_again),
+        (drained, held_back),
+        (unanswered, no_way_in),
+        (hung_up_on, term),
+    ],
+)
 def test_what_a_fault_took_from_a_proxy_is_no_breach(
     plant: Callable[[Books], None], excuse: Callable[[Books], None]
 ) -> None:
--- a/tests/rig/test_linearizability.py
+++ b/tests/rig/test_linearizability.py
@@ -89,9 +89,10 @@
         told = f"{seed}.{value}"
         begin = time.monotonic()
         compare = (
-            Compare(key.encode(), Target.CREATE, "=", 0) if known is None
+            Compare(key.encode(), Target.CREATE, "=", 0)
+            if known is None
             else Compare(key.encode(), Target.VALUE, "=", known.encode())
-        )  # fmt: skip
+        )
         try:
             done = await own.txn(Txn((compare,), (Put(key.encode(), told.encode()),)))
             result, ended = "yes" if done.succeeded else "no", time.monotonic()
@@ -99,8 +100,17 @@
             continue  # it was not done
         except StoreFault:
             result, ended = "", math.inf
-        record.append(Seen(key=key, kind="swap", begin=begin, end=ended, expected=known, value=told,
-                           result=result or None))  # fmt: skip
+        record.append(
+            Seen(
+                key=key,
+                kind="swap",
+                begin=begin,
+                end=ended,
+                expected=known,
+                value=told,
+                result=result or None,
+            )
+        )
         await asyncio.sleep(draws.uniform(0.01, 0.08))
     own.close()
 
--- a/tests/rig/test_ports.py
+++ b/tests/rig/test_ports.py
@@ -23,9 +23,11 @@
 
 def test_two_processes_never_draw_the_same_port() -> None:
     children = [
-        subprocess.Popen([sys.executable, "-c", DRAW], cwd=ROOT, text=True, stdin=subprocess.PIPE,
-                         stdout=subprocess.PIPE) for _ in range(2)
-    ]  # fmt: skip
+        subprocess.Popen(
+            [sys.executable, "-c", DRAW], cwd=ROOT, text=True, stdin=subprocess.PIPE, stdout=subprocess.PIPE
+        )
+        for _ in range(2)
+    ]
     drawn = []
     for child in children:
         assert child.stdout is not None
--- a/tests/rig/test_rig_pure.py
+++ b/tests/rig/test_rig_pure.py
@@ -32,9 +32,13 @@
 
 
 @given(
-    st.sampled_from(["steady", "ramp", "spike", "diurnal"]), st.sampled_from(["constant", "poisson"]),
-    st.floats(1, 400), st.floats(0.5, 8), st.integers(0, 1000), st.floats(1, 4),
-)  # fmt: skip
+    st.sampled_from(["steady", "ramp", "spike", "diurnal"]),
+    st.sampled_from(["constant", "poisson"]),
+    st.floats(1, 400),
+    st.floats(0.5, 8),
+    st.integers(0, 1000),
+    st.floats(1, 4),
+)
 @settings(max_examples=60, deadline=None)
 def test_a_seed_gives_the_same_ascending_times(
     shape: str, process: str, rate: float, duration: float, seed: int, size: float
@@ -59,8 +63,10 @@
 
 MIX = Mix(
     classes=(CallClass(name="safe", share=0.7), CallClass(name="keyed", share=0.3, keyed=True, deadline=6)),
-    tenants=(("a", 0.9), ("b", 0.1)), retries=2, try_share=0.5,
-)  # fmt: skip
+    tenants=(("a", 0.9), ("b", 0.1)),
+    retries=2,
+    try_share=0.5,
+)
 
 
 def test_the_mix_is_drawn_by_its_shares_and_each_keyed_call_has_a_key_of_its_own() -> None:
@@ -96,10 +102,16 @@
 
 def test_a_trace_with_gaps_disorder_duplicates_and_a_broken_line(tmp_path: Path) -> None:
     path = trace(
-        tmp_path / "t.csv", "at,class,tenant,key,budget_ms", "10,safe,a,,500",
-        "10.2,safe,a,,", "10.1,keyed,b,k1,",
-        "oops,safe,a,,", "10.2,safe,a,,", "70,safe,a,,", "70.5,safe",
-    )  # fmt: skip
+        tmp_path / "t.csv",
+        "at,class,tenant,key,budget_ms",
+        "10,safe,a,,500",
+        "10.2,safe,a,,",
+        "10.1,keyed,b,k1,",
+        "oops,safe,a,,",
+        "10.2,safe,a,,",
+        "70,safe,a,,",
+        "70.5,safe",
+    )
     count = Count()
     found = list(read(path, Options(longest_gap=2.0), count))
     assert [round(request.at, 3) for request in found] == [0, 0.1, 0.2, 0.2, 2.2]
@@ -130,8 +142,15 @@
 
 
 def test_a_capture_is_a_trace(tmp_path: Path) -> None:
-    record = {"v": 1, "kind": "req", "id": "x", "class": "safe", "tenant": "a", "budget_ms": 400,
-              "steps": [{"step": "admit", "at": 7.5}]}  # fmt: skip
+    record = {
+        "v": 1,
+        "kind": "req",
+        "id": "x",
+        "class": "safe",
+        "tenant": "a",
+        "budget_ms": 400,
+        "steps": [{"step": "admit", "at": 7.5}],
+    }
     start = {"v": 1, "kind": "start", "seed": "1"}
     path = trace(
         tmp_path / "c.jsonl", json.dumps(start), json.dumps(record), json.dumps({**record, "steps": []})
@@ -409,7 +428,7 @@
         ("duration = 20", "duration = 20 20", r"s\.hcl:3: not HCL"),
         ('tier "front" { nodes = 10 }', 'tier "front" { nodes = 0 }', r"s\.hcl:6: tier: nodes must be 1 to"),
     ],
-)  # fmt: skip
+)
 def test_a_bad_scenario_names_file_line_and_reason(old: str, new: str, told: str, tmp_path: Path) -> None:
     assert old in WHOLE
     with pytest.raises(ScenarioError, match=told):
--- a/tests/rig/test_rig_sockets.py
+++ b/tests/rig/test_rig_sockets.py
@@ -101,13 +101,24 @@
     rate, duration, pause_at = 100, 5, 150
     with server(pause_at) as port:
         told = gladegw(
-            "load", "--target", f"http://127.0.0.1:{port}", "--rate", str(rate), "--duration", str(duration),
-            "--connections", "400", "--valid-p99", "500", "--json",
-        )  # fmt: skip
+            "load",
+            "--target",
+            f"http://127.0.0.1:{port}",
+            "--rate",
+            str(rate),
+            "--duration",
+            str(duration),
+            "--connections",
+            "400",
+            "--valid-p99",
+            "500",
+            "--json",
+        )
     figures = json.loads(told)
     begins = (pause_at - 1) / rate
-    expected = sorted(max(0.0, begins + 2 - n / rate) if n / rate >= begins else 0.0
-                      for n in range(rate * duration))  # fmt: skip
+    expected = sorted(
+        max(0.0, begins + 2 - n / rate) if n / rate >= begins else 0.0 for n in range(rate * duration)
+    )
     p90, p99 = expected[int(0.9 * len(expected))], expected[int(0.99 * len(expected))]
     assert figures["sent"] == figures["answered"] == rate * duration
     assert figures["codes"] == {"200": rate * duration}
@@ -135,9 +146,18 @@
 def test_a_schedule_that_cannot_be_kept_makes_the_run_invalid() -> None:
     with server() as port:
         told = gladegw(
-            "load", "--target", f"http://127.0.0.1:{port}/x?y=1", "--rate", "200", "--duration", "1",
-            "--valid-p99", "0.0001", "--json", code=1,
-        )  # fmt: skip
+            "load",
+            "--target",
+            f"http://127.0.0.1:{port}/x?y=1",
+            "--rate",
+            "200",
+            "--duration",
+            "1",
+            "--valid-p99",
+            "0.0001",
+            "--json",
+            code=1,
+        )
     figures = json.loads(told)
     assert figures["valid"] is False and "schedule" in figures["invalid_because"][0]
     for kind in ("lateness_ms", "latency_ms", "service_ms"):
@@ -148,9 +168,23 @@
     log = tmp_path / "h.hlog"
     with server() as port:
         told = gladegw(
-            "load", "--target", f"http://localhost:{port}", "--rate", "300", "--duration", "2",
-            "--workers", "3", "--arrivals", "poisson", "--valid-p99", "500", "--log", str(log), "--json",
-        )  # fmt: skip
+            "load",
+            "--target",
+            f"http://localhost:{port}",
+            "--rate",
+            "300",
+            "--duration",
+            "2",
+            "--workers",
+            "3",
+            "--arrivals",
+            "poisson",
+            "--valid-p99",
+            "500",
+            "--log",
+            str(log),
+            "--json",
+        )
     figures = json.loads(told)
     from hdrh.histogram import HdrHistogram
     from hdrh.log import HistogramLogReader
@@ -225,13 +259,19 @@
 
 def test_nodes_that_misbehave_in_every_way(tmp_path: Path) -> None:
     figures, records = played(
-        tmp_path, 9,
+        tmp_path,
+        9,
         fault("fast_errors", at=0.5, lasts=2, share=0.17, fails=1.0),
-        fault("reset", at=1, lasts=2, manner="before"), fault("reset", at=2, lasts=2, manner="in"),
-        fault("reset", at=3, lasts=2, manner="after"), fault("reset", at=4, lasts=2, manner="accepted"),
-        fault("garbage", at=5, lasts=1), fault("drip", at=6, lasts=1), fault("slow", at=1, lasts=4, size=1.5),
-        fault("freeze", at=6, lasts=1.5), fault("vanish", at=4, lasts=1.5),
-    )  # fmt: skip
+        fault("reset", at=1, lasts=2, manner="before"),
+        fault("reset", at=2, lasts=2, manner="in"),
+        fault("reset", at=3, lasts=2, manner="after"),
+        fault("reset", at=4, lasts=2, manner="accepted"),
+        fault("garbage", at=5, lasts=1),
+        fault("drip", at=6, lasts=1),
+        fault("slow", at=1, lasts=4, size=1.5),
+        fault("freeze", at=6, lasts=1.5),
+        fault("vanish", at=4, lasts=1.5),
+    )
     outcomes = {run.outcome for run in of(Run, records)}
     assert {"ok", "error"} <= outcomes
     assert figures["codes"]["200"] > 0.8 * figures["sent"]
@@ -239,9 +279,11 @@
 
 def test_a_deploy_a_kill_and_a_restart_are_told_late_and_kept(tmp_path: Path) -> None:
     _, records = played(
-        tmp_path, 9, fault("deploy", at=0.5, lasts=5, share=0.7, at_once=0.34, drain=1),
+        tmp_path,
+        9,
+        fault("deploy", at=0.5, lasts=5, share=0.7, at_once=0.34, drain=1),
         fault("kill", at=6.2, count=1, back=0.5),
-    )  # fmt: skip
+    )
     told = of(Told, records)
     assert {t.status for t in told} == {"Ready", "Terminating", "Gone"}
     born = {life.node for life in of(ledger.Life, records) if life.state == "up"}
@@ -252,9 +294,13 @@
 
 def test_proxies_killed_stopped_terminated_and_short_of_descriptors(tmp_path: Path) -> None:
     figures, records = played(
-        tmp_path, 11, fault("proxy_kill", at=1, back=0.5), fault("proxy_stop", at=3, lasts=3),
-        fault("proxy_term", at=8.5, back=2), fault("descriptors", at=7, lasts=1, size=3),
-    )  # fmt: skip
+        tmp_path,
+        11,
+        fault("proxy_kill", at=1, back=0.5),
+        fault("proxy_stop", at=3, lasts=3),
+        fault("proxy_term", at=8.5, back=2),
+        fault("descriptors", at=7, lasts=1, size=3),
+    )
     events = {event.event for event in of(ProxyEvent, records)}
     assert {"started", "ready", "kill", "stop", "cont", "term", "ended", "limit"} <= events
     assert "crashed" not in events
@@ -266,12 +312,16 @@
 
 def test_links_to_nodes_and_from_operators_that_break(tmp_path: Path) -> None:
     figures, records = played(
-        tmp_path, 9, fault("node_cut", at=0.5, lasts=2, manner="there"),
+        tmp_path,
+        9,
+        fault("node_cut", at=0.5, lasts=2, manner="there"),
         fault("node_cut", at=3, lasts=2, manner="back"),
         fault("node_late", at=5.5, lasts=2, size=0.05, count=3),
-        fault("node_reset", at=6, count=3), fault("operators_cut", at=1, lasts=2.5, manner="both", count=1),
-        fault("kill", at=7.5, back=0.5), base=BASE + "operators {\n  every_s = 0.1\n}\n",
-    )  # fmt: skip
+        fault("node_reset", at=6, count=3),
+        fault("operators_cut", at=1, lasts=2.5, manner="both", count=1),
+        fault("kill", at=7.5, back=0.5),
+        base=BASE + "operators {\n  every_s = 0.1\n}\n",
+    )
     bands = {band.name for band in of(ledger.FaultBand, records)}
     assert {"node_cut", "node_late", "node_reset", "operators_cut"} <= bands
     called = of(ledger.Called, records)
@@ -286,11 +336,18 @@
 
 def test_discovery_that_fails_in_every_way_and_rude_peers(tmp_path: Path) -> None:
     _, records = played(
-        tmp_path, 9, fault("discovery_outage", at=0.5, lasts=1.5), fault("discovery_stale", at=2.5, lasts=1),
-        fault("discovery_partial", at=3.5, lasts=1, share=0.2), fault("discovery_silence", at=5, lasts=1.5),
-        fault("discovery_move", at=7), *(fault("peers", at=1, lasts=3, manner=manner, rate=2)
-                                         for manner in ("silent", "drip", "garbage", "half")),
-    )  # fmt: skip
+        tmp_path,
+        9,
+        fault("discovery_outage", at=0.5, lasts=1.5),
+        fault("discovery_stale", at=2.5, lasts=1),
+        fault("discovery_partial", at=3.5, lasts=1, share=0.2),
+        fault("discovery_silence", at=5, lasts=1.5),
+        fault("discovery_move", at=7),
+        *(
+            fault("peers", at=1, lasts=3, manner=manner, rate=2)
+            for manner in ("silent", "drip", "garbage", "half")
+        ),
+    )
     peers = of(PeerSeen, records)
     assert len(peers) == 24 and {peer.how for peer in peers} <= {"answer", "closed"}
     assert "hup" in {event.event for event in of(ProxyEvent, records)}
@@ -326,9 +383,11 @@
     folder = tmp_path / "run"
     for number in (signal.SIGINT, signal.SIGKILL):
         child = subprocess.Popen(
-            [sys.executable, "-m", "gladegw", "rig", "run", str(file), "--dir", str(folder)], cwd=ROOT,
-            stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL,
-        )  # fmt: skip
+            [sys.executable, "-m", "gladegw", "rig", "run", str(file), "--dir", str(folder)],
+            cwd=ROOT,
+            stdout=subprocess.DEVNULL,
+            stderr=subprocess.DEVNULL,
+        )
         due = time.monotonic() + PATIENCE
         while time.monotonic() < due:
             path = folder / "clients-0.jsonl"
--- a/tests/rig/test_rolled.py
+++ b/tests/rig/test_rolled.py
@@ -13,9 +13,23 @@
 from gladegw.rig.measures import rolled
 
 LIMITS = Limits(failed=0.002, refused=0.02, level=0.1, alpha=0.01, least_requests=200)
-RECORD = Rollout(id="r<1>", old="o", new="n", stages=(("a",), ("a", "b")), limits=LIMITS, bake_s=60,
-                 most_s=600, confirm_s=10, deadline_s=10, everyone=True, stage=1, phase="back",
-                 reason="failed & <done>", at=100.0, ended_at=190.0)  # fmt: skip
+RECORD = Rollout(
+    id="r<1>",
+    old="o",
+    new="n",
+    stages=(("a",), ("a", "b")),
+    limits=LIMITS,
+    bake_s=60,
+    most_s=600,
+    confirm_s=10,
+    deadline_s=10,
+    everyone=True,
+    stage=1,
+    phase="back",
+    reason="failed & <done>",
+    at=100.0,
+    ended_at=190.0,
+)
 
 
 def test_an_interval_holds_its_rate() -> None:
@@ -28,9 +42,14 @@
 
 def point(stage: int, window: int, bad: int) -> Point:
     new = Whole({"failed status": (bad, 20)}, {"ms status": 20.0 + bad})
-    return Point(at=10.0 + 40 * stage + 2 * window, stage=stage, baked_s=2.0 * window,
-                 log_e={"failed status": 0.3 * bad}, new=new,
-                 others=Whole({"failed status": (1, 200)}, {"ms status": 21.0}))  # fmt: skip
+    return Point(
+        at=10.0 + 40 * stage + 2 * window,
+        stage=stage,
+        baked_s=2.0 * window,
+        log_e={"failed status": 0.3 * bad},
+        new=new,
+        others=Whole({"failed status": (1, 200)}, {"ms status": 21.0}),
+    )
 
 
 def test_a_page_tells_stages_and_figures_and_nothing_as_markup() -> None:
--- a/tests/rig/test_simulate.py
+++ b/tests/rig/test_simulate.py
@@ -50,9 +50,15 @@
 def test_planted_defects_are_found(name: str) -> None:
     defect = DEFECTS[name]
     wanted = [
-        Asked(seed=seed, members=defect.members, lasts=defect.lasts, when_cut_off=defect.when_cut_off,
-              planted=name) for seed in range(defect.seed, defect.seed + SEEDS)
-    ]  # fmt: skip
+        Asked(
+            seed=seed,
+            members=defect.members,
+            lasts=defect.lasts,
+            when_cut_off=defect.when_cut_off,
+            planted=name,
+        )
+        for seed in range(defect.seed, defect.seed + SEEDS)
+    ]
     assert asyncio.run(first_found(wanted, defect.found, AT_ONCE)) is not None
 
 
@@ -69,8 +75,13 @@
 def test_the_store_is_away_at_each_point_of_a_change() -> None:
     """Who has agreed and hears nothing stops, whatever the settings; else `serve` serves on, `refuse` not."""
     away = 60.0
-    found = outages_of(*(outages.Asked(when_cut_off=mode, away=away, phase=phase)
-                         for mode in ("serve", "refuse") for phase in outages.PHASES))  # fmt: skip
+    found = outages_of(
+        *(
+            outages.Asked(when_cut_off=mode, away=away, phase=phase)
+            for mode in ("serve", "refuse")
+            for phase in outages.PHASES
+        )
+    )
     assert [one.wrong for one in found] == [[]] * len(found)
     for one in found:
         stops = one.when_cut_off == "refuse" or one.phase == "voted"
--- a/tests/rig/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -37,9 +37,18 @@
 
     async def test() -> None:
         day = msgspec.structs.replace(
-            soak.drawn(1, servers=8), rejects=False, share=0.8, failing=0.0, clients=10, work=0.1,
-            drains=(2.5,), silences=(2.0,), refused=(2.5, 6.0), refused_after=0.0, hangups=(),
-        )  # fmt: skip
+            soak.drawn(1, servers=8),
+            rejects=False,
+            share=0.8,
+            failing=0.0,
+            clients=10,
+            work=0.1,
+            drains=(2.5,),
+            silences=(2.0,),
+            refused=(2.5, 6.0),
+            refused_after=0.0,
+            hangups=(),
+        )
         found = await soak.play(day, tmp_path, harm)
         assert {breach.rule for breach in found.breaches} == broken, found.breaches
 
--- a/tests/routing/test_pools.py
+++ b/tests/routing/test_pools.py
@@ -106,8 +106,9 @@
     for _ in range(6):
         listed = [
             Endpoint(f"{zone}-{n}", zone, status=data.draw(st.sampled_from(["Ready", "Terminating", "Gone"])))
-            for zone in "abc" for n in range(data.draw(st.integers(0, 5)))
-        ]  # fmt: skip
+            for zone in "abc"
+            for n in range(data.draw(st.integers(0, 5)))
+        ]
         now += data.draw(st.sampled_from([0.1, 100.0, 400.0]))
         found = member.look(listed, now)
         by_name = {one.name: one for one in listed}
@@ -120,8 +121,11 @@
 
 def test_the_first_usable_pool_stands_in_and_circles_end() -> None:
     pools = {
-        "a": Pool("a", fallback=("b",)), "b": Pool("b", fallback=("a", "c")), "c": Pool("c"), "d": Pool("d"),
-    }  # fmt: skip
+        "a": Pool("a", fallback=("b",)),
+        "b": Pool("b", fallback=("a", "c")),
+        "c": Pool("c"),
+        "d": Pool("d"),
+    }
     assert standing_in("a", ["d"], pools, lambda name: name in "cd") == "c"
     assert standing_in("a", ["d"], pools, lambda name: name == "d") == "d"
     assert standing_in("a", [], pools, lambda name: False) is None
--- a/tests/supervisor/test_supervise.py
+++ b/tests/supervisor/test_supervise.py
@@ -26,9 +26,14 @@
 from gladegw.supervisor.processes import started
 
 VERSIONS = {
-    "1.0": "none", "1.1": "none", "2.0": "exits", "2.1": "never", "2.2": "errors", "2.3": "hangs",
+    "1.0": "none",
+    "1.1": "none",
+    "2.0": "exits",
+    "2.1": "never",
+    "2.2": "errors",
+    "2.3": "hangs",
     "2.4": "leaks",
-}  # fmt: skip
+}
 
 
 PROVE_S = {"2.4": 40.0}  # until its memory is full, also on a machine that is busy
@@ -72,10 +77,16 @@
     run(test())
 
 
-@pytest.mark.parametrize(("version", "why"), [
-    ("2.0", "exit code 1"), ("2.1", "not ready in 3 s"), ("2.2", "requests failed"), ("2.3", ""),
-    ("2.4", "MiB are in use"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("version", "why"),
+    [
+        ("2.0", "exit code 1"),
+        ("2.1", "not ready in 3 s"),
+        ("2.2", "requests failed"),
+        ("2.3", ""),
+        ("2.4", "MiB are in use"),
+    ],
+)
 def test_a_bad_version_is_given_up(version: str, why: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with supervised(tmp_path, ready_s=3.0, prove_s=PROVE_S.get(version, 5.0)) as one:
@@ -139,10 +150,14 @@
             await one.until("steady", "1.0")
             second = one.pids()["current"]
             told = subprocess.run(  # one supervisor for a state file
-                (sys.executable, "-m", "gladegw", "supervise", str(one.file)), cwd=ROOT, timeout=30,
-                env={**os.environ, "EDGE_CONFIG": str(one.folder / "config.json")}, capture_output=True,
-                text=True, check=False,
-            )  # fmt: skip
+                (sys.executable, "-m", "gladegw", "supervise", str(one.file)),
+                cwd=ROOT,
+                timeout=30,
+                env={**os.environ, "EDGE_CONFIG": str(one.folder / "config.json")},
+                capture_output=True,
+                text=True,
+                check=False,
+            )
             assert told.returncode == 2 and "another supervisor" in told.stderr
             async with Steady(one.port) as load:
                 await one.abandon()
@@ -179,19 +194,36 @@
     run(test())
 
 
-@pytest.mark.parametrize(("text", "why"), [
-    ("supervise {\n}\n", ":1: supervise needs version"), ("x {\n}\n", ":1: one block supervise"),
-    ('supervise {\n  version = "1"\n}\n', ":2: there is no program 1"), ("supervise {", "not HCL"),
-    ('supervise {\n  version = "1"\n  ready = 3\n}\n', ":3: unknown setting ready"),
-    ('supervise {\n  version = 3\n}\n', ":2: version must be a text"),
-    ('supervise {\n  version = "1"\n}\nprogram "1" {\n  dir = "nowhere"\n  run = "exec x"\n}\n', ":5: dir"),
-    ('supervise {\n  version = "1"\n}\nprogram "1" {\n  dir = "."\n  run = "x"\n}\n', ":6: run must end"),
-    ('supervise {\n  version = "1"\n  drain_s = 0\n}\nprogram "1" {\n  dir = "."\n  run = "exec x"\n}\n',
-     ":3: drain_s must be"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("text", "why"),
+    [
+        ("supervise {\n}\n", ":1: supervise needs version"),
+        ("x {\n}\n", ":1: one block supervise"),
+        ('supervise {\n  version = "1"\n}\n', ":2: there is no program 1"),
+        ("supervise {", "not HCL"),
+        ('supervise {\n  version = "1"\n  ready = 3\n}\n', ":3: unknown setting ready"),
+        ("supervise {\n  version = 3\n}\n", ":2: version must be a text"),
+        (
+            'supervise {\n  version = "1"\n}\nprogram "1" {\n  dir = "nowhere"\n  run = "exec x"\n}\n',
+            ":5: dir",
+        ),
+        ('supervise {\n  version = "1"\n}\nprogram "1" {\n  dir = "."\n  run = "x"\n}\n', ":6: run must end"),
+        (
+            'supervise {\n  version = "1"\n  drain_s = 0\n}\n'
+            'program "1" {\n  dir = "."\n  run = "exec x"\n}\n',
+            ":3: drain_s must be",
+        ),
+    ],
+)
 def test_a_bad_file_is_one_line(text: str, why: str, tmp_path: Path) -> None:
     file = tmp_path / "supervise.hcl"
     file.write_text(text, encoding="utf-8")
-    told = subprocess.run((sys.executable, "-m", "gladegw", "supervise", str(file), "--check"), cwd=ROOT,
-                          capture_output=True, text=True, timeout=60, check=False)  # fmt: skip
+    told = subprocess.run(
+        (sys.executable, "-m", "gladegw", "supervise", str(file), "--check"),
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
     assert told.returncode == 2 and why in told.stderr and told.stderr.count("\n") == 1, told.stderr
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -124,8 +124,12 @@
     def _rollout(self, *words: str) -> tuple[int, Any]:
         told = subprocess.run(
             (sys.executable, "-m", "gladegw", "rollout", *words, "-f", str(self.settings), "--json"),
-            cwd=ROOT, capture_output=True, text=True, timeout=150, check=False,
-        )  # fmt: skip
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=150,
+            check=False,
+        )
         assert told.stdout, told.stderr
         return told.returncode, json.loads(told.stdout)
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -19,23 +19,50 @@
 
 GRADES: list[dict[str, Any]] = [
     {"name": "stock", "value": 12.0, "objective": 0.5, "deadline": 1.2, "effect": "repeatable"},
-    {"name": "reserva", "value": 1.0, "objective": 1.5, "deadline": 4.0, "effect": "by_key",
-     "group": "zone", "window": 6.0},
+    {
+        "name": "reserva",
+        "value": 1.0,
+        "objective": 1.5,
+        "deadline": 4.0,
+        "effect": "by_key",
+        "group": "zone",
+        "window": 6.0,
+    },
     {"name": "canje", "value": 1.0, "objective": 2.5, "deadline": 6.0, "effect": "once"},
-]  # fmt: skip
+]
 SETTINGS: dict[str, Any] = {
-    "balancers": 1, "me": 0, "stage": 0, "stages": ["portal"], "zone": "a", "dcs": ["a", "b"],
-    "discovery": "ask", "quantum": 0.005, "grades": GRADES, "tenants": [],
+    "balancers": 1,
+    "me": 0,
+    "stage": 0,
+    "stages": ["portal"],
+    "zone": "a",
+    "dcs": ["a", "b"],
+    "discovery": "ask",
+    "quantum": 0.005,
+    "grades": GRADES,
+    "tenants": [],
     "report": {"names": ["busy_reqs", "pending"], "via": "on_probe"},
     "policy_limits": {
-        "send_cap": 5, "may_duplicate": False, "may_cancel": True, "probes": True, "conn_idle": 30.0,
-        "connect_timeout": 0.15, "most_held": 20000, "retry_after": True, "max_retry_after": 2.0,
+        "send_cap": 5,
+        "may_duplicate": False,
+        "may_cancel": True,
+        "probes": True,
+        "conn_idle": 30.0,
+        "connect_timeout": 0.15,
+        "most_held": 20000,
+        "retry_after": True,
+        "max_retry_after": 2.0,
     },
     "contract": {
-        "must_ask_in": 10.0, "grace_to_answer": 0.02, "drain_grace": 2.0, "cold_from": 0.16, "cold": 24.0,
-        "fall_multiple": 3.0, "overload_for": 3.0,
+        "must_ask_in": 10.0,
+        "grace_to_answer": 0.02,
+        "drain_grace": 2.0,
+        "cold_from": 0.16,
+        "cold": 24.0,
+        "fall_multiple": 3.0,
+        "overload_for": 3.0,
     },
-}  # fmt: skip
+}
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
@@ -161,8 +188,17 @@
 
 
 def endpoint(name: str, address: str, status: str = "Ready", **more: Any) -> dict[str, Any]:
-    return {"name": name, "address": address, "zone": "a", "type": "m", "group": 0, "status": status,
-            "weight": 1.0, "since_ms": 0, **more}  # fmt: skip
+    return {
+        "name": name,
+        "address": address,
+        "zone": "a",
+        "type": "m",
+        "group": 0,
+        "status": status,
+        "weight": 1.0,
+        "since_ms": 0,
+        **more,
+    }
 
 
 def listing(index: int, *endpoints: dict[str, Any], snapshot: bool = True) -> dict[str, Any]:
@@ -275,12 +311,22 @@
 
 
 def config(discovery: str, known: dict[str, Any], listen: str, **changes: Any) -> dict[str, Any]:
-    limits = {"cores": 1.0, "memory_mb": changes.pop("memory_mb", 192),
-              "sockets": changes.pop("sockets", 1024)}  # fmt: skip
+    limits = {
+        "cores": 1.0,
+        "memory_mb": changes.pop("memory_mb", 192),
+        "sockets": changes.pop("sockets", 1024),
+    }
     if "discovery_mode" in changes:  # the setting has the name of the address
         changes["discovery"] = changes.pop("discovery_mode")
-    return {"name": "n0", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
-            "limits": limits, "known": known, "settings": copy.deepcopy({**SETTINGS, **changes})}  # fmt: skip
+    return {
+        "name": "n0",
+        "listen": listen,
+        "discovery": discovery,
+        "seed": "8c1f30d27a5be964",
+        "limits": limits,
+        "known": known,
+        "settings": copy.deepcopy({**SETTINGS, **changes}),
+    }
 
 
 async def start_program(
@@ -291,9 +337,14 @@
     environ = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
     environ |= {"EDGE_CONFIG": str(path), **more}
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", *program, *arguments, cwd=ROOT, env=environ,
+        sys.executable,
+        "-m",
+        *program,
+        *arguments,
+        cwd=ROOT,
+        env=environ,
         stderr=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+    )
 
 
 async def until_ready(address: tuple[str, int], greeting: bytes = b"") -> None:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -43,23 +43,33 @@
     if listed:
         (folder / "KNOWN-RED.txt").write_text(listed)
     return subprocess.run(
-        [sys.executable, "-m", "pytest", "-q", "-n", "2", "-p", "no:cacheprovider"], cwd=folder,
-        capture_output=True, text=True, timeout=120, check=False,
-    )  # fmt: skip
+        [sys.executable, "-m", "pytest", "-q", "-n", "2", "-p", "no:cacheprovider"],
+        cwd=folder,
+        capture_output=True,
+        text=True,
+        timeout=120,
+        check=False,
+    )
 
 
 @pytest.mark.parametrize(
     ("listed", "code", "printed"),
     [
         ("", 1, "1 failed, 1 passed"),
-        ("tests/test_it.py::test_bad | pytest | a cause | 33\n", 0,
-         "failed: tests/test_it.py::test_bad | pytest | a cause"),
+        (
+            "tests/test_it.py::test_bad | pytest | a cause | 33\n",
+            0,
+            "failed: tests/test_it.py::test_bad | pytest | a cause",
+        ),
         ("tests/test_it.py::test_good | pytest | a cause | 33\n", 1, "passed: tests/test_it.py::test_good"),
-        ("tests/test_it.py::test_bad | p | a | 33\ntests/test_it.py::test_none | p | a | 33\n", 1,
-         "line 2: there is no test tests/test_it.py::test_none"),
+        (
+            "tests/test_it.py::test_bad | p | a | 33\ntests/test_it.py::test_none | p | a | 33\n",
+            1,
+            "line 2: there is no test tests/test_it.py::test_none",
+        ),
         ("one word\n", 4, "line 1: not of the form"),
     ],
-)  # fmt: skip
+)
 def test_a_run_passes_over_listed_tests_alone_and_prints_them(
     tmp_path: Path, listed: str, code: int, printed: str
 ) -> None:
--- a/tests/test_regress.py
+++ b/tests/test_regress.py
@@ -14,8 +14,14 @@
 
 def entry(score: float, **more: Any) -> dict[str, Any]:
     days = [{"name": "calm", "score": score, "served": 0.8, "served_least": 0.7, **more.pop("day", {})}]
-    return {"cmd": "real-score", "at": ["2026-01-01"], "days": days, "panel": "x" + regress.RUNS[0].panel,
-            "figures": {"real_score": score, "gate": more.pop("gate", 1.0)}, **more}  # fmt: skip
+    return {
+        "cmd": "real-score",
+        "at": ["2026-01-01"],
+        "days": days,
+        "panel": "x" + regress.RUNS[0].panel,
+        "figures": {"real_score": score, "gate": more.pop("gate", 1.0)},
+        **more,
+    }
 
 
 @pytest.mark.parametrize(
@@ -35,8 +41,9 @@
 def test_each_day_stands_beside_the_last_figure_and_the_spread_of_the_last_few() -> None:
     found = regress.rows(regress.RUNS[0], entry(0.7), [entry(0.9), entry(0.8)])
     assert [(row["day"], row["figure"], row["last"], row["spread"]) for row in found] == [
-        ("calm", 0.7, 0.8, 0.1), ("all", 0.7, 0.8, 0.1)
-    ]  # fmt: skip
+        ("calm", 0.7, 0.8, 0.1),
+        ("all", 0.7, 0.8, 0.1),
+    ]
     assert regress.rows(regress.RUNS[0], entry(0.7), [])[0]["last"] is None
 
 
