--- a/benchmarks/stamps.py
+++ b/benchmarks/stamps.py
@@ -17,7 +17,7 @@
 
 from gladegw.control.clock import boot
 from gladegw.coordination.policy_epochs import HEADER
-from gladegw.coordination.serving_lease import Gate
+from gladegw.coordination.serving_lease import ServingLease
 from gladegw.net.features import PolicySettings
 from gladegw.net.policy_router import Stamped
 
@@ -36,7 +36,7 @@
 
 
 def stamped(**settings: Any) -> Stamped:
-    gate = Gate(boot)
+    gate = ServingLease(boot)
     gate.until = boot() + 3600
     made = Stamped(pools(), gate, PolicySettings(**settings), False)
     made.take(7, DIGEST, ("table", ""))  # type: ignore[arg-type]
--- a/gladegw/cli/rollout.py
+++ b/gladegw/cli/rollout.py
@@ -18,7 +18,7 @@
     from gladegw.control.policy_proposals import Operator
     from gladegw.control.rollout_plan import Plan
     from gladegw.control.rollouts import Rollouts
-    from gladegw.coordination.records import Point, Rollout
+    from gladegw.coordination.records import RolloutRecord, TimelinePointRecord
 
 
 @click.group()
@@ -39,7 +39,7 @@
 
 
 def done(
-    ctx: click.Context, file: str | None, as_json: bool, what: Callable[[Rollouts], Awaitable[Rollout]]
+    ctx: click.Context, file: str | None, as_json: bool, what: Callable[[Rollouts], Awaitable[RolloutRecord]]
 ) -> None:
     """Exit code 1 where it is refused."""
     named, found = settings_of(ctx, file)
@@ -95,14 +95,14 @@
     found, _ = plan_of(plan)
     stages: tuple[tuple[str, ...], ...] = ()
     if file or ctx.obj:
-        from gladegw.coordination.rollout import staged
+        from gladegw.coordination.rollout import plan_stages
 
         async def look(operator: Operator) -> dict[str, str]:
             return {member.name: member.zone for _, member in (await operator.view()).members()}
 
         members = asked(ctx, file, look)
         try:
-            stages = (*staged(members, found.stages, found.most_of_zone), tuple(sorted(members)))
+            stages = (*plan_stages(members, found.stages, found.most_of_zone), tuple(sorted(members)))
         except ValueError as fault:
             raise ConfigError(f"{plan}: {fault}") from None
     if as_json:
@@ -127,9 +127,9 @@
     assert settings.policy is not None
     confirm = settings.rollout.confirm_s if settings.rollout is not None else 0
     deadline, everyone = settings.policy.deadline_s, settings.policy.when_cut_off == "serve"
-    over: list[Rollout] = []
+    over: list[RolloutRecord] = []
 
-    async def begin(rollouts: Rollouts) -> Rollout:
+    async def begin(rollouts: Rollouts) -> RolloutRecord:
         record = await rollouts.start(found, files, confirm, deadline, everyone, me(), why)
         if wait:
             record = await rollouts.outcome(record.id)
@@ -212,7 +212,7 @@
 def history(ctx: click.Context, file: str | None, as_json: bool) -> None:
     """What was rolled out, and what became of it."""
 
-    async def look(operator: Operator) -> list[Rollout]:
+    async def look(operator: Operator) -> list[RolloutRecord]:
         from gladegw.control.rollouts import history as told
 
         return told(await operator.view())
@@ -256,7 +256,7 @@
 def page_of(ctx: click.Context, id: str, output: str, file: str | None) -> None:
     """Write one page of a rollout, the last one if none is named: stages, figures judged, evidence, plots."""
 
-    async def look(operator: Operator) -> tuple[Rollout | None, list[Point]]:
+    async def look(operator: Operator) -> tuple[RolloutRecord | None, list[TimelinePointRecord]]:
         from gladegw.control.rollouts import history as told
         from gladegw.control.rollouts import last, points
 
@@ -277,5 +277,5 @@
     click.echo(f"{output}: rollout {record.id}, {record.phase}, {len(found)} windows")
 
 
-def last_is(record: Rollout | None, id: str) -> bool:
+def last_is(record: RolloutRecord | None, id: str) -> bool:
     return record is not None and record.id == id
--- a/gladegw/control/duties/base.py
+++ b/gladegw/control/duties/base.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from gladegw.control.store_cache import View
-from gladegw.coordination.store import Compare, Done, Operation
+from gladegw.coordination.store import Compare, Operation, TxnResult
 
 
 class NotHeld(Exception):
@@ -32,7 +32,7 @@
     async def names(self, first: bytes, end: bytes) -> list[bytes]:
         """Keys of a range that is not watched; raises StoreFault."""
 
-    async def effect(self, *operations: Operation, compares: tuple[Compare, ...] = ()) -> Done:
+    async def effect(self, *operations: Operation, compares: tuple[Compare, ...] = ()) -> TxnResult:
         """Writes to the store, if the duty is held right before and, by the store's word, in the same
         transaction. Raises NotHeld, also where one of `compares` fails, or StoreFault where the outcome is
         not known."""
--- a/gladegw/control/duties/bundle_collection.py
+++ b/gladegw/control/duties/bundle_collection.py
@@ -7,7 +7,7 @@
 from gladegw.control.clock import boot
 from gladegw.control.duties.base import Holding, Work
 from gladegw.control.store_cache import View
-from gladegw.coordination.records import Change, Ended, InForce, Rollout
+from gladegw.coordination.records import ChangeOutcomeRecord, PolicyChangeRecord, PolicyRecord, RolloutRecord
 from gladegw.coordination.store import Compare, Delete, Operation, Target
 
 UNNAMED = 3600.0  # s for which a bundle was named by nothing: whoever has just sent it is about to propose it
@@ -19,13 +19,13 @@
 def named(view: View) -> set[str]:
     """Digests of all bundles that somebody may still fetch."""
     found: set[str] = set()
-    for _, force in view.records("policy", "history", form=InForce):
+    for _, force in view.records("policy", "history", form=PolicyRecord):
         found |= {force.digest, force.new}
-    now, change = view.read(view.at.force, InForce), view.read(view.at.change, Change)
+    now, change = view.read(view.at.force, PolicyRecord), view.read(view.at.change, PolicyChangeRecord)
     for one in (now, change):
         if one is not None:
             found |= {one.digest, one.new}
-    rollout = view.read(view.at.rollout, Rollout)
+    rollout = view.read(view.at.rollout, RolloutRecord)
     if rollout is not None:
         found |= {rollout.old, rollout.new}
     return found
@@ -52,8 +52,12 @@
         self.unnamed = {one: self.unnamed.get(one, now) for one in there - used}
         gone = [digest for digest, since in self.unnamed.items() if now >= since + UNNAMED]
         done: list[Operation] = [Delete(*at.bundle(digest)) for digest in gone]
-        changes = [(one.at, at.ended(id)) for (id,), one in view.records("policy", "ended", form=Ended)]
-        rolled = [(one.at, at.rolled(id)) for (id,), one in view.records("rollout", "ended", form=Rollout)]
+        changes = [
+            (one.at, at.ended(id)) for (id,), one in view.records("policy", "ended", form=ChangeOutcomeRecord)
+        ]
+        rolled = [
+            (one.at, at.rolled(id)) for (id,), one in view.records("rollout", "ended", form=RolloutRecord)
+        ]
         done += [Delete(key) for key in (*oldest(changes), *oldest(rolled))]
         done += [Delete(*at.course(id)) for id in await self._courses(holding)]
         if done:
@@ -65,8 +69,8 @@
         view = holding.view
         first, end = view.at.course("")
         there = {key[len(first) :].split(b"/")[0].decode() for key in await holding.names(first, end)}
-        ended = {id: one.ended_at for (id,), one in view.records("rollout", "ended", form=Rollout)}
-        now = view.read(view.at.rollout, Rollout)
+        ended = {id: one.ended_at for (id,), one in view.records("rollout", "ended", form=RolloutRecord)}
+        now = view.read(view.at.rollout, RolloutRecord)
         kept = set(sorted(ended, key=lambda id: ended[id])[-COURSES:]) | {now.id if now is not None else ""}
         return sorted(there - kept)
 
--- a/gladegw/control/duties/config_drift.py
+++ b/gladegw/control/duties/config_drift.py
@@ -8,7 +8,7 @@
 
 from gladegw.control.duties.base import Holding, Work
 from gladegw.control.store_cache import View
-from gladegw.coordination.records import Differences, encode
+from gladegw.coordination.records import ConfigDriftRecord, encode
 from gladegw.coordination.store import Put
 
 
@@ -29,17 +29,17 @@
     reads = True
 
     def __init__(self) -> None:
-        self.last: Differences | None = None
+        self.last: ConfigDriftRecord | None = None
 
     async def step(self, holding: Holding) -> None:
         view = holding.view
         key = view.at.fleet("compare")
         discovery, routes = groups(view, "discovery"), groups(view, "routes")
-        before = self.last or view.read(key, Differences)
+        before = self.last or view.read(key, ConfigDriftRecord)
         since = 0.0
         if discovery or routes:
             since = before.since if before is not None and before.since else time.time()
-        now = Differences(token=holding.token, discovery=discovery, routes=routes, since=since)
+        now = ConfigDriftRecord(token=holding.token, discovery=discovery, routes=routes, since=since)
         if self.last is None or msgspec.structs.replace(now, token=self.last.token) != self.last:
             await holding.effect(Put(key, encode(now)))
             self.last = now
--- a/gladegw/control/duties/fleet_summary.py
+++ b/gladegw/control/duties/fleet_summary.py
@@ -4,7 +4,7 @@
 
 from gladegw.control.duties.base import Holding, Work
 from gladegw.control.store_cache import View
-from gladegw.coordination.records import Figures, Fleet, encode
+from gladegw.coordination.records import FleetSummaryRecord, MemberMetricsRecord, encode
 from gladegw.coordination.store import Put
 
 WORST = 5
@@ -20,9 +20,9 @@
     return 1 - ended["passed"] / total if total else 0.0
 
 
-def made(view: View, token: int) -> Fleet:
+def made(view: View, token: int) -> FleetSummaryRecord:
     members = sorted({member.name for _, member in view.members()})
-    told: dict[str, Figures] = view.figures()
+    told: dict[str, MemberMetricsRecord] = view.figures()
     totals: dict[str, int] = {}
     for name in members:
         for figure, value in told[name].figures.items() if name in told else ():
@@ -33,7 +33,7 @@
     )
     worst = tuple(entry for entry in ranked[:WORST] if entry[1] > 0)
     silent = tuple(name for name in members if name not in told)
-    return Fleet(token=token, members=len(members), totals=totals, worst=worst, silent=silent)
+    return FleetSummaryRecord(token=token, members=len(members), totals=totals, worst=worst, silent=silent)
 
 
 class Digest(Work):
@@ -42,7 +42,7 @@
     reads = True
 
     def __init__(self) -> None:
-        self.last: Fleet | None = None
+        self.last: FleetSummaryRecord | None = None
 
     async def step(self, holding: Holding) -> None:
         fleet = made(holding.view, holding.token)
--- a/gladegw/control/duties/policy_coordinator.py
+++ b/gladegw/control/duties/policy_coordinator.py
@@ -11,8 +11,14 @@
 from gladegw.control.policy_participant import own
 from gladegw.control.store_cache import View
 from gladegw.coordination import policy_commit
-from gladegw.coordination.policy_commit import Outcome, Verdict, Vote
-from gladegw.coordination.records import Ballot, Change, Ended, InForce, encode
+from gladegw.coordination.policy_commit import Decision, Outcome, Vote
+from gladegw.coordination.records import (
+    ChangeOutcomeRecord,
+    PolicyChangeRecord,
+    PolicyRecord,
+    VoteRecord,
+    encode,
+)
 from gladegw.coordination.store import Compare, Delete, KeyValue, Operation, Put, Target
 
 LOOK = 1.0  # s without news after which it is looked at all the same
@@ -23,12 +29,12 @@
 def votes(view: View) -> dict[str, Vote]:
     """By process: `name#incarnation`."""
     found = {}
-    for parts, ballot in view.records("policy", "votes", form=Ballot):
+    for parts, ballot in view.records("policy", "votes", form=VoteRecord):
         found["#".join(parts)] = Vote(ballot.change, ballot.digest, ballot.yes, ballot.reason)
     return found
 
 
-def common(cast: dict[str, Vote], change: Change) -> dict[str, Vote]:
+def common(cast: dict[str, Vote], change: PolicyChangeRecord) -> dict[str, Vote]:
     """The same votes under the change's common digest, but those on another bundle than the voter's own."""
     found = {}
     for who, vote in cast.items():
@@ -41,17 +47,17 @@
     return {f"{member.name}#{member.incarnation}" for _, member in view.members()}
 
 
-def looked(view: View, change: Change, id: int) -> tuple[Verdict, dict[str, Vote]]:
+def looked(view: View, change: PolicyChangeRecord, id: int) -> tuple[Decision, dict[str, Vote]]:
     """The verdict on an open change by what is known now."""
-    force = view.read(view.at.force, InForce) or InForce(epoch=0, digest="")
+    force = view.read(view.at.force, PolicyRecord) or PolicyRecord(epoch=0, digest="")
     left = {known.name for _, known in view.known() if known.left}
     signed_off = [who for who in change.members if who.partition("#")[0] in left]
     unreached = [known.name for known in view.missing() if not known.left] if change.everyone else []
     cast = common(votes(view), change)
-    opened = policy_commit.Open(id, change.epoch, change.digest)
-    found = policy_commit.verdict(
+    opened = policy_commit.OpenChange(id, change.epoch, change.digest)
+    found = policy_commit.decide(
         opened,
-        policy_commit.Force(force.epoch, force.digest),
+        policy_commit.CommittedPolicy(force.epoch, force.digest),
         change.members,
         registered(view),
         cast,
@@ -79,10 +85,10 @@
         view = holding.view
         view.news.clear()
         kv = view.keys.get(view.at.change)
-        change = view.read(view.at.change, Change)
+        change = view.read(view.at.change, PolicyChangeRecord)
         if kv is not None and change is not None:
             found, cast = looked(view, change, kv.create_revision)
-            if found.outcome is not Outcome.WAIT:
+            if found.outcome is not Outcome.PENDING:
                 await self._decide(holding, change, kv, found, cast)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LOOK):
@@ -90,14 +96,14 @@
 
     @staticmethod
     async def _decide(
-        holding: Holding, change: Change, kv: KeyValue, found: Verdict, cast: dict[str, Vote]
+        holding: Holding, change: PolicyChangeRecord, kv: KeyValue, found: Decision, cast: dict[str, Vote]
     ) -> None:
         """One transaction under the duty's token: that very change is open still, and what is in force is
         what it would replace. A dry run is never decided."""
         at, now = holding.view.at, time.time()
-        yes = found.outcome is Outcome.YES and not change.dry
+        yes = found.outcome is Outcome.COMMIT and not change.dry
         reason = found.reason or ("a dry run: all would go over" if change.dry else "")
-        ended = Ended(
+        ended = ChangeOutcomeRecord(
             id=change.id,
             epoch=change.epoch,
             digest=change.digest,
@@ -110,7 +116,7 @@
         )
         done: list[Operation] = [Delete(at.change), Put(at.ended(change.id), encode(ended))]
         if yes:
-            new = InForce(
+            new = PolicyRecord(
                 epoch=change.epoch,
                 digest=change.digest,
                 who=change.who,
--- a/gladegw/control/fleet_status.py
+++ b/gladegw/control/fleet_status.py
@@ -8,7 +8,7 @@
 from gladegw.control.keys import Keys
 from gladegw.control.store_cache import View
 from gladegw.control.store_client import Client
-from gladegw.coordination.records import Differences, Fleet
+from gladegw.coordination.records import ConfigDriftRecord, FleetSummaryRecord
 from gladegw.coordination.store import Get
 
 
@@ -70,8 +70,8 @@
 
 
 def status(view: View) -> dict[str, Any]:
-    fleet = view.read(view.at.fleet("digest"), Fleet)
-    differs = view.read(view.at.fleet("compare"), Differences)
+    fleet = view.read(view.at.fleet("digest"), FleetSummaryRecord)
+    differs = view.read(view.at.fleet("compare"), ConfigDriftRecord)
     return {
         "members": len(view.members()),
         "missing": [known.name for known in view.missing()],
--- a/gladegw/control/leader_election.py
+++ b/gladegw/control/leader_election.py
@@ -12,8 +12,8 @@
 from gladegw.control.errors import StoreFault
 from gladegw.coordination import duty as duties
 from gladegw.coordination.duty import Action, Duty, Event, Phase
-from gladegw.coordination.records import Heir, Holder, encode
-from gladegw.coordination.store import Compare, Done, Get, KeyValue, Operation, Put
+from gladegw.coordination.records import DutyHolderRecord, SuccessorRecord, encode
+from gladegw.coordination.store import Compare, Get, KeyValue, Operation, Put, TxnResult
 
 if TYPE_CHECKING:
     from gladegw.control.member import Agent
@@ -43,22 +43,22 @@
     @property
     def idle(self) -> bool:
         """Whether another holds it and nothing is asked: news of other keys change nothing."""
-        return self.duty.phase is Phase.RESTING and self.key in self.view.keys and self.turn is None
+        return self.duty.phase is Phase.IDLE and self.key in self.view.keys and self.turn is None
 
     # what the store says
     def hear(self, found: KeyValue | None, revision: int) -> None:
         """The key as some word of the store has it, at this revision."""
         token, held_by = (found.create_revision, found.lease) if found is not None else (0, 0)
-        event = duties.heard(token, held_by, self.agent.lease)
+        event = duties.event_of_key(token, held_by, self.agent.lease)
         self.on(event, token, revision)
 
     def on(self, event: Event, token: int = 0, revision: int = 0) -> None:
         before = self.duty
         self.duty, actions = duties.step(before, event, token, revision)
         for action in actions:
-            if action is Action.BEGIN:
+            if action is Action.START:
                 self._begin()
-            elif action is Action.END:
+            elif action is Action.STOP:
                 self._end(before.token)
             else:
                 self._act(action)
@@ -66,8 +66,10 @@
 
     def look(self) -> None:
         """Whether it is this process's turn to claim, now or in a moment."""
-        vacant = self.key not in self.view.keys and self.view.to(self.agent.keys.claims) >= self.duty.seen
-        may = vacant and self.duty.phase is Phase.RESTING and self.agent.able and not self.left
+        vacant = (
+            self.key not in self.view.keys and self.view.to(self.agent.keys.claims) >= self.duty.seen_revision
+        )
+        may = vacant and self.duty.phase is Phase.IDLE and self.agent.able and not self.left
         if not may:
             if self.turn is not None:
                 self.turn.cancel()
@@ -79,7 +81,7 @@
     def _turn(self) -> None:
         self.turn = None
         if self.key not in self.view.keys and self.agent.able and not self.left:
-            self.on(Event.TURN)
+            self.on(Event.CLAIM_DUE)
 
     # actions
     def _act(self, action: Action) -> None:
@@ -97,23 +99,27 @@
                 self.hear(found[0] if found else None, revision)
                 return
             if action is Action.CLAIM:
-                record = Holder(holder=agent.name, incarnation=agent.incarnation, since=time.time())
+                record = DutyHolderRecord(holder=agent.name, incarnation=agent.incarnation, since=time.time())
                 done = await agent.client.txn(duties.claim(self.key, encode(record), lease))
                 if done.succeeded:
-                    event = duties.heard(done.revision, lease, agent.lease)
+                    event = duties.event_of_key(done.revision, lease, agent.lease)
                     self.on(event, done.revision, done.revision)
                     return
             else:
                 heir = agent.heir(self.work.name)
-                also = (Put(agent.keys.heir(self.work.name), encode(Heir(name=heir))),) if heir else ()
-                done = await agent.client.txn(duties.give_back(self.key, lease, also))
+                also = (
+                    (Put(agent.keys.heir(self.work.name), encode(SuccessorRecord(name=heir))),)
+                    if heir
+                    else ()
+                )
+                done = await agent.client.txn(duties.release(self.key, lease, also))
                 if done.succeeded:
-                    self.on(Event.NOBODY, 0, done.revision)
+                    self.on(Event.VACANT, 0, done.revision)
                     return
             self.hear(done.found[0][0] if done.found[0] else None, done.revision)
         except StoreFault as fault:
             agent.trouble(f"{self.work.name}: {action.value}: {fault}")
-            if action is Action.GIVE_BACK:
+            if action is Action.RELEASE:
                 await asyncio.sleep(AGAIN)
             self.on(Event.UNKNOWN)
 
@@ -124,7 +130,7 @@
     async def names(self, first: bytes, end: bytes) -> list[bytes]:
         return await self.agent.client.names(first, end)
 
-    async def effect(self, *operations: Operation, compares: tuple[Compare, ...] = ()) -> Done:
+    async def effect(self, *operations: Operation, compares: tuple[Compare, ...] = ()) -> TxnResult:
         token = self.duty.token
         if not duties.may_act(self.duty, self.agent.lease, self.agent.clock()):
             raise NotHeld(self.work.name)
@@ -177,11 +183,11 @@
 
     def leave(self) -> None:
         self.left = True
-        self.on(Event.LEAVE)
+        self.on(Event.RELEASE)
 
     @property
     def settled(self) -> bool:
-        return self.duty.phase is Phase.RESTING and not self.acting
+        return self.duty.phase is Phase.IDLE and not self.acting
 
     def stop(self) -> None:
         for task in (*self.acting, *([self.working] if self.working is not None else [])):
--- a/gladegw/control/member.py
+++ b/gladegw/control/member.py
@@ -32,13 +32,13 @@
 from gladegw.coordination import lease as leases
 from gladegw.coordination.duty import Event
 from gladegw.coordination.lease import Lease
-from gladegw.coordination.records import Figures, Known, Member, encode
-from gladegw.coordination.store import Event as Change
+from gladegw.coordination.records import KnownMemberRecord, MemberMetricsRecord, MemberRecord, encode
 from gladegw.coordination.store import Put, Txn
+from gladegw.coordination.store import StoreEvent as Change
 
 if TYPE_CHECKING:
     from gladegw.control.policy_participant import Carrier, Policies
-    from gladegw.coordination.serving_lease import Gate
+    from gladegw.coordination.serving_lease import ServingLease
 
 log = logging.getLogger(__name__)
 
@@ -64,9 +64,9 @@
     def __init__(
         self,
         options: Options,
-        member: Member,
+        member: MemberRecord,
         works: Iterable[type[Work]],
-        figures: Callable[[], Figures | None] = lambda: None,
+        figures: Callable[[], MemberMetricsRecord | None] = lambda: None,
         clock: Callable[[], float] = boot,
         told: Callable[[str, int, bool], None] = lambda name, token, begun: None,
         carrier: Carrier | None = None,
@@ -86,14 +86,16 @@
         self.watcher = Client(options.endpoints, options.timeout, options.token_file)
         self.lease, self.ttl = Lease(), float(options.ttl)
         self.registered = self.leaving = False
-        self.flaps, self.forgot = election_order.Flaps(), 0.0
+        self.flaps, self.forgot = election_order.FlapDetector(), 0.0
         self.told = told
         self.keepers: list[Keeper] = []
         self.said: dict[str, float] = {}
         self.draws = Random(self.incarnation)
         self.thread: threading.Thread | None = None
         self.registered_at = 0  # revision
-        self.on_record: Member | None = None  # what the store has of this process, as far as it has answered
+        self.on_record: MemberRecord | None = (
+            None  # what the store has of this process, as far as it has answered
+        )
         self.policies: Policies | None = None
         if carrier is not None:
             from gladegw.control.policy_participant import Policies
@@ -104,7 +106,7 @@
 
     # from other threads
     @property
-    def gate(self) -> Gate | None:
+    def gate(self) -> ServingLease | None:
         return self.policies.carrier.gate if self.policies is not None else None
 
     @property
@@ -118,7 +120,7 @@
             return ()
         member = policies.member
         told = f"policy.epoch={policies.in_use}", f"policy.digest={member.digest}"
-        return (*told, f"policy.way_back={member.spare}") if member.spare else told
+        return (*told, f"policy.way_back={member.fallback}") if member.fallback else told
 
     def start(self) -> None:
         self.thread = threading.Thread(target=self._main, name="agent", daemon=True)
@@ -194,7 +196,7 @@
         while not all(keeper.settled for keeper in self.keepers):
             await asyncio.sleep(LOOK / 4)
         if self.lease.id:
-            known = Known(name=self.name, zone=self.member.zone, left=True)
+            known = KnownMemberRecord(name=self.name, zone=self.member.zone, left=True)
             await self.client.do(Put(self.keys.known(self.name), encode(known)))
             await self.client.revoke(self.lease.id)
 
@@ -209,7 +211,9 @@
     @property
     def able(self) -> bool:
         """Whether it may claim: its lease is good, and it has seen the store as it is under it."""
-        return self.registered and self.live.informed and not self.leaving and self.lease.live(self.clock())
+        return (
+            self.registered and self.live.informed and not self.leaving and self.lease.is_valid(self.clock())
+        )
 
     async def _keep(self) -> None:
         backoff = Backoff(self.draws)
@@ -247,7 +251,7 @@
         known = self.keys.known(self.name)
         operations = (
             Put(self.keys.member(self.name, self.incarnation), encode(telling), self.lease.id),
-            Put(known, encode(Known(name=self.name, zone=self.member.zone))),
+            Put(known, encode(KnownMemberRecord(name=self.name, zone=self.member.zone))),
         )
         try:
             done = await self.client.txn(Txn((), operations))
@@ -283,7 +287,7 @@
         while True:
             left = self.lease.until - self.clock() if self.lease.id else self.ttl / 10
             await asyncio.sleep(max(LOOK, min(left, TELL)))
-            if self.lease.id and not self.lease.live(self.clock()):
+            if self.lease.id and not self.lease.is_valid(self.clock()):
                 self._expired()
 
     def _expired(self) -> None:
@@ -311,12 +315,12 @@
     def _seen(self, events: list[Change] | None) -> None:
         """A fleet is told of each of its members by each: what costs by the fleet's size is not done here."""
         now = self.clock()
-        keys = [event.kv.key for event in events if not event.gone] if events is not None else None
+        keys = [event.kv.key for event in events if not event.deleted] if events is not None else None
         for key in self.view.kinds.get("members", ()) if keys is None else keys:
             kind, *names = self.keys.split(key)
             if kind == "members" and len(names) == 2:
-                self.flaps.seen(names[0], names[1], now)
-        if now > self.forgot + election_order.WINDOW / 4:
+                self.flaps.observe(names[0], names[1], now)
+        if now > self.forgot + election_order.FLAP_WINDOW_S / 4:
             self.forgot = now
             self.flaps.forget(now)
         if self.policies is not None:
@@ -338,15 +342,19 @@
         there = self.live.number
         if there > RANKED or not self.live.whole.is_set():
             own = self.flaps.weights((self.name,), self.clock())[self.name]
-            return election_order.wait_among(duty, self.name, own, there, PAUSE) + (PAUSE if heir else 0.0)
+            return election_order.estimated_claim_delay(duty, self.name, own, there, PAUSE) + (
+                PAUSE if heir else 0.0
+            )
         weights = self._weights(duty)
-        return election_order.wait(duty, self.name, weights, PAUSE) + (PAUSE if heir in weights else 0.0)
+        return election_order.claim_delay(duty, self.name, weights, PAUSE) + (
+            PAUSE if heir in weights else 0.0
+        )
 
     def heir(self, duty: str) -> str:
-        return election_order.heir(duty, self.name, self._weights(duty))
+        return election_order.successor(duty, self.name, self._weights(duty))
 
     async def _tell(self) -> None:
-        last: Figures | None = None
+        last: MemberMetricsRecord | None = None
         under = 0
         while True:
             await asyncio.sleep(TELL * self.draws.uniform(0.8, 1.2))
--- a/gladegw/control/policy_participant.py
+++ b/gladegw/control/policy_participant.py
@@ -17,11 +17,18 @@
 from gladegw.control.errors import RefusedByStore, StoreFault
 from gladegw.control.policy_bundle import BundleError
 from gladegw.coordination import policy_commit, rollout
-from gladegw.coordination.lease import DRIFT
-from gladegw.coordination.policy_commit import Action, Force, Member, Open, Phase
-from gladegw.coordination.records import Ballot, Change, InForce, Tries, decode, encode
-from gladegw.coordination.records import Member as MemberRecord
-from gladegw.coordination.serving_lease import Gate
+from gladegw.coordination.lease import MAX_CLOCK_DRIFT
+from gladegw.coordination.policy_commit import Action, CommittedPolicy, OpenChange, Participant, Phase
+from gladegw.coordination.records import (
+    BundleAttemptsRecord,
+    PolicyChangeRecord,
+    PolicyRecord,
+    VoteRecord,
+    decode,
+    encode,
+)
+from gladegw.coordination.records import MemberRecord as MemberRecord
+from gladegw.coordination.serving_lease import ServingLease
 from gladegw.coordination.store import Compare, Delete, Get, KeyValue, Put, Target, Txn
 
 if TYPE_CHECKING:
@@ -50,31 +57,33 @@
 
     prepare: Prepare
     take: Take
-    gate: Gate
+    gate: ServingLease
     when_cut_off: str = SERVE
     agreed: Agreed = lambda epoch, digest, ready: None
 
 
-def own(record: InForce | Change, name: str) -> tuple[str, str]:
+def own(record: PolicyRecord | PolicyChangeRecord, name: str) -> tuple[str, str]:
     """The bundle that a member of this name serves by, and that of the others where it is in a stage."""
-    mine = rollout.own(name, record.digest, record.new, record.named)
+    mine = rollout.digest_for(name, record.digest, record.new, record.named)
     return mine, record.digest if mine != record.digest else ""
 
 
-def word(force: KeyValue | None, change: KeyValue | None, name: str) -> tuple[Force, Open | None, InForce]:
+def word(
+    force: KeyValue | None, change: KeyValue | None, name: str
+) -> tuple[CommittedPolicy, OpenChange | None, PolicyRecord]:
     """The store's records as the tables of this member want them; raises RecordError."""
-    told = decode(force.value, InForce) if force is not None else InForce(epoch=0, digest="")
-    asked = decode(change.value, Change) if change is not None else None
+    told = decode(force.value, PolicyRecord) if force is not None else PolicyRecord(epoch=0, digest="")
+    asked = decode(change.value, PolicyChangeRecord) if change is not None else None
     opened = None
     if change is not None and asked is not None:
-        opened = Open(change.create_revision, asked.epoch, *own(asked, name))
-    return Force(told.epoch, *own(told, name)), opened, told
+        opened = OpenChange(change.create_revision, asked.epoch, *own(asked, name))
+    return CommittedPolicy(told.epoch, *own(told, name)), opened, told
 
 
 class Policies:
     def __init__(self, agent: Agent, carrier: Carrier) -> None:
         self.agent, self.carrier, self.keys = agent, carrier, agent.keys
-        self.member = Member()
+        self.member = Participant()
         self.ready: dict[str, Any] = {}  # what was prepared, by digest
         self.begun: set[str] = set()  # digests whose count of tries stands in the store for this process
         self.in_use = -1  # epoch that the serving loop works by
@@ -111,11 +120,11 @@
             self.unsigned, self.signed = float(record.confirm_s), agent.clock()
         if told.epoch < self.member.epoch:
             self.agent.trouble(f"policy: epoch {told.epoch} in the store after {self.member.epoch}")
-        self._act(*policy_commit.told(self.member, told, opened, revision))
+        self._act(*policy_commit.on_store_update(self.member, told, opened, revision))
 
     def rejoined(self) -> None:
         goes_on = self.carrier.when_cut_off == SERVE
-        self._act(policy_commit.rejoined(self.member, goes_on), (Action.DROP,))
+        self._act(policy_commit.on_rejoin(self.member, goes_on), (Action.DISCARD_PREPARED,))
 
     async def confirm(self) -> None:
         """A linearizable read; raises StoreFault."""
@@ -126,31 +135,33 @@
         keys = self.keys
         force, change, sign = (by_key.get(key) for key in (keys.force, keys.change, keys.sign))
         self._word(force, change, sign, revision)
-        if self.agent.registered and self.member.serves:
-            self.confirmed = sent + self.agent.ttl * (1 - DRIFT)
+        if self.agent.registered and self.member.may_serve:
+            self.confirmed = sent + self.agent.ttl * (1 - MAX_CLOCK_DRIFT)
 
     # actions
-    def _act(self, member: Member, actions: tuple[Action, ...]) -> None:
+    def _act(self, member: Participant, actions: tuple[Action, ...]) -> None:
         before, self.member = self.member, member
-        if Action.YES in actions:  # nothing is decided before this vote is there, so until now it knows
-            self.confirmed = max(self.confirmed, self.agent.clock() + self.agent.ttl * (1 - DRIFT))
+        if Action.VOTE_YES in actions:  # nothing is decided before this vote is there, so until now it knows
+            self.confirmed = max(self.confirmed, self.agent.clock() + self.agent.ttl * (1 - MAX_CLOCK_DRIFT))
         for action in actions:
             if action is Action.PREPARE:
-                self._task(self._prepare(member.wanted))
-            elif action is Action.TAKE:
+                self._task(self._prepare(member.preparing))
+            elif action is Action.ACTIVATE:
                 self._take(member.epoch, member.digest)
-            elif action is Action.SPARE:
-                self._task(self._spared(member.force.base))
-            elif action is Action.DROP:
+            elif action is Action.PREPARE_FALLBACK:
+                self._task(self._spared(member.committed.baseline))
+            elif action is Action.DISCARD_PREPARED:
                 self.carrier.agreed(member.epoch, "", None)
-                kept = (member.digest, member.spare)
+                kept = (member.digest, member.fallback)
                 self.ready = {digest: one for digest, one in self.ready.items() if digest in kept}
             else:
-                if action is Action.YES and member.change is not None:  # others may serve by it from here on
-                    change = member.change
-                    self.carrier.agreed(change.epoch, change.common, self.ready[member.held])
-                self._task(self._vote(action is Action.YES, ""))
-        for digest in self.begun - {member.wanted, member.held, member.digest, member.spare}:
+                if (
+                    action is Action.VOTE_YES and member.open_change is not None
+                ):  # others may serve by it from here on
+                    change = member.open_change
+                    self.carrier.agreed(change.epoch, change.fleet_digest, self.ready[member.prepared])
+                self._task(self._vote(action is Action.VOTE_YES, ""))
+        for digest in self.begun - {member.preparing, member.prepared, member.digest, member.fallback}:
             self._task(self._survived(digest, 0.0))
         if before.phase is not member.phase:
             log.info("policy: %s, epoch %d", member.phase.value, member.epoch)
@@ -176,21 +187,21 @@
             reason = f"{type(fault).__name__}: {fault}"
         if reason:
             log.warning("policy: %s can't be prepared: %s", digest, reason)
-        after, actions = policy_commit.prepared(self.member, digest, not reason)
-        if Action.NO in actions:
+        after, actions = policy_commit.on_prepare_result(self.member, digest, not reason)
+        if Action.VOTE_NO in actions:
             self.member = after
             self._extend()
             await self._vote(False, reason)
         else:
             self._act(after, actions)
-        if self.member.phase is Phase.STUCK:
+        if self.member.phase is Phase.PREPARE_FAILED:
             if self.retry is not None:
                 self.retry.cancel()
             self.retry = self.agent.loop.call_later(STUCK_FOR, self._again)
 
     def _again(self) -> None:
         self.retry = None
-        self._act(*policy_commit.again(self.member))
+        self._act(*policy_commit.retry_prepare(self.member))
 
     async def _fetched(self, digest: str) -> tuple[KeyValue, ...] | None:
         """The bundle's pieces; None: it is wanted no more. In the same transaction this process's try is
@@ -200,12 +211,12 @@
         pieces = Get(*self.keys.bundle(digest))
         lease = count = revision = 0  # what stands in the store, as far as it is known
         backoff = Backoff(agent.draws)
-        while self.member.wanted == digest:
+        while self.member.preparing == digest:
             try:
                 if digest in self.begun:
                     return (await agent.client.get(pieces))[1]
                 lease = lease or (await agent.client.grant(CAUTION))[0]
-                tried = Put(key, encode(Tries(count=count + 1, last=agent.incarnation)), lease)
+                tried = Put(key, encode(BundleAttemptsRecord(count=count + 1, last=agent.incarnation)), lease)
                 as_known = Compare(key, Target.MOD, "=", revision)
                 done = await agent.client.txn(Txn((as_known,), (tried, pieces), (Get(key), pieces)))
             except StoreFault as fault:
@@ -215,7 +226,9 @@
                 await asyncio.sleep(backoff.next())
                 continue
             stands = () if done.succeeded else done.found[0]
-            before = decode(stands[0].value, Tries) if stands else Tries(count=0)
+            before = (
+                decode(stands[0].value, BundleAttemptsRecord) if stands else BundleAttemptsRecord(count=0)
+            )
             if done.succeeded or before.last == agent.incarnation:
                 self.begun.add(digest)
                 return done.found[1]
@@ -226,7 +239,7 @@
 
     async def _spared(self, digest: str) -> None:
         """The way back of one that began within a stage: with the store gone by then, there is no other."""
-        while self.member.force.base == digest and self.member.spare != digest:
+        while self.member.committed.baseline == digest and self.member.fallback != digest:
             try:
                 _, found = await self.agent.client.get(Get(*self.keys.bundle(digest)))
                 files = policy_bundle.whole(digest, (kv.value for kv in found))
@@ -239,12 +252,12 @@
                 return
             else:
                 self.ready[digest] = ready
-                self.member = policy_commit.spared(self.member, digest)
+                self.member = policy_commit.on_fallback_prepared(self.member, digest)
                 return
 
     async def _survived(self, digest: str, after: float) -> None:
         await asyncio.sleep(after)
-        if digest not in self.begun or digest in (self.member.wanted, self.member.held):
+        if digest not in self.begun or digest in (self.member.preparing, self.member.prepared):
             return
         self.begun.discard(digest)
         try:
@@ -254,13 +267,13 @@
 
     async def _vote(self, yes: bool, reason: str) -> None:
         """Sent again until it is there or the change is over; a vote that came through twice is one."""
-        change = self.member.change
-        while change is not None and self.member.change == change:
+        change = self.member.open_change
+        while change is not None and self.member.open_change == change:
             agent = self.agent
             if not agent.registered:  # a vote stands under the lease, and ends with it
                 await asyncio.sleep(AGAIN)
                 continue
-            ballot = Ballot(change=change.id, digest=change.digest, yes=yes, reason=reason)
+            ballot = VoteRecord(change=change.id, digest=change.digest, yes=yes, reason=reason)
             key = self.keys.vote(agent.name, agent.incarnation)
             try:
                 await agent.client.do(Put(key, encode(ballot), agent.lease.id))
@@ -276,7 +289,7 @@
             agent.loop.call_soon_threadsafe(self._taken, epoch, digest)
 
         log.warning("policy: epoch %d (%s) takes hold", epoch, digest or "the own file")
-        self.carrier.take(epoch, self.member.force.common, self.ready.get(digest), done)
+        self.carrier.take(epoch, self.member.committed.fleet_digest, self.ready.get(digest), done)
         if digest:
             self._task(self._survived(digest, SURE))
 
@@ -292,7 +305,7 @@
     # the right to serve
     def _extend(self) -> None:
         gate, member, now = self.carrier.gate, self.member, self.agent.clock()
-        if not member.serves:
+        if not member.may_serve:
             gate.close()
         elif self.in_use == member.epoch and now < self.ticked + STOOD:
             until = now + STOOD
@@ -311,8 +324,8 @@
             elif refuse and now > self.confirmed - self.agent.ttl / 2:
                 await self._asked(0.0)
             self.ticked = self.agent.clock()
-            if self.unsigned and self.member.force.base and self.ticked > self.signed + self.unsigned:
-                after, actions = policy_commit.unconfirmed(self.member)
+            if self.unsigned and self.member.committed.baseline and self.ticked > self.signed + self.unsigned:
+                after, actions = policy_commit.revert_unconfirmed(self.member)
                 if actions:
                     log.warning("policy: no sign of the rollout for %.0f s: back by itself", self.unsigned)
                 self._act(after, actions)
@@ -344,7 +357,7 @@
             self.retry.cancel()
 
 
-def state(member: MemberRecord, force: InForce) -> str:
+def state(member: MemberRecord, force: PolicyRecord) -> str:
     """What `policy status` says of a member."""
     if member.epoch < 0:
         return "unknown"
--- a/gladegw/control/policy_proposals.py
+++ b/gladegw/control/policy_proposals.py
@@ -17,7 +17,14 @@
 from gladegw.control.policy_participant import state
 from gladegw.control.store_cache import View
 from gladegw.control.store_client import Client
-from gladegw.coordination.records import Change, Ended, InForce, Rollout, decode, encode
+from gladegw.coordination.records import (
+    ChangeOutcomeRecord,
+    PolicyChangeRecord,
+    PolicyRecord,
+    RolloutRecord,
+    decode,
+    encode,
+)
 from gladegw.coordination.store import Compare, Delete, Get, Put, Target, Txn
 
 T = TypeVar("T")
@@ -50,8 +57,8 @@
     return ", ".join(sorted({who.partition("#")[0] for who in whom}))
 
 
-def in_force(view: View) -> InForce:
-    return view.read(view.at.force, InForce) or InForce(epoch=0, digest="")
+def in_force(view: View) -> PolicyRecord:
+    return view.read(view.at.force, PolicyRecord) or PolicyRecord(epoch=0, digest="")
 
 
 class Operator:
@@ -90,14 +97,14 @@
 
     async def propose(
         self, digest: str, deadline: int, everyone: bool, who: str, why: str, dry: bool
-    ) -> Change:
+    ) -> PolicyChangeRecord:
         """Raises ValueError where another change is open, StoreFault where the store does not say."""
         view = await self.view()
         force, at = in_force(view), view.at
-        rollout = view.read(at.rollout, Rollout)
+        rollout = view.read(at.rollout, RolloutRecord)
         if rollout is not None:
             raise ValueError(f"rollout {rollout.id} is under way: wait for its end, or `rollout back`")
-        change = Change(
+        change = PolicyChangeRecord(
             id=secrets.token_hex(8),
             epoch=force.epoch + 1,
             digest=digest,
@@ -119,17 +126,17 @@
             done = await self.client.txn(Txn(compares, (Put(at.change, encode(change), lease),)))
             taken = done.succeeded
         except StoreFault:  # whether it was done is asked
-            found = (await self.view()).read(at.change, Change)
+            found = (await self.view()).read(at.change, PolicyChangeRecord)
             taken = found is not None and found.id == change.id
         if not taken:
             await self.again(lambda: self.client.revoke(lease))
-            open_one = (await self.view()).read(at.change, Change)
+            open_one = (await self.view()).read(at.change, PolicyChangeRecord)
             if open_one is None:
                 raise ValueError("what is in force, or the bundle in the store, has changed meanwhile")
             raise ValueError(f"change {open_one.id} of {open_one.who or 'somebody'} is open")
         return change
 
-    async def outcome(self, change: Change, deadline: int) -> Result:
+    async def outcome(self, change: PolicyChangeRecord, deadline: int) -> Result:
         """Waits until it is decided, refused, called off or ended by its lease. Two keys are looked at again
         and again, not the fleet: that is what has to hear of the change meanwhile."""
         at, end = self.keys, time.monotonic() + deadline + OVER
@@ -138,10 +145,10 @@
             done = await self.again(lambda: self.client.do(Get(at.ended(change.id)), Get(at.change)))
             ended, stands = done.found
             if ended:
-                told_of = decode(ended[0].value, Ended)
+                told_of = decode(ended[0].value, ChangeOutcomeRecord)
                 cast = ballots(told_of.votes)
                 return Result(told_of.outcome, change.epoch, change.digest, told_of.reason, cast)
-            open_one = decode(stands[0].value, Change) if stands else None
+            open_one = decode(stands[0].value, PolicyChangeRecord) if stands else None
             if open_one is not None and open_one.id == change.id:
                 opened = stands[0].create_revision
             else:
@@ -150,7 +157,7 @@
                 return await self._unended(change, opened, "the store did not end it")
             await asyncio.sleep(LOOK)
 
-    async def _unended(self, change: Change, opened: int, reason: str) -> Result:
+    async def _unended(self, change: PolicyChangeRecord, opened: int, reason: str) -> Result:
         """Nowhere, and nobody has written why: what is known of its votes."""
         view = await self.view()
         found, given = looked(view, change, opened)
@@ -159,13 +166,13 @@
         cast = ballots(told(given, opened), found.awaited)
         return Result("nowhere", change.epoch, change.digest, reason, cast)
 
-    async def call_off(self, who: str) -> Change | None:
+    async def call_off(self, who: str) -> PolicyChangeRecord | None:
         """None: there is none, or it was decided meanwhile."""
         view = await self.view()
-        kv, change = view.keys.get(view.at.change), view.read(view.at.change, Change)
+        kv, change = view.keys.get(view.at.change), view.read(view.at.change, PolicyChangeRecord)
         if kv is None or change is None:
             return None
-        ended = Ended(
+        ended = ChangeOutcomeRecord(
             id=change.id,
             epoch=change.epoch,
             digest=change.digest,
@@ -204,7 +211,7 @@
 
 def status(view: View) -> dict[str, Any]:
     force = in_force(view)
-    kv, change = view.keys.get(view.at.change), view.read(view.at.change, Change)
+    kv, change = view.keys.get(view.at.change), view.read(view.at.change, PolicyChangeRecord)
     open_one = None
     if kv is not None and change is not None:
         found, cast = looked(view, change, kv.create_revision)
@@ -238,5 +245,5 @@
 def history(view: View) -> list[dict[str, Any]]:
     return [
         {"epoch": one.epoch, "digest": one.digest, "who": one.who, "why": one.why, "at": one.at}
-        for _, one in view.records("policy", "history", form=InForce)
+        for _, one in view.records("policy", "history", form=PolicyRecord)
     ]
--- a/gladegw/control/program_rollouts.py
+++ b/gladegw/control/program_rollouts.py
@@ -11,8 +11,8 @@
 from gladegw.control.rollout_plan import Plan
 from gladegw.control.store_cache import View
 from gladegw.coordination import rollout as table
-from gladegw.coordination.records import Member, Program, Rollout, Supervised, encode
-from gladegw.coordination.rollout import Phase, World
+from gladegw.coordination.records import MemberRecord, ProgramRecord, RolloutRecord, SupervisorRecord, encode
+from gladegw.coordination.rollout import Observation, Phase
 from gladegw.coordination.store import Compare, Operation, Put, Target
 
 KIND = "program"
@@ -21,17 +21,17 @@
 MOST_RESTARTS = 2  # of a name in a stage, from which the version is taken for bad
 
 
-def supervisors(view: View) -> dict[str, Supervised]:
-    return {one.name: one for _, one in view.records("supervisors", form=Supervised)}
+def supervisors(view: View) -> dict[str, SupervisorRecord]:
+    return {one.name: one for _, one in view.records("supervisors", form=SupervisorRecord)}
 
 
-def in_force(view: View) -> Program | None:
-    return view.read(view.at.program, Program)
+def in_force(view: View) -> ProgramRecord | None:
+    return view.read(view.at.program, ProgramRecord)
 
 
-def newest(view: View) -> dict[str, Member]:
+def newest(view: View) -> dict[str, MemberRecord]:
     """The process that each name began last."""
-    found: dict[str, Member] = {}
+    found: dict[str, MemberRecord] = {}
     for _, member in view.members():
         if member.name not in found or member.since > found[member.name].since:
             found[member.name] = member
@@ -69,10 +69,10 @@
     return tuple(sorted({member.name for _, member in view.members()} | supervisors(view).keys()))
 
 
-def world_of(view: View, record: Rollout, waited: float) -> World:
+def world_of(view: View, record: RolloutRecord, waited: float) -> Observation:
     """`waited`: s since the stage's write was seen first. A stage counts as in force once all of its names
     run it, and as open until then."""
-    program = in_force(view) or Program(epoch=0, version=record.old)
+    program = in_force(view) or ProgramRecord(epoch=0, version=record.old)
     phase, mine = Phase(record.phase), program.rollout == record.id
     named = program.named if program.new else everybody(view)
     awaited = runs(view, named, program.new or program.version) if mine else {}
@@ -81,34 +81,34 @@
         name = min(awaited)
         bad = f"{name} does not run it after {record.deadline_s} s: {awaited[name]}"
     before = (record.id, record.stages[record.stage - 1]) if record.stage else None
-    if phase is Phase.GOING_BACK and mine and not program.new and program.version == record.old:
-        return World(record.old, None, record.id if awaited and not bad else None)
+    if phase is Phase.ROLLING_BACK and mine and not program.new and program.version == record.old:
+        return Observation(record.old, None, record.id if awaited and not bad else None)
     if phase is Phase.FINISHING and mine and not program.new:
         if awaited or bad:
             staged = (record.id, record.stages[-1]) if record.stages else None
-            return World(record.old, staged, record.id, bad)
-        return World(program.version)
+            return Observation(record.old, staged, record.id, bad)
+        return Observation(program.version)
     staged = (program.rollout, program.named) if program.new else None
-    if phase is Phase.MOVING and mine and staged == (record.id, record.stages[record.stage]):
+    if phase is Phase.ADVANCING and mine and staged == (record.id, record.stages[record.stage]):
         if awaited or bad:
-            return World(program.version, before, record.id, bad)
-        return World(program.version, staged)
+            return Observation(program.version, before, record.id, bad)
+        return Observation(program.version, staged)
     if phase is Phase.BAKING and bad:
-        return World(program.version, staged, gone_back=(bad,))
-    return World(program.version, staged)
+        return Observation(program.version, staged, reverted_members=(bad,))
+    return Observation(program.version, staged)
 
 
-def _next(view: View, record: Rollout, version: str, why: str = "") -> tuple[Program, Compare]:
+def _next(view: View, record: RolloutRecord, version: str, why: str = "") -> tuple[ProgramRecord, Compare]:
     program, held = in_force(view), view.keys.get(view.at.program)
     same = Compare(view.at.program, Target.MOD, "=", held.mod_revision if held is not None else 0)
     epoch = program.epoch + 1 if program is not None else 1
-    made = Program(
+    made = ProgramRecord(
         epoch=epoch, version=version, rollout=record.id, who=record.who, why=why or record.why, at=time.time()
     )
     return made, same
 
 
-def moved(view: View, record: Rollout) -> tuple[list[Operation], tuple[Compare, ...]]:
+def moved(view: View, record: RolloutRecord) -> tuple[list[Operation], tuple[Compare, ...]]:
     """The stage, or the new version for all; nobody is asked, each supervisor tries it beside what serves."""
     whole = record.phase == Phase.FINISHING.value
     made, same = _next(view, record, record.new if whole else record.old)
@@ -118,7 +118,7 @@
     return [Put(view.at.program, encode(made))], (same,)
 
 
-def returned(view: View, record: Rollout) -> tuple[list[Operation], tuple[Compare, ...]]:
+def returned(view: View, record: RolloutRecord) -> tuple[list[Operation], tuple[Compare, ...]]:
     """The old version for all, unless it is that already."""
     program, held = in_force(view), view.keys.get(view.at.program)
     mine = program is not None and program.rollout == record.id
@@ -130,7 +130,7 @@
 
 def begun(
     view: View, plan: Plan, confirm: int, who: str, why: str
-) -> tuple[Rollout, list[Operation], tuple[Compare, ...]]:
+) -> tuple[RolloutRecord, list[Operation], tuple[Compare, ...]]:
     """The record, and what it is written with. Raises ValueError with the reason why it can't be started."""
     at, program, told = view.at, in_force(view), supervisors(view)
     members = newest(view)
@@ -149,10 +149,10 @@
         raise ValueError(f"{program.version} is in force and {versions[0]} runs")
     if versions[0] == plan.program:
         raise ValueError("that version runs already")
-    stages = table.staged(
+    stages = table.plan_stages(
         {name: member.zone for name, member in members.items()}, plan.stages, plan.most_of_zone
     )
-    record = Rollout(
+    record = RolloutRecord(
         id=secrets.token_hex(6),
         old=versions[0],
         new=plan.program,
@@ -169,13 +169,13 @@
         why=why,
         kind=KIND,
         quiet=plan.quiet,
-        phase=(Phase.MOVING if stages else Phase.FINISHING).value,
+        phase=(Phase.ADVANCING if stages else Phase.FINISHING).value,
         at=time.time(),
     )
     done: list[Operation] = [Put(at.rollout, encode(record))]
     held = view.keys.get(at.program)
     if held is None:
-        first = Program(epoch=1, version=record.old, who=who, why="as it was found", at=time.time())
+        first = ProgramRecord(epoch=1, version=record.old, who=who, why="as it was found", at=time.time())
         done.append(Put(at.program, encode(first)))
     same = Compare(at.program, Target.MOD, "=", held.mod_revision if held is not None else 0)
     return record, done, (same,)
--- a/gladegw/control/rollout_plan.py
+++ b/gladegw/control/rollout_plan.py
@@ -8,8 +8,8 @@
 
 from gladegw.control.errors import PlanError
 from gladegw.coordination import blackout_windows
-from gladegw.coordination.records import Limits
-from gladegw.coordination.rollout import staged
+from gladegw.coordination.records import RolloutLimitsRecord
+from gladegw.coordination.rollout import plan_stages
 from gladegw.net.hcl import LARGEST, Block, blocks_of
 
 WORSE, THIN = ("back", "stop"), ("stop", "go on")
@@ -41,8 +41,8 @@
     alpha: float = 0.01
 
     @property
-    def limits(self) -> Limits:
-        return Limits(
+    def limits(self) -> RolloutLimitsRecord:
+        return RolloutLimitsRecord(
             failed=self.failed,
             refused=self.refused,
             late=self.late,
@@ -90,13 +90,13 @@
             raise wrong(key, f"{key} must be {' or '.join(allowed)}, not {getattr(plan, key)}")
     for span in plan.quiet:
         try:
-            blackout_windows.read(span)
+            blackout_windows.parse_window(span)
         except ValueError as fault:
             raise wrong("quiet", f"quiet: {fault}") from None
     if plan.most_s < plan.bake_s:
         raise wrong("most_s", "most_s must not be less than bake_s")
     try:
-        staged({"any": ""}, [size for size in plan.stages if size.strip() == "100%"])
+        plan_stages({"any": ""}, [size for size in plan.stages if size.strip() == "100%"])
     except ValueError as fault:
         raise wrong("stages", f"stages: {fault}") from None
     return plan
--- a/gladegw/control/rollouts.py
+++ b/gladegw/control/rollouts.py
@@ -16,15 +16,24 @@
 from gladegw.control.rollout_plan import Plan
 from gladegw.control.store_cache import View
 from gladegw.coordination import rollout as table
-from gladegw.coordination.records import Change, Ended, InForce, Point, Rollout, Weighed, decode, encode
-from gladegw.coordination.rollout import Phase, World
+from gladegw.coordination.records import (
+    ChangeOutcomeRecord,
+    EvidenceRecord,
+    PolicyChangeRecord,
+    PolicyRecord,
+    RolloutRecord,
+    TimelinePointRecord,
+    decode,
+    encode,
+)
+from gladegw.coordination.rollout import Observation, Phase
 from gladegw.coordination.store import Compare, Delete, Get, Operation, Put, Target, Txn
 
 LOOK = 0.1  # s
 TRIES = 20  # at a write that another's overtakes
 
 
-def pure(record: Rollout) -> table.Rollout:
+def pure(record: RolloutRecord) -> table.Rollout:
     return table.Rollout(
         record.id,
         record.old,
@@ -43,10 +52,10 @@
     return {"stage": after.stage, "phase": after.phase.value, "paused": after.paused, "reason": after.reason}
 
 
-def world_of(view: View, record: Rollout) -> World:
-    force = view.read(view.at.force, InForce) or InForce(epoch=0, digest="")
-    change = view.read(view.at.change, Change)
-    over = view.read(view.at.ended(change_id(record)), Ended)
+def world_of(view: View, record: RolloutRecord) -> Observation:
+    force = view.read(view.at.force, PolicyRecord) or PolicyRecord(epoch=0, digest="")
+    change = view.read(view.at.change, PolicyChangeRecord)
+    over = view.read(view.at.ended(change_id(record)), ChangeOutcomeRecord)
     refused = over.reason or "refused" if over is not None and over.outcome != "everywhere" else ""
     staged = (force.rollout, force.named) if force.new else None
     gone_back = [
@@ -57,34 +66,34 @@
         and member.digest not in ("", own(force, member.name)[0])
     ]
     opened = change.rollout if change is not None else None
-    return World(force.digest, staged, opened, refused, tuple(sorted(set(gone_back))))
+    return Observation(force.digest, staged, opened, refused, tuple(sorted(set(gone_back))))
 
 
-def change_id(record: Rollout) -> str:
+def change_id(record: RolloutRecord) -> str:
     """Of the stage's change of policy, or of the last one: it tells what became of it."""
     return f"{record.id}.{'all' if record.phase == Phase.FINISHING.value else record.stage}"
 
 
-def called_off(view: View, record: Rollout) -> tuple[list[Operation], tuple[Compare, ...]]:
+def called_off(view: View, record: RolloutRecord) -> tuple[list[Operation], tuple[Compare, ...]]:
     """The end of the stage that is open; that none is, or another's, holds when it is written."""
     key = view.at.change
-    change, kv = view.read(key, Change), view.keys.get(key)
+    change, kv = view.read(key, PolicyChangeRecord), view.keys.get(key)
     if kv is None:
         return [], (Compare(key, Target.CREATE, "=", 0),)
     mine = change is not None and change.rollout == record.id
     return [Delete(key)] if mine else [], (Compare(key, Target.MOD, "=", kv.mod_revision),)
 
 
-def returned(view: View, record: Rollout) -> tuple[list[Operation], tuple[Compare, ...]]:
+def returned(view: View, record: RolloutRecord) -> tuple[list[Operation], tuple[Compare, ...]]:
     """The writes that make the old bundle the policy of all, and end the stage that is open. They need
     nobody's vote: whoever is in a stage holds the old table, and whoever starts reads before it serves."""
     at = view.at
     if record.kind == program_rollouts.KIND:
         return program_rollouts.returned(view, record)
-    force, held = view.read(at.force, InForce), view.keys.get(at.force)
+    force, held = view.read(at.force, PolicyRecord), view.keys.get(at.force)
     done, compares = called_off(view, record)
     if force is not None and force.new and force.rollout == record.id:
-        back = InForce(
+        back = PolicyRecord(
             epoch=force.epoch + 1,
             digest=record.old,
             who=record.who,
@@ -96,7 +105,7 @@
     return done, (*compares, same)
 
 
-def ended(view: View, record: Rollout) -> list[Operation]:
+def ended(view: View, record: RolloutRecord) -> list[Operation]:
     over = msgspec.structs.replace(record, ended_at=time.time())
     return [Delete(view.at.rollout), Delete(view.at.weighed), Put(view.at.rolled(record.id), encode(over))]
 
@@ -118,14 +127,14 @@
         everyone: bool,
         who: str,
         why: str,
-    ) -> Rollout:
+    ) -> RolloutRecord:
         """Raises Refused, StoreFault."""
         if plan.program:
             return await self._start_program(plan, confirm, who, why)
         new = await self.operator.send(files)
         view = await self.operator.view()
         at, held = view.at, view.keys.get(view.at.force)
-        force = view.read(at.force, InForce)
+        force = view.read(at.force, PolicyRecord)
         if force is None or held is None or not force.digest:
             raise Refused("no policy is in force that it could go back to: propose one first")
         if force.new:
@@ -134,10 +143,10 @@
             raise Refused("that bundle is in force already")
         zones = {member.name: member.zone for _, member in view.members()}
         try:
-            stages = table.staged(zones, plan.stages, plan.most_of_zone)
+            stages = table.plan_stages(zones, plan.stages, plan.most_of_zone)
         except ValueError as fault:
             raise Refused(str(fault)) from None
-        record = Rollout(
+        record = RolloutRecord(
             id=secrets.token_hex(6),
             old=force.digest,
             new=new,
@@ -153,7 +162,7 @@
             who=who,
             why=why,
             quiet=plan.quiet,
-            phase=(Phase.MOVING if stages else Phase.FINISHING).value,
+            phase=(Phase.ADVANCING if stages else Phase.FINISHING).value,
             at=time.time(),
         )
         done = await self.operator.client.txn(
@@ -171,7 +180,7 @@
             raise Refused("another rollout or change of policy is under way")
         return record
 
-    async def _start_program(self, plan: Plan, confirm: int, who: str, why: str) -> Rollout:
+    async def _start_program(self, plan: Plan, confirm: int, who: str, why: str) -> RolloutRecord:
         view = await self.operator.view()
         at = view.at
         try:
@@ -184,35 +193,39 @@
             raise Refused("another rollout or change of policy is under way")
         return record
 
-    async def outcome(self, id: str) -> Rollout:
+    async def outcome(self, id: str) -> RolloutRecord:
         """Waits until it is over."""
         while True:
             view = await self.operator.view()
-            over = view.read(view.at.rolled(id), Rollout)
+            over = view.read(view.at.rolled(id), RolloutRecord)
             if over is not None:
                 return over
             await asyncio.sleep(LOOK)
 
-    async def pause(self, paused: bool) -> Rollout:
+    async def pause(self, paused: bool) -> RolloutRecord:
         return await self._changed(lambda record: msgspec.structs.replace(record, paused=paused))
 
-    async def stop(self, why: str, back: bool) -> Rollout:
+    async def stop(self, why: str, back: bool) -> RolloutRecord:
         """At once, whether anybody conducts it or not: the way back is in the same transaction."""
 
-        def changed(record: Rollout) -> Rollout:
+        def changed(record: RolloutRecord) -> RolloutRecord:
             if not back:
                 return msgspec.structs.replace(record, phase=Phase.STOPPED.value, reason=why)
-            return msgspec.structs.replace(record, **move(table.turned(pure(record), why)))
+            return msgspec.structs.replace(record, **move(table.roll_back(pure(record), why)))
 
         return await self._changed(changed, back)
 
-    async def _changed(self, change: Any, back: bool = False) -> Rollout:
+    async def _changed(self, change: Any, back: bool = False) -> RolloutRecord:
         for _ in range(TRIES):
             view = await self.operator.view()
-            at, kv, record = view.at, view.keys.get(view.at.rollout), view.read(view.at.rollout, Rollout)
+            at, kv, record = (
+                view.at,
+                view.keys.get(view.at.rollout),
+                view.read(view.at.rollout, RolloutRecord),
+            )
             if kv is None or record is None:
                 return await self._left(view, back)
-            after: Rollout = change(record)
+            after: RolloutRecord = change(record)
             done: list[Operation] = [Put(at.rollout, encode(after, kv.value))]
             compares: tuple[Compare, ...] = (Compare(at.rollout, Target.MOD, "=", kv.mod_revision),)
             if back:
@@ -226,21 +239,27 @@
                 return after
         raise Refused("it changes faster than it can be asked to")
 
-    async def _left(self, view: View, back: bool) -> Rollout:
+    async def _left(self, view: View, back: bool) -> RolloutRecord:
         """A stage that a stop has left in force."""
         at, held = view.at, view.keys.get(view.at.force)
-        program, force = program_rollouts.in_force(view), view.read(view.at.force, InForce)
-        left = view.read(at.rolled(program.rollout), Rollout) if program and program.new else None
+        program, force = program_rollouts.in_force(view), view.read(view.at.force, PolicyRecord)
+        left = view.read(at.rolled(program.rollout), RolloutRecord) if program and program.new else None
         if back and left is not None:
             return await self._ended(view, left)
-        over = view.read(at.rolled(force.rollout), Rollout) if force is not None and force.rollout else None
+        over = (
+            view.read(at.rolled(force.rollout), RolloutRecord)
+            if force is not None and force.rollout
+            else None
+        )
         if not back or over is None or force is None or not force.new or held is None:
             raise Refused("no rollout is under way")
         return await self._ended(view, over)
 
-    async def _ended(self, view: View, over: Rollout) -> Rollout:
+    async def _ended(self, view: View, over: RolloutRecord) -> RolloutRecord:
         at = view.at
-        after = msgspec.structs.replace(over, phase=Phase.BACK.value, reason="taken back by an operator")
+        after = msgspec.structs.replace(
+            over, phase=Phase.ROLLED_BACK.value, reason="taken back by an operator"
+        )
         done, compares = returned(view, after)
         told = await self.operator.client.txn(Txn(compares, (*done, Put(at.rolled(after.id), encode(after)))))
         if not told.succeeded:
@@ -248,36 +267,36 @@
         return after
 
 
-def last(view: View) -> Rollout | None:
+def last(view: View) -> RolloutRecord | None:
     """The one that is under way, or the one that ended last."""
-    now = view.read(view.at.rollout, Rollout)
+    now = view.read(view.at.rollout, RolloutRecord)
     over = sorted(history(view), key=lambda one: one.ended_at)
     return now or (over[-1] if over else None)
 
 
-def history(view: View) -> list[Rollout]:
-    found = [one for _, one in view.records("rollout", "ended", form=Rollout)]
+def history(view: View) -> list[RolloutRecord]:
+    found = [one for _, one in view.records("rollout", "ended", form=RolloutRecord)]
     return sorted(found, key=lambda one: one.at)
 
 
-async def points(operator: Operator, id: str) -> list[Point]:
+async def points(operator: Operator, id: str) -> list[TimelinePointRecord]:
     """The course of a rollout, as far as it is kept; raises StoreFault."""
     _, found = await operator.client.get(Get(*operator.keys.course(id)))
-    return [decode(kv.value, Point) for kv in sorted(found, key=lambda kv: kv.key)]
+    return [decode(kv.value, TimelinePointRecord) for kv in sorted(found, key=lambda kv: kv.key)]
 
 
 STATES = {
-    Phase.MOVING: "running",
+    Phase.ADVANCING: "running",
     Phase.BAKING: "running",
     Phase.FINISHING: "running",
-    Phase.GOING_BACK: "going back",
+    Phase.ROLLING_BACK: "going back",
     Phase.DONE: "done",
     Phase.STOPPED: "stopped",
-    Phase.BACK: "back",
+    Phase.ROLLED_BACK: "back",
 }
 
 
-def status(view: View, record: Rollout | None) -> dict[str, Any]:
+def status(view: View, record: RolloutRecord | None) -> dict[str, Any]:
     """`members`: name and the bundle that it serves by; `log_e`: the evidence by figure, 0 is none."""
     if record is not None and record.kind == program_rollouts.KIND:
         members = [
@@ -290,7 +309,7 @@
         return {"state": "none", "stage": 0, "stages": 0, "verdict": "", "members": members}
     phase = Phase(record.phase)
     state = "paused" if record.paused and STATES[phase] == "running" else STATES[phase]
-    weighed = view.read(view.at.weighed, Weighed)
+    weighed = view.read(view.at.weighed, EvidenceRecord)
     figures, baked = {}, 0.0
     if weighed is not None and weighed.rollout == record.id and weighed.stage == record.stage:
         figures, baked = dict(weighed.peaks), weighed.baked_s
--- a/gladegw/control/sample_windows.py
+++ b/gladegw/control/sample_windows.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from gladegw.coordination.canary_analysis import Sample
-from gladegw.coordination.records import Figures
+from gladegw.coordination.records import MemberMetricsRecord
 
 LEAST_TIMED = 5  # requests of a class, below which their mean says nothing
 LEAST_ASKED = 10  # requests in all, for figures a request
@@ -17,9 +17,9 @@
     """`begin` is what each member had told when its window began."""
 
     def __init__(self) -> None:
-        self.begin: dict[str, Figures] = {}
+        self.begin: dict[str, MemberMetricsRecord] = {}
 
-    def next(self, now: Mapping[str, Figures]) -> dict[str, Sample]:
+    def next(self, now: Mapping[str, MemberMetricsRecord]) -> dict[str, Sample]:
         """Of the members that have told something in this window and are the process that they were. The
         next window begins where each of them has told last. One that was asked little goes on for LONGEST."""
         found = {}
--- a/gladegw/control/startup.py
+++ b/gladegw/control/startup.py
@@ -14,7 +14,7 @@
 
 from gladegw.control.duties import ALL
 from gladegw.control.member import Agent, Options
-from gladegw.coordination.records import Figures, Member
+from gladegw.coordination.records import MemberMetricsRecord, MemberRecord
 from gladegw.net.config import Config
 from gladegw.net.features import CoordinationSettings
 from gladegw.operators.request_counters import Ledger
@@ -46,7 +46,7 @@
     backends: Listed,
     routes: Callable[[], str],
     timing: Timing | None = None,
-) -> Figures:
+) -> MemberMetricsRecord:
     """Read from the agent's thread: figures that may be one step apart."""
     told = {"upstream_tries": ledger.upstream_tries, "in_progress": ledger.in_progress}
     for cls, handled in list(ledger.handled.items()):
@@ -64,7 +64,7 @@
         }
     listed = sorted(backends())
     serving = [number for number, sent_to in listed if sent_to]
-    return Figures(
+    return MemberMetricsRecord(
         name=name,
         figures=told,
         discovery=digest(number for number, _ in listed),
@@ -127,7 +127,7 @@
     options = Options(
         settings.addresses, settings.prefix, settings.ttl_s, settings.timeout_ms / 1000, settings.token_file
     )
-    member = Member(
+    member = MemberRecord(
         name=config.name,
         incarnation="",
         address="{}:{}".format(*config.listen),
--- a/gladegw/control/store_cache.py
+++ b/gladegw/control/store_cache.py
@@ -9,8 +9,16 @@
 
 from gladegw.control.keys import Keys, Range
 from gladegw.coordination import records
-from gladegw.coordination.records import Figures, Heir, Holder, Known, Member, Record, RecordError
-from gladegw.coordination.store import Event, KeyValue, within
+from gladegw.coordination.records import (
+    DutyHolderRecord,
+    KnownMemberRecord,
+    MemberMetricsRecord,
+    MemberRecord,
+    Record,
+    RecordError,
+    SuccessorRecord,
+)
+from gladegw.coordination.store import KeyValue, StoreEvent, within
 
 log = logging.getLogger(__name__)
 
@@ -46,9 +54,9 @@
         self.known_to[part] = revision
         self.news.set()
 
-    def change(self, part: Range, revision: int, events: Iterable[Event]) -> None:
+    def change(self, part: Range, revision: int, events: Iterable[StoreEvent]) -> None:
         for event in events:
-            if event.gone:
+            if event.deleted:
                 self._gone(event.kv.key)
             else:
                 self._stands(event.kv)
@@ -104,23 +112,23 @@
                 found.append((parts[len(kind) :], record))
         return found
 
-    def members(self) -> list[tuple[KeyValue, Member]]:
-        return list(self._below("members", Member))
+    def members(self) -> list[tuple[KeyValue, MemberRecord]]:
+        return list(self._below("members", MemberRecord))
 
-    def known(self) -> list[tuple[KeyValue, Known]]:
-        return list(self._below("known", Known))
+    def known(self) -> list[tuple[KeyValue, KnownMemberRecord]]:
+        return list(self._below("known", KnownMemberRecord))
 
-    def holders(self) -> list[tuple[KeyValue, Holder]]:
-        return list(self._below("duties", Holder))
+    def holders(self) -> list[tuple[KeyValue, DutyHolderRecord]]:
+        return list(self._below("duties", DutyHolderRecord))
 
-    def figures(self) -> dict[str, Figures]:
-        return {figures.name: figures for _, figures in self._below("figures", Figures)}
+    def figures(self) -> dict[str, MemberMetricsRecord]:
+        return {figures.name: figures for _, figures in self._below("figures", MemberMetricsRecord)}
 
     def heir(self, duty: str) -> str:
-        found = self.read(self.at.heir(duty), Heir)
+        found = self.read(self.at.heir(duty), SuccessorRecord)
         return found.name if found is not None else ""
 
-    def missing(self) -> list[Known]:
+    def missing(self) -> list[KnownMemberRecord]:
         """Who was here and is not, with no process of that name."""
         live = {member.name for _, member in self.members()}
         return [known for _, known in self.known() if known.name not in live]
--- a/gladegw/control/store_client.py
+++ b/gladegw/control/store_client.py
@@ -20,7 +20,7 @@
 from gladegw.control.errors import RefusedByStore, StoreFault, Unreachable, WatchLost
 from gladegw.control.wire import store_grpc as services
 from gladegw.control.wire import store_pb2 as pb
-from gladegw.coordination.store import Done, Event, Get, KeyValue, Operation, Txn
+from gladegw.coordination.store import Get, KeyValue, Operation, StoreEvent, Txn, TxnResult
 
 log = logging.getLogger(__name__)
 
@@ -98,13 +98,13 @@
             self._failed(channel)
             raise Unreachable(f"rubbish: {type(fault).__name__}") from None
 
-    async def txn(self, txn: Txn) -> Done:
+    async def txn(self, txn: Txn) -> TxnResult:
         asked = store_messages.txn_message(txn)
         reply = await self._call(lambda channel, told: services.KVStub(channel).Txn(asked, metadata=told))
         found = tuple(store_messages.found_in(part) for part in reply.responses)
-        return Done(reply.header.revision, reply.succeeded, found)
+        return TxnResult(reply.header.revision, reply.succeeded, found)
 
-    async def do(self, *operations: Operation) -> Done:
+    async def do(self, *operations: Operation) -> TxnResult:
         return await self.txn(Txn((), operations))
 
     async def get(self, asked: Get, serializable: bool = False) -> tuple[int, tuple[KeyValue, ...]]:
@@ -162,7 +162,7 @@
 
     async def watch(
         self, key: bytes, end: bytes, revision: int, silence: float
-    ) -> AsyncIterator[tuple[int, list[Event]]]:
+    ) -> AsyncIterator[tuple[int, list[StoreEvent]]]:
         """What changes from this revision on: the store's revision and the events that lead up to it. Raises
         WatchLost when it ends, or when nothing came for `silence` s although the store was asked: a watch
         that is cut off looks like one with nothing to tell; then the next call goes to another member."""
@@ -171,7 +171,7 @@
         )
         channel = self._open()
         stub = services.WatchStub(channel)
-        held: list[Event] = []
+        held: list[StoreEvent] = []
         try:
             async with stub.Watch.open(metadata=self._metadata()) as stream:
                 await stream.send_message(pb.WatchRequest(create_request=create))
--- a/gladegw/control/store_messages.py
+++ b/gladegw/control/store_messages.py
@@ -101,6 +101,6 @@
     return ()
 
 
-def event(message: Any) -> store.Event:
+def event(message: Any) -> store.StoreEvent:
     before = pair(message.prev_kv) if message.HasField("prev_kv") else None
-    return store.Event(pair(message.kv), message.type == pb.Event.DELETE, before)
+    return store.StoreEvent(pair(message.kv), message.type == pb.Event.DELETE, before)
--- a/gladegw/control/store_watcher.py
+++ b/gladegw/control/store_watcher.py
@@ -13,7 +13,7 @@
 from gladegw.control.keys import Range
 from gladegw.control.store_cache import View
 from gladegw.control.store_client import Client
-from gladegw.coordination.store import Event, Get
+from gladegw.coordination.store import Get, StoreEvent
 
 if TYPE_CHECKING:
     from gladegw.control.member import Agent
@@ -22,7 +22,7 @@
 MANY = 2 * RANKED  # of them, from which one that knew all does no more
 RECOUNT = 30.0  # s between looks how many there are, where they are not all known
 
-Changed = Callable[[list[Event] | None], None]  # None: all of it was read anew
+Changed = Callable[[list[StoreEvent] | None], None]  # None: all of it was read anew
 
 
 class Follower:
@@ -171,7 +171,7 @@
             agent.loop.create_task(agent.follower(part, self._seen).run()) for part in self.parts
         ]
 
-    def _seen(self, events: list[Event] | None) -> None:
+    def _seen(self, events: list[StoreEvent] | None) -> None:
         if self.wide and not self.whole.is_set():
             self.whole.set()
         if self.wide and not self.held and self.number > MANY:
--- a/gladegw/control/supervisor_client.py
+++ b/gladegw/control/supervisor_client.py
@@ -18,9 +18,9 @@
 from gladegw.control.store_cache import View
 from gladegw.control.store_client import Client
 from gladegw.control.store_watcher import Follower
-from gladegw.coordination.records import Program, Supervised, encode
+from gladegw.coordination.records import ProgramRecord, SupervisorRecord, encode
 from gladegw.coordination.store import Put
-from gladegw.coordination.supervision import Order, ordered
+from gladegw.coordination.supervision import VersionOrder, apply_order
 
 log = logging.getLogger(__name__)
 
@@ -31,7 +31,9 @@
     """`order` is the store's last word; `told` gives what the store is to know. One task each reads, writes,
     and neither failing touches the processes."""
 
-    def __init__(self, options: Options, name: str, order: Order, told: Callable[[], Supervised]) -> None:
+    def __init__(
+        self, options: Options, name: str, order: VersionOrder, told: Callable[[], SupervisorRecord]
+    ) -> None:
         self.name, self.order, self.told, self.ttl = name, order, told, options.ttl
         self.keys = Keys(options.prefix)
         self.view = View(self.keys)
@@ -49,10 +51,10 @@
             log.warning("supervise: %s", " ".join(what.split()))
 
     def heard(self, events: object) -> None:
-        program = self.view.read(self.keys.program, Program)
+        program = self.view.read(self.keys.program, ProgramRecord)
         sign = self.view.keys.get(self.keys.sign)
         if program is not None:
-            self.order = ordered(
+            self.order = apply_order(
                 self.order,
                 self.name,
                 program.epoch,
@@ -79,7 +81,7 @@
     async def tell(self) -> None:
         """The record under a lease, at each change; where the lease is gone, under another."""
         backoff, lease, due = Backoff(self.draws), 0, 0.0
-        last: Supervised | None = None
+        last: SupervisorRecord | None = None
         while True:
             try:
                 now = boot()
@@ -101,7 +103,7 @@
                 last = None
                 await asyncio.sleep(backoff.next())
 
-    def without_clock(self) -> Order:
+    def without_clock(self) -> VersionOrder:
         """What is kept of the order from one supervisor to the next: its clock goes on elsewhere."""
         return replace(self.order, heard=0.0, sign=0)
 
--- a/gladegw/coordination/election_order.py
+++ b/gladegw/coordination/election_order.py
@@ -13,65 +13,71 @@
 from collections.abc import Iterable, Mapping
 from functools import lru_cache
 
-FLAPS = 3  # incarnations within WINDOW from which a member gets no duty
-WINDOW = 60.0  # s, by the observer's own clock
+FLAP_THRESHOLD = 3  # incarnations within WINDOW from which a member gets no duty
+FLAP_WINDOW_S = 60.0  # s, by the observer's own clock
 
 
 def score(duty: str, member: str, weight: float) -> float:
     """The higher, the sooner; 0 for a weight of 0."""
     if weight <= 0:
         return 0.0
-    return -weight / _drawn(duty, member)
+    return -weight / _log_draw(duty, member)
 
 
 @lru_cache(maxsize=1 << 16)
-def _drawn(duty: str, member: str) -> float:
+def _log_draw(duty: str, member: str) -> float:
     drawn = hashlib.blake2b(f"{duty}\0{member}".encode(), digest_size=8).digest()
     return math.log((int.from_bytes(drawn) + 0.5) / 2**64)
 
 
-def order(duty: str, members: Mapping[str, float]) -> list[str]:
+def ranking(duty: str, members: Mapping[str, float]) -> list[str]:
     """Names by preference, with their weights given; those of no weight come last."""
     return sorted(members, key=lambda name: (-score(duty, name, members[name]), name))
 
 
-def wait(duty: str, me: str, members: Mapping[str, float], pause: float) -> float:
+def claim_delay(duty: str, member: str, members: Mapping[str, float], interval: float) -> float:
     """S that this member leaves a duty to those before it."""
-    ranked = order(duty, members)
-    return pause * (ranked.index(me) if me in ranked else len(ranked))
+    ranked = ranking(duty, members)
+    return interval * (ranked.index(member) if member in ranked else len(ranked))
 
 
-def wait_among(duty: str, me: str, weight: float, members: int, pause: float) -> float:
+def estimated_claim_delay(duty: str, member: str, weight: float, members: int, interval: float) -> float:
     """The same where so many of about one weight are there that nobody should rank them all: how many of them
     are before this one on the average, given its own draw."""
     if weight <= 0:
-        return pause * members
-    return pause * members * -math.expm1(_drawn(duty, me))
+        return interval * members
+    return interval * members * -math.expm1(_log_draw(duty, member))
 
 
-def heir(duty: str, leaving: str, members: Mapping[str, float]) -> str:
+def successor(duty: str, leaving: str, members: Mapping[str, float]) -> str:
     """To whom a member that leaves hands a duty; empty: there is nobody."""
-    return next((name for name in order(duty, members) if name != leaving and members[name] > 0), "")
+    return next((name for name in ranking(duty, members) if name != leaving and members[name] > 0), "")
 
 
-class Flaps:
+class FlapDetector:
     """Which members came and went too often lately to be given anything."""
 
     def __init__(self) -> None:
-        self.came: dict[str, list[tuple[float, str]]] = {}
+        self.incarnations: dict[str, list[tuple[float, str]]] = {}
 
-    def seen(self, name: str, incarnation: str, now: float) -> None:
-        recent = [entry for entry in self.came.get(name, []) if now - entry[0] < WINDOW]
+    def observe(self, name: str, incarnation: str, now: float) -> None:
+        recent = [entry for entry in self.incarnations.get(name, []) if now - entry[0] < FLAP_WINDOW_S]
         if all(other != incarnation for _, other in recent):
             recent.append((now, incarnation))
-        self.came[name] = recent
+        self.incarnations[name] = recent
 
     def forget(self, now: float) -> None:
         """Bounded by what came within the window."""
-        self.came = {name: entries for name, entries in self.came.items() if now - entries[-1][0] < WINDOW}
+        self.incarnations = {
+            name: entries
+            for name, entries in self.incarnations.items()
+            if now - entries[-1][0] < FLAP_WINDOW_S
+        }
 
     def weights(self, names: Iterable[str], now: float) -> dict[str, float]:
         return {
-            name: 0.0 if sum(now - at < WINDOW for at, _ in self.came.get(name, [])) >= FLAPS else 1.0
+            name: 0.0
+            if sum(now - at < FLAP_WINDOW_S for at, _ in self.incarnations.get(name, [])) >= FLAP_THRESHOLD
+            else 1.0
             for name in names
         }
--- a/gladegw/coordination/fleet_regression.py
+++ b/gladegw/coordination/fleet_regression.py
@@ -13,16 +13,16 @@
 from dataclasses import dataclass, field
 from statistics import median
 
-KEPT = 30  # windows before the first stage
-RECENT = 6  # windows that are looked at
-MOST = 1  # of them that may have been as before
-LEAST = 3  # windows of before, without which nothing is said
-CHANCE = 2.0  # standard deviations of a window's rate
-LEVELS = ("ms ", "attempts")  # names begin so of those that shared backends show in
+HISTORY_WINDOWS = 30  # windows before the first stage
+RECENT_WINDOWS = 6  # windows that are looked at
+MAX_UNCHANGED_WINDOWS = 1  # of them that may have been as before
+MIN_HISTORY_WINDOWS = 3  # windows of before, without which nothing is said
+CHANCE_DEVIATIONS = 2.0  # standard deviations of a window's rate
+SHARED_LEVEL_PREFIXES = ("ms ", "attempts")  # names begin so of those that shared backends show in
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class FleetWindow:
     """One window of members left as they are: bad requests and all of them by figure, and the middle of their
     levels by name. `backends`: the list that all of them work by; empty where they don't agree."""
 
@@ -31,58 +31,62 @@
     backends: str = ""
 
 
-def whole(
+def fleet_window(
     rates: Mapping[str, tuple[int, int]], levels: Iterable[Mapping[str, float]], backends: Iterable[str]
-) -> Whole:
+) -> FleetWindow:
     found: dict[str, list[float]] = {}
     for one in levels:
         for name, value in one.items():
             found.setdefault(name, []).append(value)
     lists = set(backends)
     middle = {name: median(values) for name, values in found.items()}
-    return Whole(dict(rates), middle, lists.pop() if len(lists) == 1 else "")
+    return FleetWindow(dict(rates), middle, lists.pop() if len(lists) == 1 else "")
 
 
-def kept(before: Sequence[Whole], one: Whole) -> tuple[Whole, ...]:
-    return (*before, one)[-KEPT:]
+def append_history(before: Sequence[FleetWindow], one: FleetWindow) -> tuple[FleetWindow, ...]:
+    return (*before, one)[-HISTORY_WINDOWS:]
 
 
-def lately(recent: Sequence[Whole], one: Whole) -> tuple[Whole, ...]:
+def append_recent(recent: Sequence[FleetWindow], one: FleetWindow) -> tuple[FleetWindow, ...]:
     """The last windows, without the one in which the list moved: what came before says nothing of now."""
     if recent and one.backends != recent[-1].backends:
-        return (Whole(backends=one.backends),)
-    return (*recent, one)[-RECENT - 1 :]
+        return (FleetWindow(backends=one.backends),)
+    return (*recent, one)[-RECENT_WINDOWS - 1 :]
 
 
-def worse(before: Sequence[Whole], recent: Sequence[Whole], allowed: Mapping[str, float]) -> str:
+def regressed_metric(
+    before: Sequence[FleetWindow], recent: Sequence[FleetWindow], allowed: Mapping[str, float]
+) -> str:
     """In which figure; empty where in none. `allowed`: by the kind of a rate, and `level` as a share."""
-    last = [one for one in recent if one.rates or one.levels][-RECENT:]
-    if len(before) < LEAST or len(last) < RECENT:
+    last = [one for one in recent if one.rates or one.levels][-RECENT_WINDOWS:]
+    if len(before) < MIN_HISTORY_WINDOWS or len(last) < RECENT_WINDOWS:
         return ""
     for figure in sorted({name for one in last for name in one.rates}):
         past = [one.rates[figure] for one in before if one.rates.get(figure, (0, 0))[1]]
         now = [one.rates.get(figure, (0, 0)) for one in last]
-        if len(past) >= LEAST and sum(_rate_worse(past, one, allowed[figure.split()[0]]) for one in now) >= (
-            RECENT - MOST
-        ):
+        if len(past) >= MIN_HISTORY_WINDOWS and sum(
+            _rate_regressed(past, one, allowed[figure.split()[0]]) for one in now
+        ) >= (RECENT_WINDOWS - MAX_UNCHANGED_WINDOWS):
             return f"{figure} {_percent(now)} where it was {_percent(past)}"
-    for name in sorted({name for one in last for name in one.levels if name.startswith(LEVELS)}):
+    for name in sorted(
+        {name for one in last for name in one.levels if name.startswith(SHARED_LEVEL_PREFIXES)}
+    ):
         usual = [one.levels[name] for one in before if name in one.levels]
         values = [one.levels[name] for one in last if name in one.levels]
-        if len(usual) < LEAST:
+        if len(usual) < MIN_HISTORY_WINDOWS:
             continue
         bound = max(usual) + allowed["level"] * abs(median(usual))
-        if sum(value > bound for value in values) >= RECENT - MOST:
+        if sum(value > bound for value in values) >= RECENT_WINDOWS - MAX_UNCHANGED_WINDOWS:
             return f"{name} {median(values):.4g} where it was {median(usual):.4g}"
     return ""
 
 
-def _rate_worse(past: Sequence[tuple[int, int]], now: tuple[int, int], allowed: float) -> bool:
+def _rate_regressed(past: Sequence[tuple[int, int]], now: tuple[int, int], allowed: float) -> bool:
     bad, of = now
     if not of:
         return False
     usual = (sum(one for one, _ in past) + 0.5) / (sum(n for _, n in past) + 1.0)
-    by_chance = usual + CHANCE * math.sqrt(usual * (1 - usual) / of)
+    by_chance = usual + CHANCE_DEVIATIONS * math.sqrt(usual * (1 - usual) / of)
     return bad / of > max(by_chance, *(one / n for one, n in past)) + allowed
 
 
--- a/gladegw/coordination/lease.py
+++ b/gladegw/coordination/lease.py
@@ -12,7 +12,9 @@
 import math
 from dataclasses import dataclass
 
-DRIFT = 0.15  # share of a time to live that the holder gives away: a clock 10 % slow against one 5 % fast
+MAX_CLOCK_DRIFT = (
+    0.15  # share of a time to live that the holder gives away: a clock 10 % slow against one 5 % fast
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,16 +24,16 @@
     id: int = 0  # 0: none
     until: float = -math.inf
 
-    def live(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         return self.id != 0 and now < self.until
 
 
-def granted(id: int, sent: float, ttl: float, drift: float = DRIFT) -> Lease:
+def granted(id: int, sent: float, ttl: float, drift: float = MAX_CLOCK_DRIFT) -> Lease:
     """`sent` is when the request went out, not when its answer came."""
     return Lease(id, sent + ttl * (1.0 - drift))
 
 
-def renewed(lease: Lease, id: int, sent: float, ttl: float, drift: float = DRIFT) -> Lease:
+def renewed(lease: Lease, id: int, sent: float, ttl: float, drift: float = MAX_CLOCK_DRIFT) -> Lease:
     """A renewal that was answered. An answer may come late, and after that of a later renewal: a bound never
     goes back. `ttl` 0: the store knows no such lease, so it is over whatever the bound said."""
     if id != lease.id or not id:
@@ -41,12 +43,12 @@
     return Lease(id, max(lease.until, sent + ttl * (1.0 - drift)))
 
 
-def renewal_due(lease: Lease, ttl: float, drift: float = DRIFT) -> float:
+def renewal_due(lease: Lease, ttl: float, drift: float = MAX_CLOCK_DRIFT) -> float:
     """When to send the next renewal: at two thirds of what is left after an answered one."""
     return lease.until - ttl * (1.0 - drift) * 2 / 3
 
 
-class Refused(Exception):
+class StaleTokenError(Exception):
     """An effect whose token is older than one that was accepted; the message says both."""
 
 
@@ -61,5 +63,5 @@
 
     def accept(self, token: int) -> None:
         if token < self.highest:
-            raise Refused(f"token {token} after {self.highest}")
+            raise StaleTokenError(f"token {token} after {self.highest}")
         self.highest = token
--- a/gladegw/coordination/policy_commit.py
+++ b/gladegw/coordination/policy_commit.py
@@ -16,52 +16,54 @@
     UNKNOWN = "unknown"  # has not read what is in force
     SETTLED = "settled"
     PREPARING = "preparing"  # a change is open
-    AGREED = "agreed"  # holds its bundle beside what is in force, and has voted yes
-    OPPOSED = "opposed"
+    VOTED_YES = "agreed"  # holds its bundle beside what is in force, and has voted yes
+    VOTED_NO = "opposed"
     BEHIND = "behind"  # something is in force that it does not hold
-    STUCK = "stuck"  # and can't
+    PREPARE_FAILED = "stuck"  # and can't
 
 
 class Action(Enum):
     PREPARE = "prepare"  # fetch, check and compile `wanted`
-    YES = "yes"
-    NO = "no"
-    TAKE = "take"  # serve by `digest` from here on
-    SPARE = "spare"  # prepare the others' bundle too, beside serving: it is the way back from the stage
-    DROP = "drop"  # what is held beside is wanted no more
+    VOTE_YES = "yes"
+    VOTE_NO = "no"
+    ACTIVATE = "take"  # serve by `digest` from here on
+    PREPARE_FALLBACK = (
+        "spare"  # prepare the others' bundle too, beside serving: it is the way back from the stage
+    )
+    DISCARD_PREPARED = "drop"  # what is held beside is wanted no more
 
 
 @dataclass(frozen=True, slots=True)
-class Force:
+class CommittedPolicy:
     """What is in force, as the store has it for this member; epoch 0: nothing was decided yet. `base`: the
     bundle of the others, where this member is in a stage with one of its own."""
 
     epoch: int = 0
     digest: str = ""
-    base: str = ""
+    baseline: str = ""
 
     @property
-    def common(self) -> str:
+    def fleet_digest(self) -> str:
         """By which all members name this epoch."""
-        return self.base or self.digest
+        return self.baseline or self.digest
 
 
 @dataclass(frozen=True, slots=True)
-class Open:
+class OpenChange:
     """A change that is open. `id` is the create revision of its key."""
 
     id: int
     epoch: int
     digest: str
-    base: str = ""  # as in `Force`
+    baseline: str = ""  # as in `Force`
 
     @property
-    def common(self) -> str:
-        return self.base or self.digest
+    def fleet_digest(self) -> str:
+        return self.baseline or self.digest
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
+class Participant:
     """`epoch`, `digest`: of what it serves by. `held`: digest of what is prepared beside it. `joined`: it has
     served under this membership, so that it goes on while a change is open. `spare`: what it served by before
     it was in a stage, held for the way back. `alone`: the epoch in which it went back by itself."""
@@ -69,146 +71,159 @@
     phase: Phase = Phase.UNKNOWN
     epoch: int = -1
     digest: str = ""
-    held: str = ""
-    wanted: str = ""  # what is being prepared
-    change: Open | None = None
-    force: Force = field(default_factory=Force)
+    prepared: str = ""
+    preparing: str = ""  # what is being prepared
+    open_change: OpenChange | None = None
+    committed: CommittedPolicy = field(default_factory=CommittedPolicy)
     joined: bool = False
-    spare: str = ""
-    alone: int = -1
-    seen: int = 0  # revision of the newest word of the store that was heeded
+    fallback: str = ""
+    reverted_epoch: int = -1
+    seen_revision: int = 0  # revision of the newest word of the store that was heeded
 
     @property
-    def serves(self) -> bool:
+    def may_serve(self) -> bool:
         """Whether requests may be answered by `digest`, as far as is known."""
-        return self.joined and self.phase not in (Phase.BEHIND, Phase.STUCK)
+        return self.joined and self.phase not in (Phase.BEHIND, Phase.PREPARE_FAILED)
 
 
 P, A = Phase, Action
 Actions = tuple[Action, ...]
 
 
-def told(member: Member, force: Force, change: Open | None, revision: int) -> tuple[Member, Actions]:
+def on_store_update(
+    member: Participant, force: CommittedPolicy, change: OpenChange | None, revision: int
+) -> tuple[Participant, Actions]:
     """The store's word: what is in force and which change is open, at one revision. One that is older than
     what was heeded, or would take an epoch back, changes nothing."""
-    if revision < member.seen or force.epoch < member.epoch:
+    if revision < member.seen_revision or force.epoch < member.epoch:
         return member, ()
-    if force.epoch == member.alone:
-        force = Force(force.epoch, force.common)
-    member = replace(member, seen=revision)
+    if force.epoch == member.reverted_epoch:
+        force = CommittedPolicy(force.epoch, force.fleet_digest)
+    member = replace(member, seen_revision=revision)
     actions: Actions = ()
     if force.epoch > member.epoch or member.phase is P.UNKNOWN:
-        member, actions = _decided(member, force)
-    if member.phase in (P.BEHIND, P.STUCK):
-        return replace(member, change=change), actions
-    member, more = _opened(member, change)
+        member, actions = _on_commit(member, force)
+    if member.phase in (P.BEHIND, P.PREPARE_FAILED):
+        return replace(member, open_change=change), actions
+    member, more = _on_open_change(member, change)
     return member, actions + more
 
 
-def _decided(member: Member, force: Force) -> tuple[Member, Actions]:
-    if force.digest in (member.held, member.digest, member.spare) or not force.digest:
-        return _taken(replace(member, force=force))
-    if member.phase is P.BEHIND and member.wanted == force.digest:
-        return replace(member, force=force), ()
-    if member.phase is P.STUCK and member.force.digest == force.digest:
-        return replace(member, force=force), ()  # tried again in its time, not at each word
-    drop = (A.DROP,) if member.held else ()
-    return replace(member, phase=P.BEHIND, force=force, wanted=force.digest, held=""), (*drop, A.PREPARE)
+def _on_commit(member: Participant, force: CommittedPolicy) -> tuple[Participant, Actions]:
+    if force.digest in (member.prepared, member.digest, member.fallback) or not force.digest:
+        return _activated(replace(member, committed=force))
+    if member.phase is P.BEHIND and member.preparing == force.digest:
+        return replace(member, committed=force), ()
+    if member.phase is P.PREPARE_FAILED and member.committed.digest == force.digest:
+        return replace(member, committed=force), ()  # tried again in its time, not at each word
+    drop = (A.DISCARD_PREPARED,) if member.prepared else ()
+    return replace(member, phase=P.BEHIND, committed=force, preparing=force.digest, prepared=""), (
+        *drop,
+        A.PREPARE,
+    )
 
 
-def _taken(member: Member) -> tuple[Member, Actions]:
-    force = member.force
-    had = (member.digest, member.spare)
-    spare = force.base if force.base and force.base in had else ""
+def _activated(member: Participant) -> tuple[Participant, Actions]:
+    force = member.committed
+    had = (member.digest, member.fallback)
+    spare = force.baseline if force.baseline and force.baseline in had else ""
     after = replace(
         member,
         phase=P.SETTLED,
         epoch=force.epoch,
         digest=force.digest,
-        held="",
-        wanted="",
-        change=None,
-        spare=spare,
+        prepared="",
+        preparing="",
+        open_change=None,
+        fallback=spare,
     )
-    return after, (A.TAKE, A.SPARE) if force.base and not spare else (A.TAKE,)
+    return after, (A.ACTIVATE, A.PREPARE_FALLBACK) if force.baseline and not spare else (A.ACTIVATE,)
 
 
-def spared(member: Member, digest: str) -> Member:
+def on_fallback_prepared(member: Participant, digest: str) -> Participant:
     """The way back is prepared, by one that began within the stage."""
-    wanted = member.force.base == digest and member.epoch == member.force.epoch
-    return replace(member, spare=digest) if wanted else member
+    wanted = member.committed.baseline == digest and member.epoch == member.committed.epoch
+    return replace(member, fallback=digest) if wanted else member
 
 
-def unconfirmed(member: Member) -> tuple[Member, Actions]:
+def revert_unconfirmed(member: Participant) -> tuple[Participant, Actions]:
     """In a stage, and nobody conducts it as far as it hears: back to what the others serve by, for this
     epoch. That much was decided with the stage."""
-    force = member.force
-    if not force.base or member.epoch != force.epoch or member.phase in (P.UNKNOWN, P.BEHIND, P.STUCK):
+    force = member.committed
+    if (
+        not force.baseline
+        or member.epoch != force.epoch
+        or member.phase in (P.UNKNOWN, P.BEHIND, P.PREPARE_FAILED)
+    ):
         return member, ()
-    alone, back = replace(member, alone=force.epoch), Force(force.epoch, force.base)
-    if member.spare == force.base:  # a vote that it has given stands, and what that holds
-        return replace(alone, force=back, digest=back.digest, spare=""), (A.TAKE,)
-    drop = (A.DROP,) if member.held else ()
-    after, actions = _decided(replace(alone, held=""), back)
+    alone, back = replace(member, reverted_epoch=force.epoch), CommittedPolicy(force.epoch, force.baseline)
+    if member.fallback == force.baseline:  # a vote that it has given stands, and what that holds
+        return replace(alone, committed=back, digest=back.digest, fallback=""), (A.ACTIVATE,)
+    drop = (A.DISCARD_PREPARED,) if member.prepared else ()
+    after, actions = _on_commit(replace(alone, prepared=""), back)
     return after, drop + actions
 
 
-def _opened(member: Member, change: Open | None) -> tuple[Member, Actions]:
+def _on_open_change(member: Participant, change: OpenChange | None) -> tuple[Participant, Actions]:
     """With what is in force taken. A change for another epoch than the next can't be decided."""
     if change is not None and change.epoch != member.epoch + 1:
         change = None
     if change is None:
-        drop = (A.DROP,) if member.held else ()
-        return replace(member, phase=P.SETTLED, change=None, held="", wanted="", joined=True), drop
-    if member.change is not None and member.change.id == change.id:
+        drop = (A.DISCARD_PREPARED,) if member.prepared else ()
+        return replace(
+            member, phase=P.SETTLED, open_change=None, prepared="", preparing="", joined=True
+        ), drop
+    if member.open_change is not None and member.open_change.id == change.id:
         return member, ()
-    drop = (A.DROP,) if member.held else ()
-    after = replace(member, phase=P.PREPARING, change=change, held="", wanted=change.digest)
+    drop = (A.DISCARD_PREPARED,) if member.prepared else ()
+    after = replace(member, phase=P.PREPARING, open_change=change, prepared="", preparing=change.digest)
     return after, (*drop, A.PREPARE)
 
 
-def prepared(member: Member, digest: str, able: bool) -> tuple[Member, Actions]:
+def on_prepare_result(member: Participant, digest: str, able: bool) -> tuple[Participant, Actions]:
     """What became of a PREPARE. One that is wanted no more changes nothing."""
-    if digest != member.wanted or member.phase not in (P.PREPARING, P.BEHIND):
+    if digest != member.preparing or member.phase not in (P.PREPARING, P.BEHIND):
         return member, ()
     if member.phase is P.PREPARING:
         if able:
-            return replace(member, phase=P.AGREED, held=digest, wanted="", joined=True), (A.YES,)
-        return replace(member, phase=P.OPPOSED, wanted=""), (A.NO,)
+            return replace(member, phase=P.VOTED_YES, prepared=digest, preparing="", joined=True), (
+                A.VOTE_YES,
+            )
+        return replace(member, phase=P.VOTED_NO, preparing=""), (A.VOTE_NO,)
     if not able:
-        return replace(member, phase=P.STUCK, wanted=""), ()
-    change = member.change
-    after, actions = _taken(replace(member, held=digest))
-    after, more = _opened(after, change)
+        return replace(member, phase=P.PREPARE_FAILED, preparing=""), ()
+    change = member.open_change
+    after, actions = _activated(replace(member, prepared=digest))
+    after, more = _on_open_change(after, change)
     return after, actions + more
 
 
-def again(member: Member) -> tuple[Member, Actions]:
+def retry_prepare(member: Participant) -> tuple[Participant, Actions]:
     """What could not be prepared is tried once more: a library may have come, a time of caution be over."""
-    if member.phase is not P.STUCK:
+    if member.phase is not P.PREPARE_FAILED:
         return member, ()
-    return replace(member, phase=P.BEHIND, wanted=member.force.digest), (A.PREPARE,)
+    return replace(member, phase=P.BEHIND, preparing=member.committed.digest), (A.PREPARE,)
 
 
-def rejoined(member: Member, goes_on: bool = False) -> Member:
+def on_rejoin(member: Participant, keep_serving: bool = False) -> Participant:
     """Its lease was lost and it is registered anew: it may have missed what was decided meanwhile, and the
     vote under the old lease is gone. `goes_on`: nothing can be decided without it, so it serves as before
     while it asks; but not if it had agreed, since with that vote it may have been."""
-    goes_on = goes_on and member.serves and not in_doubt(member)
-    return replace(member, phase=P.UNKNOWN, change=None, held="", wanted="", joined=goes_on)
+    keep_serving = keep_serving and member.may_serve and not in_doubt(member)
+    return replace(member, phase=P.UNKNOWN, open_change=None, prepared="", preparing="", joined=keep_serving)
 
 
-def in_doubt(member: Member) -> bool:
+def in_doubt(member: Participant) -> bool:
     """Whether what it serves by may be over without its having heard: it has agreed to a change. Until it
     hears what became of it, it may serve only as long as it knows the store's word, whatever the settings say
     of one that is cut off."""
-    return member.phase is P.AGREED
+    return member.phase is P.VOTED_YES
 
 
 class Outcome(Enum):
-    WAIT = "wait"
-    YES = "yes"
-    NO = "no"
+    PENDING = "wait"
+    COMMIT = "yes"
+    ABORT = "no"
 
 
 @dataclass(frozen=True, slots=True)
@@ -222,29 +237,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class Decision:
     outcome: Outcome
     reason: str = ""
     awaited: tuple[str, ...] = ()
 
 
-def verdict(
-    change: Open,
-    force: Force,
+def decide(
+    change: OpenChange,
+    force: CommittedPolicy,
     proposed_with: Iterable[str],
     registered: Iterable[str],
     votes: Mapping[str, Vote],
     signed_off: Iterable[str] = (),
     unreached: Iterable[str] = (),
-) -> Verdict:
+) -> Decision:
     """`proposed_with`: who was registered at the proposal. `signed_off`: of those, who left in order.
     `unreached`: names that are known and have no process, where that is a reason (`when_cut_off` serve)."""
     there = set(registered)
     if change.epoch != force.epoch + 1:
-        return Verdict(Outcome.NO, f"epoch {force.epoch} came first")
+        return Decision(Outcome.ABORT, f"epoch {force.epoch} came first")
     lost = sorted(set(proposed_with) - there - set(signed_off))
     if lost:
-        return Verdict(Outcome.NO, f"lost while it was open: {', '.join(lost)}")
+        return Decision(Outcome.ABORT, f"lost while it was open: {', '.join(lost)}")
     valid = {
         who: vote
         for who, vote in votes.items()
@@ -252,11 +267,11 @@
     }
     against = sorted(who for who, vote in valid.items() if not vote.yes)
     if against:
-        return Verdict(Outcome.NO, "; ".join(f"{who}: {valid[who].reason}" for who in against))
+        return Decision(Outcome.ABORT, "; ".join(f"{who}: {valid[who].reason}" for who in against))
     missing = sorted(unreached)
     if missing:
-        return Verdict(Outcome.NO, f"not reached: {', '.join(missing)}")
+        return Decision(Outcome.ABORT, f"not reached: {', '.join(missing)}")
     awaited = tuple(sorted(there - valid.keys()))
     if awaited or not there:
-        return Verdict(Outcome.WAIT, "", awaited)
-    return Verdict(Outcome.YES)
+        return Decision(Outcome.PENDING, "", awaited)
+    return Decision(Outcome.COMMIT)
--- a/gladegw/coordination/policy_epochs.py
+++ b/gladegw/coordination/policy_epochs.py
@@ -12,12 +12,12 @@
 from enum import Enum
 
 HEADER = b"x-policy-epoch"
-FORM = re.compile(rb"(0|[1-9]\d{0,11})-([0-9a-f]{0,64})")
-MOST_HELD = 4  # tables before the one in use, whatever their time: each is memory
+PATTERN = re.compile(rb"(0|[1-9]\d{0,11})-([0-9a-f]{0,64})")
+MAX_RETAINED_TABLES = 4  # tables before the one in use, whatever their time: each is memory
 
 
 @dataclass(frozen=True, slots=True)
-class Stamp:
+class PolicyEpoch:
     """`digest` is empty for epoch 0, in which each proxy has a file of its own."""
 
     epoch: int
@@ -27,71 +27,71 @@
         return f"{self.epoch}-{self.digest}"
 
 
-def read(text: bytes) -> Stamp:
+def parse_epoch(text: bytes) -> PolicyEpoch:
     """Raises ValueError."""
-    found = FORM.fullmatch(text)
+    found = PATTERN.fullmatch(text)
     if found is None:
         raise ValueError("malformed stamp")
-    return Stamp(int(found[1]), found[2].decode())
+    return PolicyEpoch(int(found[1]), found[2].decode())
 
 
-class Standing(Enum):
+class TableState(Enum):
     """Of the table that a stamp names, at one proxy."""
 
     IN_USE = "in use"
-    HELD = "held"  # the one in use before, or before that
+    RETAINED = "held"  # the one in use before, or before that
     PREPARED = "prepared"  # in force elsewhere already, since a proxy stamps by it
     RETIRED = "retired"
     UNKNOWN = "unknown"
 
 
-DECIDES = (Standing.IN_USE, Standing.HELD, Standing.PREPARED)
+USABLE_STATES = (TableState.IN_USE, TableState.RETAINED, TableState.PREPARED)
 
 
 @dataclass(slots=True)
-class Shelf:
+class TableRetention:
     """The tables that a proxy can decide by. `hold`: s for which one is kept after it was in use; longer than
     a request may be on its way."""
 
-    hold: float
-    in_use: Stamp | None = None  # none was yet
-    held: dict[Stamp, float] = field(default_factory=dict)  # until when
-    prepared: Stamp | None = None
+    retention_s: float
+    in_use: PolicyEpoch | None = None  # none was yet
+    retained: dict[PolicyEpoch, float] = field(default_factory=dict)  # until when
+    prepared: PolicyEpoch | None = None
 
-    def prepares(self, stamp: Stamp | None) -> None:
+    def on_prepared(self, stamp: PolicyEpoch | None) -> None:
         """What it has agreed to, right before its vote is sent; None: that is over."""
         newer = stamp is not None and (self.in_use is None or stamp.epoch > self.in_use.epoch)
         self.prepared = stamp if newer else None
 
-    def takes(self, stamp: Stamp, now: float) -> None:
+    def activate(self, stamp: PolicyEpoch, now: float) -> None:
         if stamp == self.in_use:
             return
-        self.held.pop(stamp, None)
+        self.retained.pop(stamp, None)
         if self.in_use is not None:
-            self.held[self.in_use] = now + self.hold
+            self.retained[self.in_use] = now + self.retention_s
         self.in_use = stamp
         if self.prepared is not None and self.prepared.epoch <= stamp.epoch:
             self.prepared = None
 
-    def standing(self, stamp: Stamp, now: float) -> Standing:
+    def state_of(self, stamp: PolicyEpoch, now: float) -> TableState:
         if stamp == self.in_use:
-            return Standing.IN_USE
-        if now < self.held.get(stamp, now):
-            return Standing.HELD
+            return TableState.IN_USE
+        if now < self.retained.get(stamp, now):
+            return TableState.RETAINED
         if stamp == self.prepared:
-            return Standing.PREPARED
+            return TableState.PREPARED
         if self.in_use is None or stamp.epoch > self.in_use.epoch:
-            return Standing.UNKNOWN
-        return Standing.RETIRED
+            return TableState.UNKNOWN
+        return TableState.RETIRED
 
-    def over(self, now: float) -> list[Stamp]:
+    def expire(self, now: float) -> list[PolicyEpoch]:
         """Those that are held no longer; each is told once."""
-        order = sorted(self.held, key=lambda stamp: self.held[stamp])
+        order = sorted(self.retained, key=lambda stamp: self.retained[stamp])
         gone = [
             stamp
             for number, stamp in enumerate(order)
-            if self.held[stamp] <= now or number < len(order) - MOST_HELD
+            if self.retained[stamp] <= now or number < len(order) - MAX_RETAINED_TABLES
         ]
         for stamp in gone:
-            del self.held[stamp]
+            del self.retained[stamp]
         return gone
--- a/gladegw/coordination/records.py
+++ b/gladegw/coordination/records.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from gladegw.coordination.fleet_regression import Whole
+from gladegw.coordination.fleet_regression import FleetWindow
 
 VERSION = 1  # of all records: a field that comes is optional, one that goes is still read for one version
 
@@ -20,7 +20,7 @@
     v: int = VERSION
 
 
-class Member(Record, frozen=True, kw_only=True):
+class MemberRecord(Record, frozen=True, kw_only=True):
     """`live/members/NAME/INCARNATION`, under the lease of the process."""
 
     name: str
@@ -36,7 +36,7 @@
     since: float = 0.0  # s since 1970 by its own clock: shown, and nothing rests on it
 
 
-class Known(Record, frozen=True, kw_only=True):
+class KnownMemberRecord(Record, frozen=True, kw_only=True):
     """`told/known/NAME`, under no lease: who is missed when no process of that name is there."""
 
     name: str
@@ -45,7 +45,7 @@
     left: bool = False  # it signed off in order
 
 
-class Holder(Record, frozen=True, kw_only=True):
+class DutyHolderRecord(Record, frozen=True, kw_only=True):
     """`live/duties/NAME`, under the holder's lease. The token is the key's create revision."""
 
     holder: str
@@ -53,13 +53,13 @@
     since: float = 0.0
 
 
-class Heir(Record, frozen=True, kw_only=True):
+class SuccessorRecord(Record, frozen=True, kw_only=True):
     """`live/heirs/NAME`: whom the last holder left the duty to. A preference, so it may be stale."""
 
     name: str
 
 
-class Figures(Record, frozen=True, kw_only=True):
+class MemberMetricsRecord(Record, frozen=True, kw_only=True):
     """`told/figures/NAME`, under the member's lease."""
 
     name: str
@@ -70,7 +70,7 @@
     serving: str = ""  # digest of the backends that it may send to: listed, and not told to drain
 
 
-class Fleet(Record, frozen=True, kw_only=True):
+class FleetSummaryRecord(Record, frozen=True, kw_only=True):
     """`told/fleet/digest`: what the holder of `digest` made of all figures."""
 
     token: int
@@ -80,7 +80,7 @@
     silent: tuple[str, ...] = ()
 
 
-class Differences(Record, frozen=True, kw_only=True):
+class ConfigDriftRecord(Record, frozen=True, kw_only=True):
     """`told/fleet/compare`: who stands alone with what."""
 
     token: int
@@ -89,7 +89,7 @@
     since: float = 0.0  # s since 1970, from when on they differed; 0: they agree
 
 
-class InForce(Record, frozen=True, kw_only=True):
+class PolicyRecord(Record, frozen=True, kw_only=True):
     """`live/policy/force`, and `told/policy/history/EPOCH`. In a rollout's stage `named` serve by `new`, and
     go back by themselves if they hear nothing of it for `confirm_s`."""
 
@@ -104,7 +104,7 @@
     at: float = 0.0
 
 
-class Change(Record, frozen=True, kw_only=True):
+class PolicyChangeRecord(Record, frozen=True, kw_only=True):
     """`live/policy/change`, under a lease as long as its deadline. `members`: who was registered when it was
     proposed. `everyone`: names without a process are a reason against it."""
 
@@ -123,7 +123,7 @@
     at: float = 0.0
 
 
-class Ballot(Record, frozen=True, kw_only=True):
+class VoteRecord(Record, frozen=True, kw_only=True):
     """`told/policy/votes/NAME/INCARNATION`, under the member's lease. `change`: its key's create revision."""
 
     change: int
@@ -132,7 +132,7 @@
     reason: str = ""
 
 
-class Ended(Record, frozen=True, kw_only=True):
+class ChangeOutcomeRecord(Record, frozen=True, kw_only=True):
     """`told/policy/ended/ID`: what became of a change."""
 
     id: str
@@ -146,7 +146,7 @@
     at: float = 0.0
 
 
-class Tries(Record, frozen=True, kw_only=True):
+class BundleAttemptsRecord(Record, frozen=True, kw_only=True):
     """`kept/tries/DIGEST/NAME`: how often processes of that name began with a bundle and were not heard of
     since. `last`: the incarnation that counted itself last, so that none does twice."""
 
@@ -154,7 +154,7 @@
     last: str = ""
 
 
-class Limits(Record, frozen=True, kw_only=True):
+class RolloutLimitsRecord(Record, frozen=True, kw_only=True):
     """What worse means to a rollout; `coordination.verdict.Limits`."""
 
     failed: float
@@ -165,7 +165,7 @@
     late: float = 0.02
 
 
-class Rollout(Record, frozen=True, kw_only=True):
+class RolloutRecord(Record, frozen=True, kw_only=True):
     """`live/policy/rollout`, and `told/rollout/ended/ID` once it is over. `old`, `new`: bundles by digest, or
     versions of the program; of those `deadline_s` is how long a stage may take to come up."""
 
@@ -173,7 +173,7 @@
     old: str
     new: str
     stages: tuple[tuple[str, ...], ...]
-    limits: Limits
+    limits: RolloutLimitsRecord
     bake_s: float
     most_s: float
     confirm_s: int
@@ -193,7 +193,7 @@
     quiet: tuple[str, ...] = ()  # `coordination.quiet`
 
 
-class Program(Record, frozen=True, kw_only=True):
+class ProgramRecord(Record, frozen=True, kw_only=True):
     """`live/policy/program`: which version of the program runs, as `InForce` has it for bundles. Nobody votes
     on it: each name's supervisor tries it beside what serves."""
 
@@ -208,7 +208,7 @@
     at: float = 0.0
 
 
-class Supervised(Record, frozen=True, kw_only=True):
+class SupervisorRecord(Record, frozen=True, kw_only=True):
     """`live/supervisors/NAME`, under the supervisor's lease. `epoch`: of the `Program` that it has heard."""
 
     name: str
@@ -223,13 +223,13 @@
     alone: bool = False  # it went back by itself
 
 
-class Sign(Record, frozen=True, kw_only=True):
+class HeartbeatRecord(Record, frozen=True, kw_only=True):
     """`live/policy/sign`: somebody conducts this rollout; members look at the key's revision alone."""
 
     rollout: str
 
 
-class Weighed(Record, frozen=True, kw_only=True):
+class EvidenceRecord(Record, frozen=True, kw_only=True):
     """`told/rollout/weighed`: the evidence so far, `coordination.verdict.Evidence`."""
 
     rollout: str
@@ -243,11 +243,11 @@
     requests: int = 0
     windows: int = 0
     apart: int = 0
-    past: tuple[Whole, ...] = ()
-    lately: tuple[Whole, ...] = ()
+    past: tuple[FleetWindow, ...] = ()
+    lately: tuple[FleetWindow, ...] = ()
 
 
-class Point(Record, frozen=True, kw_only=True):
+class TimelinePointRecord(Record, frozen=True, kw_only=True):
     """`kept/courses/ID/STAGE-WINDOW`: what a window has shown. `at`: s since the rollout's begin, by the
     conductor's clock; `log_e`: the evidence as it stands, by figure."""
 
@@ -255,8 +255,8 @@
     stage: int
     baked_s: float = 0.0
     log_e: dict[str, float] = {}
-    new: Whole = Whole()
-    others: Whole = Whole()
+    new: FleetWindow = FleetWindow()
+    others: FleetWindow = FleetWindow()
 
 
 R = TypeVar("R", bound=Record)
@@ -281,4 +281,5 @@
     try:
         return msgspec.json.decode(raw, type=form)
     except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise RecordError(f"{form.__name__.lower()}: {' '.join(str(fault).split())}") from None
+        kind = form.__name__.removesuffix("Record").lower()
+        raise RecordError(f"{kind}: {' '.join(str(fault).split())}") from None
--- a/gladegw/coordination/serving_lease.py
+++ b/gladegw/coordination/serving_lease.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 
-class Gate:
+class ServingLease:
     """Closed until it is told otherwise. A bound that has passed closes it by itself, so a process that stood
     still, with requests waiting in its sockets, answers none of them before it has asked again."""
 
--- a/gladegw/coordination/store.py
+++ b/gladegw/coordination/store.py
@@ -14,15 +14,15 @@
 from enum import Enum
 from typing import Literal
 
-MOST_OPERATIONS = 128  # of one transaction (--max-txn-ops)
-MOST_BYTES = 1_572_864  # of one request, 1.5 MiB (--max-request-bytes)
+MAX_TXN_OPERATIONS = 128  # of one transaction (--max-txn-ops)
+MAX_REQUEST_BYTES = 1_572_864  # of one request, 1.5 MiB (--max-request-bytes)
 
 
 class StoreError(Exception):
     """A request that the store refuses; nothing of it was done."""
 
 
-class Compacted(StoreError):
+class CompactedError(StoreError):
     """The revision asked for is not kept any more: whoever follows has to start over by a whole read."""
 
     def __init__(self, compact_revision: int) -> None:
@@ -30,12 +30,12 @@
         self.compact_revision = compact_revision
 
 
-class NoLease(StoreError):
+class LeaseNotFoundError(StoreError):
     def __init__(self) -> None:
         super().__init__("requested lease not found")
 
 
-class Full(StoreError):
+class QuotaExceededError(StoreError):
     def __init__(self) -> None:
         super().__init__("mvcc: database space exceeded")
 
@@ -101,7 +101,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class TxnResult:
     """`found` has the keys of each Get in its place, and what a Delete removed; a Put has an empty one."""
 
     revision: int
@@ -110,11 +110,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Event:
+class StoreEvent:
     """A put, or a deletion (`gone`): then `kv` has the key and the revision of the deletion alone."""
 
     kv: KeyValue
-    gone: bool
+    deleted: bool
     before: KeyValue | None = None
 
 
@@ -129,39 +129,39 @@
 
 
 @dataclass(slots=True)
-class Granted:
+class GrantedLease:
     id: int
     ttl: int  # s
-    until: float  # by the store's clock
+    expires_at: float  # by the store's clock
 
 
-class Model:
+class InMemoryStore:
     """A store in memory that obeys the contract. `now` is the store's own clock, in s, and passed in."""
 
-    def __init__(self, least_ttl: int = 1, quota: int = 0) -> None:
+    def __init__(self, min_ttl: int = 1, quota: int = 0) -> None:
         self.revision = 1
         self.compacted = 0
         self.keys: dict[bytes, KeyValue] = {}
-        self.sorted: list[bytes] = []  # the same keys
-        self.hung: dict[int, set[bytes]] = {}  # keys by their lease
-        self.log: list[Event] = []  # in the order of revisions, from `compacted` on
-        self.leases: dict[int, Granted] = {}
-        self.least_ttl, self.quota = least_ttl, quota
+        self.sorted_keys: list[bytes] = []  # the same keys
+        self.keys_by_lease: dict[int, set[bytes]] = {}  # keys by their lease
+        self.log: list[StoreEvent] = []  # in the order of revisions, from `compacted` on
+        self.leases: dict[int, GrantedLease] = {}
+        self.min_ttl, self.quota = min_ttl, quota
         self.next_lease = 1
 
     # reads
-    def get(self, asked: Get) -> tuple[KeyValue, ...]:
-        if asked.revision > self.revision:
+    def get(self, request: Get) -> tuple[KeyValue, ...]:
+        if request.revision > self.revision:
             raise StoreError("mvcc: required revision is a future revision")
-        if 0 < asked.revision < self.compacted:
-            raise Compacted(self.compacted)
-        keys = self.keys if asked.revision in (0, self.revision) else self._as_of(asked.revision)
-        if not asked.end:
-            found = keys.get(asked.key)
+        if 0 < request.revision < self.compacted:
+            raise CompactedError(self.compacted)
+        keys = self.keys if request.revision in (0, self.revision) else self._as_of(request.revision)
+        if not request.end:
+            found = keys.get(request.key)
             return () if found is None else (found,)
-        order = self.sorted if keys is self.keys else sorted(keys)
-        first = bisect_left(order, asked.key)
-        last = len(order) if asked.end == b"\0" else bisect_left(order, asked.end)
+        order = self.sorted_keys if keys is self.keys else sorted(keys)
+        first = bisect_left(order, request.key)
+        last = len(order) if request.end == b"\0" else bisect_left(order, request.end)
         return tuple(keys[key] for key in order[first:last])
 
     def _as_of(self, revision: int) -> dict[bytes, KeyValue]:
@@ -175,10 +175,10 @@
                 keys[event.kv.key] = event.before
         return keys
 
-    def since(self, revision: int, key: bytes, end: bytes = b"") -> list[Event]:
+    def since(self, revision: int, key: bytes, end: bytes = b"") -> list[StoreEvent]:
         """What a watch from this revision on is told first; raises Compacted."""
         if revision <= self.compacted:
-            raise Compacted(self.compacted)
+            raise CompactedError(self.compacted)
         found = []
         for event in reversed(self.log):
             if event.kv.mod_revision < revision:
@@ -188,19 +188,19 @@
         return found[::-1]
 
     # writes
-    def txn(self, asked: Txn) -> Done:
+    def txn(self, request: Txn) -> TxnResult:
         """All or nothing; raises StoreError."""
-        for branch in (asked.success, asked.failure):
+        for branch in (request.success, request.failure):
             self._check(branch)
-        if max(len(asked.compare), len(asked.success), len(asked.failure)) > MOST_OPERATIONS:
+        if max(len(request.compare), len(request.success), len(request.failure)) > MAX_TXN_OPERATIONS:
             raise StoreError("etcdserver: too many operations in txn request")
-        succeeded = all(self._true(compare) for compare in asked.compare)
-        chosen = asked.success if succeeded else asked.failure
+        succeeded = all(self._holds(compare) for compare in request.compare)
+        chosen = request.success if succeeded else request.failure
         for operation in chosen:
             if isinstance(operation, Put) and operation.lease and operation.lease not in self.leases:
-                raise NoLease
+                raise LeaseNotFoundError
             if isinstance(operation, Put) and 0 < self.quota < self.size:
-                raise Full
+                raise QuotaExceededError
         own = self.revision + 1
         found: list[tuple[KeyValue, ...]] = []
         changed = False
@@ -212,13 +212,13 @@
                 found.append(())
                 changed = True
             else:
-                gone = self.get(Get(operation.key, operation.end))
-                self._delete(gone, own)
-                found.append(gone)
-                changed |= bool(gone)
+                removed = self.get(Get(operation.key, operation.end))
+                self._delete(removed, own)
+                found.append(removed)
+                changed |= bool(removed)
         if changed:
             self.revision = own
-        return Done(self.revision, succeeded, tuple(found))
+        return TxnResult(self.revision, succeeded, tuple(found))
 
     def _check(self, branch: Sequence[Operation]) -> None:
         written: set[bytes] = set()
@@ -235,7 +235,7 @@
             ):
                 raise StoreError("etcdserver: duplicate key given in txn request")
 
-    def _true(self, compare: Compare) -> bool:
+    def _holds(self, compare: Compare) -> bool:
         held = self.keys.get(compare.key)
         if compare.target is Target.VALUE:
             if held is None:
@@ -254,61 +254,61 @@
     def size(self) -> int:
         return sum(len(kv.key) + len(kv.value) for kv in self.keys.values())
 
-    def _put(self, asked: Put, revision: int) -> None:
-        before = self.keys.get(asked.key)
+    def _put(self, request: Put, revision: int) -> None:
+        before = self.keys.get(request.key)
         kv = KeyValue(
-            asked.key,
-            asked.value,
+            request.key,
+            request.value,
             revision if before is None else before.create_revision,
             revision,
             1 if before is None else before.version + 1,
-            asked.lease,
+            request.lease,
         )
         if before is not None:
-            self._loose(before)
-        self.stands(kv)
-        self.log.append(Event(kv, False, before))
+            self._detach(before)
+        self.set_current(kv)
+        self.log.append(StoreEvent(kv, False, before))
 
-    def _delete(self, gone: Sequence[KeyValue], revision: int) -> None:
-        for before in gone:
+    def _delete(self, removed: Sequence[KeyValue], revision: int) -> None:
+        for before in removed:
             del self.keys[before.key]
-            del self.sorted[bisect_left(self.sorted, before.key)]
-            self._loose(before)
-            self.log.append(Event(KeyValue(before.key, b"", 0, revision, 0, 0), True, before))
+            del self.sorted_keys[bisect_left(self.sorted_keys, before.key)]
+            self._detach(before)
+            self.log.append(StoreEvent(KeyValue(before.key, b"", 0, revision, 0, 0), True, before))
 
-    def stands(self, kv: KeyValue) -> None:
+    def set_current(self, kv: KeyValue) -> None:
         """A key as it is now, without an event."""
         if kv.key not in self.keys:
-            insort(self.sorted, kv.key)
+            insort(self.sorted_keys, kv.key)
         self.keys[kv.key] = kv
         if kv.lease:
-            self.hung.setdefault(kv.lease, set()).add(kv.key)
+            self.keys_by_lease.setdefault(kv.lease, set()).add(kv.key)
 
-    def _loose(self, kv: KeyValue) -> None:
+    def _detach(self, kv: KeyValue) -> None:
         """It hangs on its lease no more."""
-        if kv.lease in self.hung:
-            self.hung[kv.lease].discard(kv.key)
-            if not self.hung[kv.lease]:
-                del self.hung[kv.lease]
+        if kv.lease in self.keys_by_lease:
+            self.keys_by_lease[kv.lease].discard(kv.key)
+            if not self.keys_by_lease[kv.lease]:
+                del self.keys_by_lease[kv.lease]
 
     def compact(self, revision: int) -> None:
         if revision <= self.compacted:
-            raise Compacted(self.compacted)
+            raise CompactedError(self.compacted)
         if revision > self.revision:
             raise StoreError("mvcc: required revision is a future revision")
         self.compacted = revision
         self.log = [event for event in self.log if event.kv.mod_revision > revision]
 
     # leases
-    def grant(self, ttl: int, now: float, id: int = 0) -> Granted:
+    def grant(self, ttl: int, now: float, id: int = 0) -> GrantedLease:
         if id in self.leases:
             raise StoreError("etcdserver: lease already exists")
         if not id:
             while self.next_lease in self.leases:
                 self.next_lease += 1
             id, self.next_lease = self.next_lease, self.next_lease + 1
-        ttl = max(ttl, self.least_ttl)
-        lease = self.leases[id] = Granted(id, ttl, now + ttl)
+        ttl = max(ttl, self.min_ttl)
+        lease = self.leases[id] = GrantedLease(id, ttl, now + ttl)
         return lease
 
     def keep_alive(self, id: int, now: float) -> int:
@@ -316,28 +316,28 @@
         lease = self.leases.get(id)
         if lease is None:
             return 0
-        lease.until = now + lease.ttl
+        lease.expires_at = now + lease.ttl
         return lease.ttl
 
     def revoke(self, id: int) -> None:
         if self.leases.pop(id, None) is None:
-            raise NoLease
-        gone = [self.keys[key] for key in self.attached(id)]
-        if gone:
+            raise LeaseNotFoundError
+        removed = [self.keys[key] for key in self.attached(id)]
+        if removed:
             self.revision += 1
-            self._delete(gone, self.revision)
+            self._delete(removed, self.revision)
 
     def attached(self, id: int) -> list[bytes]:
-        return sorted(self.hung.get(id, ()))
+        return sorted(self.keys_by_lease.get(id, ()))
 
     def expire(self, now: float) -> list[int]:
         """Ends the leases whose time is over, and with them their keys."""
-        over = sorted(id for id, lease in self.leases.items() if lease.until <= now)
+        over = sorted(id for id, lease in self.leases.items() if lease.expires_at <= now)
         for id in over:
             self.revoke(id)
         return over
 
-    def prolong(self, now: float) -> None:
+    def extend_all(self, now: float) -> None:
         """A new leader starts each lease anew, since it can't know when it was last kept."""
         for lease in self.leases.values():
-            lease.until = max(lease.until, now + lease.ttl)
+            lease.expires_at = max(lease.expires_at, now + lease.ttl)
--- a/gladegw/coordination/supervision.py
+++ b/gladegw/coordination/supervision.py
@@ -13,11 +13,11 @@
 class Phase(Enum):
     STARTING = "starting"  # nobody serves: the first process, or one after a death, is coming up
     STEADY = "steady"
-    BRINGING = "bringing up"  # another is coming up beside the one that serves
-    PROVING = "proving"  # the other is ready and has the new connections; the one before is as it was
-    KEEPING = "keeping"  # the other serves; the one before is drained and kept for the way back
-    ENDING = "ending"  # the one before was told to end
-    GIVING_UP = "giving up"  # the other was told to end; the one before serves on
+    STARTING_REPLACEMENT = "bringing up"  # another is coming up beside the one that serves
+    VERIFYING = "proving"  # the other is ready and has the new connections; the one before is as it was
+    RETAINING_PREVIOUS = "keeping"  # the other serves; the one before is drained and kept for the way back
+    STOPPING_PREVIOUS = "ending"  # the one before was told to end
+    STOPPING_REPLACEMENT = "giving up"  # the other was told to end; the one before serves on
 
 
 class Slot(Enum):
@@ -25,43 +25,43 @@
     OTHER = "other"
 
 
-class Do(Enum):
+class ActionKind(Enum):
     START = "start"
-    TERM = "term"
+    TERMINATE = "term"
     KILL = "kill"
-    LAME = "lame"  # drain, and stay
+    DRAIN = "lame"  # drain, and stay
     REJOIN = "rejoin"  # serve again
-    SWAP = "swap"  # the other is the current one from here on
+    PROMOTE = "swap"  # the other is the current one from here on
 
 
-Action = tuple[Do, Slot]
+Action = tuple[ActionKind, Slot]
 Actions = tuple[Action, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ProcessStatus:
     """`bad`: why it must not go on, though it is alive. `why`: what is known of its death. `thin`: it was
     asked too little for that to be known, though the one before it was asked."""
 
     alive: bool = False
     ready: bool = False
-    bad: str = ""
-    why: str = ""
-    thin: bool = False
+    failure: str = ""
+    exit_reason: str = ""
+    insufficient_traffic: bool = False
 
 
-GONE = Seen()
+NOT_RUNNING = ProcessStatus()
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class Timeouts:
     """All in s. `again`: after a death, doubled with each in a row, up to `again_most`."""
 
     ready: float = 30.0
-    prove: float = 5.0
+    verify: float = 5.0
     drain: float = 10.0
-    again: float = 0.5
-    again_most: float = 30.0
+    restart_backoff: float = 0.5
+    max_restart_backoff: float = 30.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,11 +89,11 @@
     killed: bool = False
 
 
-PATIENCE = 4.0  # times the time of a proof, in which one that is asked too little may be judged still
-DEATHS = 2  # in a row at a start, after which the good version is taken again
+VERIFY_EXTENSION = 4.0  # times the time of a proof, in which one that is asked too little may be judged still
+DEATHS_BEFORE_FALLBACK = 2  # in a row at a start, after which the good version is taken again
 
 
-def asked(state: Supervision, version: str, epoch: int, keep: bool = False) -> Supervision:
+def request_version(state: Supervision, version: str, epoch: int, keep: bool = False) -> Supervision:
     """Another word of who decides on versions; the same one again changes nothing."""
     if epoch == state.epoch and version == state.wanted:
         return state
@@ -101,17 +101,17 @@
 
 
 def step(
-    state: Supervision, current: Seen, other: Seen, now: float, bounds: Bounds
+    state: Supervision, current: ProcessStatus, other: ProcessStatus, now: float, bounds: Timeouts
 ) -> tuple[Supervision, Actions]:
     """What is next, and what to do. Each action is asked for once."""
     found = {
         Phase.STARTING: _starting,
         Phase.STEADY: _steady,
-        Phase.BRINGING: _bringing,
-        Phase.PROVING: _proving,
-        Phase.KEEPING: _keeping,
-        Phase.ENDING: _ending,
-        Phase.GIVING_UP: _giving_up,
+        Phase.STARTING_REPLACEMENT: _starting_replacement,
+        Phase.VERIFYING: _verifying,
+        Phase.RETAINING_PREVIOUS: _retaining_previous,
+        Phase.STOPPING_PREVIOUS: _stopping_previous,
+        Phase.STOPPING_REPLACEMENT: _stopping_replacement,
     }[state.phase]
     return found(state, current, other, now, bounds)
 
@@ -120,25 +120,29 @@
     return replace(state, phase=phase, since=now, killed=False, **more)  # type: ignore[arg-type]
 
 
-def _pause(state: Supervision, bounds: Bounds) -> float:
-    return 0.0 if not state.deaths else min(bounds.again_most, bounds.again * 2.0 ** (state.deaths - 1))
+def _restart_backoff(state: Supervision, bounds: Timeouts) -> float:
+    return (
+        0.0
+        if not state.deaths
+        else min(bounds.max_restart_backoff, bounds.restart_backoff * 2.0 ** (state.deaths - 1))
+    )
 
 
 def _starting(
-    state: Supervision, current: Seen, other: Seen, now: float, bounds: Bounds
+    state: Supervision, current: ProcessStatus, other: ProcessStatus, now: float, bounds: Timeouts
 ) -> tuple[Supervision, Actions]:
     if not state.begun:
-        if now < state.since + _pause(state, bounds):
+        if now < state.since + _restart_backoff(state, bounds):
             return state, ()
         if state.wanted not in state.refused:  # nobody serves: what is asked for now is as good as any
             state = replace(state, current=state.wanted)
-        return _to(state, Phase.STARTING, now, begun=True), ((Do.START, Slot.CURRENT),)
+        return _to(state, Phase.STARTING, now, begun=True), ((ActionKind.START, Slot.CURRENT),)
     if not current.alive:
-        return _died(state, current.why or "it ended at its start", now)
+        return _died(state, current.exit_reason or "it ended at its start", now)
     if current.ready:
         return _to(state, Phase.STEADY, now), ()
     if now > state.since + bounds.ready and not state.killed:
-        return replace(state, killed=True), ((Do.KILL, Slot.CURRENT),)
+        return replace(state, killed=True), ((ActionKind.KILL, Slot.CURRENT),)
     return state, ()
 
 
@@ -147,7 +151,7 @@
     deaths = state.deaths + 1
     after = _to(state, Phase.STARTING, now, begun=False, leaving=False, deaths=deaths)
     after = replace(after, restarts=state.restarts + 1)
-    if deaths >= DEATHS and state.good not in ("", state.current):
+    if deaths >= DEATHS_BEFORE_FALLBACK and state.good not in ("", state.current):
         reason = f"{state.current}: {why}"
         refused = state.refused | {state.current}
         after = replace(after, current=state.good, refused=refused, reason=reason, deaths=0)
@@ -155,29 +159,29 @@
 
 
 def _steady(
-    state: Supervision, current: Seen, other: Seen, now: float, bounds: Bounds
+    state: Supervision, current: ProcessStatus, other: ProcessStatus, now: float, bounds: Timeouts
 ) -> tuple[Supervision, Actions]:
     if not current.alive:
-        return _died(state, current.why, now)
+        return _died(state, current.exit_reason, now)
     if state.leaving and now > state.since + bounds.drain and not state.killed:
-        return replace(state, killed=True), ((Do.KILL, Slot.CURRENT),)
-    if current.bad and not state.killed:  # it hangs; what follows is a death
-        return replace(state, killed=True, reason=current.bad), ((Do.KILL, Slot.CURRENT),)
-    proven = now >= state.since + bounds.prove and current.ready
+        return replace(state, killed=True), ((ActionKind.KILL, Slot.CURRENT),)
+    if current.failure and not state.killed:  # it hangs; what follows is a death
+        return replace(state, killed=True, reason=current.failure), ((ActionKind.KILL, Slot.CURRENT),)
+    proven = now >= state.since + bounds.verify and current.ready
     if proven and (state.deaths or state.good != state.current):
         state = replace(state, good=state.current, deaths=0)
     if state.wanted != state.current and state.wanted not in state.refused:
-        after = _to(state, Phase.BRINGING, now, coming=state.wanted, tried=state.epoch)
-        return after, ((Do.START, Slot.OTHER),)
+        after = _to(state, Phase.STARTING_REPLACEMENT, now, coming=state.wanted, tried=state.epoch)
+        return after, ((ActionKind.START, Slot.OTHER),)
     return state, ()
 
 
-def _given_up(state: Supervision, why: str, now: float) -> tuple[Supervision, Actions]:
-    after = _to(state, Phase.GIVING_UP, now)
-    return (_refused(after, why) if why else after), ((Do.TERM, Slot.OTHER),)
+def _give_up(state: Supervision, why: str, now: float) -> tuple[Supervision, Actions]:
+    after = _to(state, Phase.STOPPING_REPLACEMENT, now)
+    return (_reject_version(after, why) if why else after), ((ActionKind.TERMINATE, Slot.OTHER),)
 
 
-def _refused(state: Supervision, why: str) -> Supervision:
+def _reject_version(state: Supervision, why: str) -> Supervision:
     """What is coming is no good. It may be one more of the version that serves: that one is not given up."""
     refused = state.refused
     if state.coming != state.current and state.tried == state.epoch:
@@ -185,99 +189,99 @@
     return replace(state, refused=refused, reason=f"{state.coming}: {why}")
 
 
-def _followed(state: Supervision, now: float, ready: bool) -> tuple[Supervision, Actions]:
+def _promote(state: Supervision, now: float, ready: bool) -> tuple[Supervision, Actions]:
     """The one that served is gone, and the other is all there is."""
     phase = Phase.STEADY if ready else Phase.STARTING
     after = _to(state, phase, now, current=state.coming, coming="", begun=True, leaving=False)
-    return after, ((Do.SWAP, Slot.OTHER),)
+    return after, ((ActionKind.PROMOTE, Slot.OTHER),)
 
 
-def _bringing(
-    state: Supervision, current: Seen, other: Seen, now: float, bounds: Bounds
+def _starting_replacement(
+    state: Supervision, current: ProcessStatus, other: ProcessStatus, now: float, bounds: Timeouts
 ) -> tuple[Supervision, Actions]:
     if not other.alive:
-        why = other.why or "it ended before it was ready"
+        why = other.exit_reason or "it ended before it was ready"
         if not current.alive:
             return _died(replace(state, coming=""), why, now)
-        return _to(_refused(state, why), Phase.STEADY, now, coming=""), ()
+        return _to(_reject_version(state, why), Phase.STEADY, now, coming=""), ()
     if not current.alive:
-        return _followed(state, now, other.ready)
+        return _promote(state, now, other.ready)
     if state.wanted != state.coming and state.wanted not in state.refused:
-        return _given_up(state, "", now)
+        return _give_up(state, "", now)
     if other.ready:
-        return _to(state, Phase.PROVING, now), ()
+        return _to(state, Phase.VERIFYING, now), ()
     if now > state.since + bounds.ready:
-        return _given_up(state, f"not ready in {bounds.ready:g} s", now)
+        return _give_up(state, f"not ready in {bounds.ready:g} s", now)
     return state, ()
 
 
-def _proving(
-    state: Supervision, current: Seen, other: Seen, now: float, bounds: Bounds
+def _verifying(
+    state: Supervision, current: ProcessStatus, other: ProcessStatus, now: float, bounds: Timeouts
 ) -> tuple[Supervision, Actions]:
     if not other.alive or not current.alive:
-        return _bringing(state, current, other, now, bounds)
+        return _starting_replacement(state, current, other, now, bounds)
     if state.wanted != state.coming and state.wanted not in state.refused:
-        return _given_up(state, "", now)
-    if other.bad or not other.ready:
-        return _given_up(state, other.bad or "ready no more", now)
-    if now >= state.since + bounds.prove * (PATIENCE if other.thin else 1.0):
+        return _give_up(state, "", now)
+    if other.failure or not other.ready:
+        return _give_up(state, other.failure or "ready no more", now)
+    if now >= state.since + bounds.verify * (VERIFY_EXTENSION if other.insufficient_traffic else 1.0):
         if state.keep and state.coming != state.current:
-            return _to(state, Phase.KEEPING, now), ((Do.LAME, Slot.CURRENT),)
-        return _to(state, Phase.ENDING, now, leaving=True), ((Do.TERM, Slot.CURRENT),)
+            return _to(state, Phase.RETAINING_PREVIOUS, now), ((ActionKind.DRAIN, Slot.CURRENT),)
+        return _to(state, Phase.STOPPING_PREVIOUS, now, leaving=True), ((ActionKind.TERMINATE, Slot.CURRENT),)
     return state, ()
 
 
-def _keeping(
-    state: Supervision, current: Seen, other: Seen, now: float, bounds: Bounds
+def _retaining_previous(
+    state: Supervision, current: ProcessStatus, other: ProcessStatus, now: float, bounds: Timeouts
 ) -> tuple[Supervision, Actions]:
     """The way back is the one before, as it was: nothing has to come up for it."""
     if not current.alive:
         if not other.alive:
-            return _died(replace(state, coming=""), other.why, now)
-        return _followed(state, now, other.ready)
+            return _died(replace(state, coming=""), other.exit_reason, now)
+        return _promote(state, now, other.ready)
     if not other.alive:
-        after = _to(_refused(state, other.why or "it ended"), Phase.STEADY, now, coming="")
-        return after, ((Do.REJOIN, Slot.CURRENT),)
-    why = other.bad
+        after = _to(_reject_version(state, other.exit_reason or "it ended"), Phase.STEADY, now, coming="")
+        return after, ((ActionKind.REJOIN, Slot.CURRENT),)
+    why = other.failure
     if why or (state.wanted != state.coming and state.wanted not in state.refused):
-        after, actions = _given_up(state, why, now)
-        return after, ((Do.REJOIN, Slot.CURRENT), *actions)
+        after, actions = _give_up(state, why, now)
+        return after, ((ActionKind.REJOIN, Slot.CURRENT), *actions)
     if not state.keep:
-        return _to(state, Phase.ENDING, now, leaving=True), ((Do.TERM, Slot.CURRENT),)
+        return _to(state, Phase.STOPPING_PREVIOUS, now, leaving=True), ((ActionKind.TERMINATE, Slot.CURRENT),)
     return state, ()
 
 
-def _ending(
-    state: Supervision, current: Seen, other: Seen, now: float, bounds: Bounds
+def _stopping_previous(
+    state: Supervision, current: ProcessStatus, other: ProcessStatus, now: float, bounds: Timeouts
 ) -> tuple[Supervision, Actions]:
     if not current.alive:
         if not other.alive:
-            return _died(replace(state, coming=""), other.why, now)
-        return _followed(state, now, True)
+            return _died(replace(state, coming=""), other.exit_reason, now)
+        return _promote(state, now, True)
     if not other.alive:  # the one before leaves and can't be called back: another of its kind follows it
-        failed = _refused(state, f"{other.why or 'it ended'} while the one before left")
-        after = _to(failed, Phase.BRINGING, now, coming=state.current)
-        return after, ((Do.START, Slot.OTHER),)
+        failed = _reject_version(state, f"{other.exit_reason or 'it ended'} while the one before left")
+        after = _to(failed, Phase.STARTING_REPLACEMENT, now, coming=state.current)
+        return after, ((ActionKind.START, Slot.OTHER),)
     if now > state.since + bounds.drain and not state.killed:
-        return replace(state, killed=True), ((Do.KILL, Slot.CURRENT),)
+        return replace(state, killed=True), ((ActionKind.KILL, Slot.CURRENT),)
     return state, ()
 
 
-def _giving_up(
-    state: Supervision, current: Seen, other: Seen, now: float, bounds: Bounds
+def _stopping_replacement(
+    state: Supervision, current: ProcessStatus, other: ProcessStatus, now: float, bounds: Timeouts
 ) -> tuple[Supervision, Actions]:
     if not other.alive:
         after = replace(state, coming="")
         if not current.alive:
-            return _died(after, current.why, now)
+            return _died(after, current.exit_reason, now)
         return _to(after, Phase.STEADY, now), ()
     if (now > state.since + bounds.drain or not current.alive) and not state.killed:
-        return replace(state, killed=True), ((Do.KILL, Slot.OTHER),)
+        return replace(state, killed=True), ((ActionKind.KILL, Slot.OTHER),)
     return state, ()
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class VersionOrder:
     """What the store has said last of versions to one name. `base`: the others' version while this name is in
     a stage; without a sign of the rollout for `confirm` s it goes back to that by itself, for this epoch."""
 
@@ -294,8 +298,8 @@
         return self.base if self.alone else self.version
 
 
-def ordered(
-    order: Order,
+def apply_order(
+    order: VersionOrder,
     name: str,
     epoch: int,
     version: str,
@@ -304,20 +308,20 @@
     confirm: float,
     sign: int,
     now: float,
-) -> Order:
+) -> VersionOrder:
     """The store's word. An epoch that is older than one that was heeded changes nothing."""
     if epoch < order.epoch:
         return order
     if epoch > order.epoch:
         mine = new if new and name in named else version
         base = version if mine != version else ""
-        return Order(epoch, mine, base, confirm, now, max(sign, order.sign))
+        return VersionOrder(epoch, mine, base, confirm, now, max(sign, order.sign))
     if sign > order.sign:
         return replace(order, sign=sign, heard=now)
     return order
 
 
-def unconfirmed(order: Order, now: float) -> Order:
+def revert_unconfirmed(order: VersionOrder, now: float) -> VersionOrder:
     """Back by itself, where nobody has conducted this stage for too long; it stays there for the epoch."""
     if order.base and not order.alone and order.confirm and now > order.heard + order.confirm:
         return replace(order, alone=True)
--- a/gladegw/net/policy_router.py
+++ b/gladegw/net/policy_router.py
@@ -8,8 +8,15 @@
 from fnmatch import fnmatchcase
 from functools import lru_cache
 
-from gladegw.coordination.policy_epochs import DECIDES, HEADER, Shelf, Stamp, Standing, read
-from gladegw.coordination.serving_lease import Gate
+from gladegw.coordination.policy_epochs import (
+    HEADER,
+    USABLE_STATES,
+    PolicyEpoch,
+    TableRetention,
+    TableState,
+    parse_epoch,
+)
+from gladegw.coordination.serving_lease import ServingLease
 from gladegw.net.addresses import network, plain
 from gladegw.net.features import PolicySettings
 from gladegw.net.request import BadRequest, Headers, Routed
@@ -24,11 +31,11 @@
 class Stamped:
     """The router of a proxy under a policy. All of it happens on the serving loop."""
 
-    def __init__(self, pools: Pools, gate: Gate, settings: PolicySettings, may_advise: bool) -> None:
+    def __init__(self, pools: Pools, gate: ServingLease, settings: PolicySettings, may_advise: bool) -> None:
         self.pools, self.gate, self.settings = pools, gate, settings
         self.advice = ((b"retry-after", AGAIN),) if may_advise else ()
-        self.shelf = Shelf(float(settings.hold_s))
-        self.tables: dict[Stamp, Generation] = {}  # that are beside the one in use
+        self.shelf = TableRetention(float(settings.hold_s))
+        self.tables: dict[PolicyEpoch, Generation] = {}  # that are beside the one in use
         self.ready: Ready | None = None  # what is prepared, until a request asks for it
         self.trusted = tuple(network(text) for text in settings.stamp_from)
         self.trusts = lru_cache(maxsize=1024)(self._trusts)
@@ -38,32 +45,32 @@
         """Agreed to, and not in force here; None: it is not any more."""
         self._drop_prepared()
         if ready is not None and self.settings.stamp_from:
-            self.shelf.prepares(Stamp(epoch, digest))
+            self.shelf.on_prepared(PolicyEpoch(epoch, digest))
             self.ready = ready
 
     def take(self, epoch: int, digest: str, ready: Ready | None) -> None:
-        stamp, last = Stamp(epoch, digest), self.shelf.in_use
+        stamp, last = PolicyEpoch(epoch, digest), self.shelf.in_use
         made = self.tables.pop(stamp, None)
         self._drop_prepared()
-        self.shelf.takes(stamp, time.monotonic())
+        self.shelf.activate(stamp, time.monotonic())
         if ready is None:  # by the own file
             return
         if last is not None and last != stamp and self.settings.stamp_from:  # within an epoch nothing is held
             self.tables[last] = self.pools.now
-            self.pools.loop.call_later(self.shelf.hold, self._look)
+            self.pools.loop.call_later(self.shelf.retention_s, self._look)
         self.pools.take(ready, epoch, made, list(self.tables.values()))
         self._look()
 
     def _drop_prepared(self) -> None:
         if self.shelf.prepared is not None:
             self.tables.pop(self.shelf.prepared, None)
-            self.shelf.prepares(None)
+            self.shelf.on_prepared(None)
             self._look()
         self.ready = None
 
     def _look(self) -> None:
         """Ends what is held no longer."""
-        for stamp in self.shelf.over(time.monotonic()):
+        for stamp in self.shelf.expire(time.monotonic()):
             self.tables.pop(stamp, None)
         self.pools.keep(list(self.tables.values()))
 
@@ -75,22 +82,22 @@
             return False
         return any(address in known for known in self.trusted)
 
-    def _told(self, found: list[bytes], source: Callable[[], str]) -> Stamp | None:
+    def _told(self, found: list[bytes], source: Callable[[], str]) -> PolicyEpoch | None:
         """The stamp that the request is to be decided by; None: it has none that counts."""
         if not self.trusts(source()):
             return None
         if len(found) > 1:
             raise BadRequest(400, "more than one stamp of a policy")
         try:
-            return read(found[0])
+            return parse_epoch(found[0])
         except ValueError as fault:
             raise BadRequest(400, str(fault)) from None
 
-    def _generation(self, stamp: Stamp) -> Generation:
-        standing = self.shelf.standing(stamp, time.monotonic())
-        if standing not in DECIDES:
+    def _generation(self, stamp: PolicyEpoch) -> Generation:
+        standing = self.shelf.state_of(stamp, time.monotonic())
+        if standing not in USABLE_STATES:
             raise BadRequest(503, f"policy {stamp} is {standing.value} here", (*self.advice, NEVER_RAN))
-        if standing is Standing.IN_USE:
+        if standing is TableState.IN_USE:
             return self.pools.now
         if stamp not in self.tables:  # prepared, and asked for the first time
             assert self.ready is not None
--- a/gladegw/net/serve.py
+++ b/gladegw/net/serve.py
@@ -97,10 +97,10 @@
     carried = None
     if features.policy is not None and not isinstance(driver, Driver):
         from gladegw.control.clock import boot
-        from gladegw.coordination.serving_lease import Gate
+        from gladegw.coordination.serving_lease import ServingLease
         from gladegw.net.policy_router import Stamped
 
-        router = Stamped(driver, Gate(boot), features.policy, config.settings.may_send_retry_after)
+        router = Stamped(driver, ServingLease(boot), features.policy, config.settings.may_send_retry_after)
         carried = carrier(router, asyncio.get_running_loop())
     desk = driver.desk
     return joined(settings, config, desk.ledger, desk.listed, routes, carried, timing), router
--- a/gladegw/rig/measures/changes.py
+++ b/gladegw/rig/measures/changes.py
@@ -26,8 +26,8 @@
 from gladegw.control.policy_proposals import Operator, Result, status
 from gladegw.control.store_cache import View
 from gladegw.control.store_client import Client, addresses
-from gladegw.coordination.lease import DRIFT
-from gladegw.coordination.records import Change, InForce
+from gladegw.coordination.lease import MAX_CLOCK_DRIFT
+from gladegw.coordination.records import PolicyChangeRecord, PolicyRecord
 from gladegw.rig import process
 from gladegw.rig.errors import RigError
 from gladegw.rig.faults.links import Link
@@ -89,7 +89,7 @@
 def bound(ttl: float, cut: bool) -> float:
     """S for which the older policy may still answer. Where links are cut, one that has agreed and hears
     nothing serves for as long as it knows the store's word (docs/design/policy.md)."""
-    return max(BOUND, ttl * (1 - DRIFT) + TICK) if cut else BOUND
+    return max(BOUND, ttl * (1 - MAX_CLOCK_DRIFT) + TICK) if cut else BOUND
 
 
 def judge(
@@ -192,8 +192,8 @@
         """Waits for a step of the change to this epoch, or for its end; who decides."""
         while True:
             view = await self.operator.view()
-            change = view.read(view.at.change, Change)
-            given, force = cast(view), view.read(view.at.force, InForce)
+            change = view.read(view.at.change, PolicyChangeRecord)
+            given, force = cast(view), view.read(view.at.force, PolicyRecord)
             there = {
                 "before": True,
                 "proposed": change is not None,
--- a/gladegw/rig/measures/crowd.py
+++ b/gladegw/rig/measures/crowd.py
@@ -17,8 +17,8 @@
 from gladegw.control.member import Agent, Options
 from gladegw.control.policy_participant import Carrier
 from gladegw.control.store_client import addresses
-from gladegw.coordination.records import Figures, Member
-from gladegw.coordination.serving_lease import Gate
+from gladegw.coordination.records import MemberMetricsRecord, MemberRecord
+from gladegw.coordination.serving_lease import ServingLease
 
 LOOK = 0.05  # s
 AT_ONCE = 25  # that join at once, of a process
@@ -49,7 +49,7 @@
 
 def carrier() -> Carrier:
     """Whatever is decided is taken, at once."""
-    return Carrier(lambda files: files, lambda epoch, digest, ready, done: done(), Gate(boot))
+    return Carrier(lambda files: files, lambda epoch, digest, ready, done: done(), ServingLease(boot))
 
 
 def agents(plan: Plan) -> list[Agent]:
@@ -60,9 +60,9 @@
     return [
         Agent(
             options,
-            Member(name=f"m{number}", incarnation="", state="ready"),
+            MemberRecord(name=f"m{number}", incarnation="", state="ready"),
             works,
-            lambda name=f"m{number}": Figures(name=name),  # type: ignore[misc]
+            lambda name=f"m{number}": MemberMetricsRecord(name=name),  # type: ignore[misc]
             carrier=carrier() if plan.policy else None,
         )
         for number in range(plan.first, plan.first + plan.count)
--- a/gladegw/rig/measures/member.py
+++ b/gladegw/rig/measures/member.py
@@ -22,7 +22,7 @@
 from gladegw.control.store_cache import View
 from gladegw.control.store_client import addresses
 from gladegw.coordination import duty as duties
-from gladegw.coordination.records import VERSION, Member, Record, encode
+from gladegw.coordination.records import VERSION, MemberRecord, Record, encode
 from gladegw.coordination.store import Compare, Get, Operation, Put, Txn
 
 
@@ -114,7 +114,7 @@
 
     options = Options(addresses(plan.endpoints), plan.prefix, plan.ttl, timeout=0.5)
     works = [_work(duty, plan, note, bound) for duty in plan.duties]
-    member = Member(name=plan.name, incarnation="", state="ready")
+    member = MemberRecord(name=plan.name, incarnation="", state="ready")
     agent = Agent(options, member, works, clock=lambda: boot() * plan.rate, told=told)
     agent.start()
     stop = threading.Event()
--- a/gladegw/rig/measures/rolled.py
+++ b/gladegw/rig/measures/rolled.py
@@ -9,7 +9,7 @@
 
 import matplotlib.pyplot as plt
 
-from gladegw.coordination.records import Point, Rollout
+from gladegw.coordination.records import RolloutRecord, TimelinePointRecord
 from gladegw.rig.measures import report
 
 SMOOTHED = 5  # windows of which a rate and its interval are told
@@ -26,7 +26,7 @@
     return rate, max(0.0, middle - half), min(1.0, middle + half)
 
 
-def rates(points: Sequence[Point], side: str, figure: str) -> list[tuple[float, float, float]]:
+def rates(points: Sequence[TimelinePointRecord], side: str, figure: str) -> list[tuple[float, float, float]]:
     """Over the last windows of the same stage, at each point, in percent."""
     found = []
     for place, point in enumerate(points):
@@ -40,7 +40,7 @@
     return found
 
 
-def plots(record: Rollout, points: Sequence[Point]) -> str:
+def plots(record: RolloutRecord, points: Sequence[TimelinePointRecord]) -> str:
     times = [point.at for point in points]
     shown = sorted(
         {
@@ -101,7 +101,7 @@
     return text[text.index("<svg") :]
 
 
-def stages(record: Rollout, points: Sequence[Point]) -> list[tuple[Any, ...]]:
+def stages(record: RolloutRecord, points: Sequence[TimelinePointRecord]) -> list[tuple[Any, ...]]:
     rows: list[tuple[Any, ...]] = []
     for number, names in enumerate(record.stages):
         mine = [point for point in points if point.stage == number]
@@ -131,7 +131,7 @@
 HEAD = ("stage", "members", "came to", "baked", "requests", "most evidence, log e")
 
 
-def page(record: Rollout, points: Sequence[Point]) -> str:
+def page(record: RolloutRecord, points: Sequence[TimelinePointRecord]) -> str:
     """`points` in their order; without any there is no plot."""
     facts = [
         ("state", record.phase),
--- a/gladegw/rig/measures/scale.py
+++ b/gladegw/rig/measures/scale.py
@@ -122,7 +122,7 @@
                             kind, duty = keys.split(event.kv.key)
                             if kind != "duties" or duty not in wanted or duty in found:
                                 continue
-                            if event.gone:
+                            if event.deleted:
                                 gone[duty] = time.monotonic()
                             elif duty in gone:
                                 found[duty] = gone[duty], time.monotonic()
--- a/gladegw/rig/measures/stall.py
+++ b/gladegw/rig/measures/stall.py
@@ -21,7 +21,7 @@
 from gladegw.control.duties.base import Holding, Work
 from gladegw.control.member import Agent, Options
 from gladegw.control.store_client import addresses
-from gladegw.coordination.records import Member
+from gladegw.coordination.records import MemberRecord
 from gladegw.coordination.store import Put
 from gladegw.rig import process
 from gladegw.rig.errors import RigError
@@ -75,7 +75,7 @@
 async def stalled(plan: Plan) -> Row:
     """Raises TimeoutError where it never held the duty."""
     options = Options(addresses(plan.endpoints), PREFIX, plan.ttl, timeout=1.0)
-    agent = Agent(options, Member(name="m", incarnation="", state="ready"), [Beats], clock=boot)
+    agent = Agent(options, MemberRecord(name="m", incarnation="", state="ready"), [Beats], clock=boot)
     work = agent.works[0]
     assert isinstance(work, Beats)
     if plan.thread:
--- a/gladegw/rig/model_checking/duties.py
+++ b/gladegw/rig/model_checking/duties.py
@@ -16,11 +16,11 @@
 from gladegw.coordination import lease as leases
 from gladegw.coordination.duty import Action, Duty, Event, Phase
 from gladegw.coordination.lease import Lease
-from gladegw.coordination.store import Done, Get, Granted, KeyValue, Model, StoreError, Txn
+from gladegw.coordination.store import Get, GrantedLease, InMemoryStore, KeyValue, StoreError, Txn, TxnResult
 
 KEY = b"duties/one"
 MOST_TTL = 8  # ticks
-AWAITED = {Phase.ASKING: "claim", Phase.UNSURE: "read", Phase.LEAVING: "give back"}
+AWAITED = {Phase.CLAIMING: "claim", Phase.UNCERTAIN: "read", Phase.RELEASING: "give back"}
 LIKELY = (  # how likely a step is in a long run, by words of its name; 1 for the rest
     ("clock loses", 0.3),
     ("a tick", 0.7),
@@ -189,9 +189,9 @@
             yield f"{who} asks for a lease", self._send(state, number, Request("grant"))
         if member.lease.id and idle("renew"):
             yield f"{who} renews", self._send(state, number, Request("renew", member.lease.id))
-        if member.lease.live(0.0) and idle("read"):
+        if member.lease.is_valid(0.0) and idle("read"):
             yield f"{who} reads", self._send(state, number, Request("read"))
-        if member.lease.id and not member.lease.live(0.0) and wanted("expire"):
+        if member.lease.id and not member.lease.is_valid(0.0) and wanted("expire"):
             yield (
                 f"{who} finds its lease expired",
                 self._on(self._with(state, number, lease=Lease()), number, Event.EXPIRED),
@@ -199,9 +199,9 @@
         awaited = AWAITED.get(member.duty.phase)
         if awaited is not None and (not kinds or ("time out" in kinds and not _waits(member, awaited))):
             yield f"{who} waits no more for its {awaited}", self._give_up(state, number, awaited)
-        if state.leaves and not member.leaving and not kinds and member.duty.phase is not Phase.RESTING:
+        if state.leaves and not member.leaving and not kinds and member.duty.phase is not Phase.IDLE:
             leaving = replace(self._with(state, number, leaving=True), leaves=state.leaves - 1)
-            yield f"{who} is told to leave", self._on(leaving, number, Event.LEAVE)
+            yield f"{who} is told to leave", self._on(leaving, number, Event.RELEASE)
         if kinds:
             return
         if member.checked:
@@ -230,16 +230,16 @@
         return self._from(replace(state, members=members), store, 1.0)
 
     # the store
-    def _store(self, state: State) -> Model:
-        store = Model()
+    def _store(self, state: State) -> InMemoryStore:
+        store = InMemoryStore()
         store.revision = state.revision
-        store.leases = {id: Granted(id, self.ttl, left) for id, left in state.granted}
+        store.leases = {id: GrantedLease(id, self.ttl, left) for id, left in state.granted}
         if state.key is not None:
-            store.stands(state.key)
+            store.set_current(state.key)
         return store
 
-    def _from(self, state: State, store: Model, now: float) -> State:
-        granted = tuple(sorted((id, int(lease.until - now)) for id, lease in store.leases.items()))
+    def _from(self, state: State, store: InMemoryStore, now: float) -> State:
+        granted = tuple(sorted((id, int(lease.expires_at - now)) for id, lease in store.leases.items()))
         return replace(state, revision=store.revision, key=store.keys.get(KEY), granted=granted)
 
     def _deliver(self, state: State, number: int, place: int, again: bool) -> State:
@@ -279,20 +279,20 @@
         if request.kind == "claim":
             return duties.claim(KEY, b"", request.lease)
         if request.kind == "give back":
-            return duties.give_back(KEY, request.lease)
+            return duties.release(KEY, request.lease)
         if request.kind == "effect":
             return duties.fenced(KEY, request.token, Get(KEY))
         return Txn((), (Get(KEY),))
 
     @staticmethod
-    def _accepted(state: State, request: Request, done: Done) -> State:
+    def _accepted(state: State, request: Request, done: TxnResult) -> State:
         if not done.succeeded:
             return state
         wrong = "" if request.token >= state.accepted else "an effect is accepted under an older token"
         return replace(state, accepted=max(state.accepted, request.token), wrong=state.wrong or wrong)
 
     @staticmethod
-    def _told(request: Request, done: Done) -> Answer:
+    def _told(request: Request, done: TxnResult) -> Answer:
         if request.kind == "claim" and done.succeeded:
             return Answer("claim", request.lease, done.revision, done.revision)
         if request.kind == "give back" and done.succeeded:
@@ -316,12 +316,12 @@
             lease = leases.renewed(member.lease, answer.lease, -answer.age, answer.ttl, self.drift)
             state = self._with(state, number, lease=lease)
             return self._on(state, number, Event.EXPIRED) if member.lease.id and not lease.id else state
-        event = duties.heard(answer.token, answer.lease, member.lease)
+        event = duties.event_of_key(answer.token, answer.lease, member.lease)
         state = self._on(state, number, event, answer.token, answer.revision)
         member = state.members[number]
-        vacant = event is Event.NOBODY and not member.leaving and answer.revision >= member.duty.seen
-        if vacant and member.duty.phase is Phase.RESTING and member.lease.live(0.0):
-            return self._on(state, number, Event.TURN)
+        vacant = event is Event.VACANT and not member.leaving and answer.revision >= member.duty.seen_revision
+        if vacant and member.duty.phase is Phase.IDLE and member.lease.is_valid(0.0):
+            return self._on(state, number, Event.CLAIM_DUE)
         return state
 
     def _give_up(self, state: State, number: int, kind: str) -> State:
@@ -336,7 +336,7 @@
         duty, actions = duties.step(member.duty, event, token, revision)
         state = self._with(state, number, duty=duty)
         for action in actions:
-            kind = {Action.CLAIM: "claim", Action.READ: "read", Action.GIVE_BACK: "give back"}.get(action)
+            kind = {Action.CLAIM: "claim", Action.READ: "read", Action.RELEASE: "give back"}.get(action)
             if kind is not None:
                 state = self._send(state, number, Request(kind, member.lease.id))
         return state
@@ -385,7 +385,7 @@
         revisions |= {state.key.create_revision, state.key.mod_revision}
         ids.add(state.key.lease)
     for member in members:
-        revisions |= {member.duty.token, member.duty.seen, member.checked}
+        revisions |= {member.duty.token, member.duty.seen_revision, member.checked}
         ids.add(member.lease.id)
         for request in member.out:
             revisions.add(request.token)
@@ -420,7 +420,7 @@
         member.leaving,
         tuple((r.kind, r.age, r.late) for r in member.out),
         tuple((a.kind, a.age, a.late, a.ttl) for a in member.back),
-        member.duty.seen,
+        member.duty.seen_revision,
         member.lease.id,
     )
 
@@ -429,7 +429,7 @@
     duty = member.duty
     return replace(
         member,
-        duty=Duty(duty.phase, rank[duty.token], rank[duty.seen]),
+        duty=Duty(duty.phase, rank[duty.token], rank[duty.seen_revision]),
         lease=replace(member.lease, id=name[member.lease.id]),
         checked=rank[member.checked],
         out=tuple(replace(r, lease=name[r.lease], token=rank[r.token]) for r in member.out),
--- a/gladegw/rig/model_checking/policies.py
+++ b/gladegw/rig/model_checking/policies.py
@@ -12,7 +12,16 @@
 from dataclasses import dataclass, field, replace
 
 from gladegw.coordination import policy_commit
-from gladegw.coordination.policy_commit import Action, Force, Member, Open, Outcome, Phase, Verdict, Vote
+from gladegw.coordination.policy_commit import (
+    Action,
+    CommittedPolicy,
+    Decision,
+    OpenChange,
+    Outcome,
+    Participant,
+    Phase,
+    Vote,
+)
 
 ROUNDS = 20  # of a run without faults in which an open change has to be closed
 LIKELY = (
@@ -34,8 +43,8 @@
     """The store's records at one revision."""
 
     revision: int = 1
-    force: Force = field(default_factory=Force)
-    change: Open | None = None
+    force: CommittedPolicy = field(default_factory=CommittedPolicy)
+    change: OpenChange | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +52,7 @@
     up: bool = True
     life: int = 0  # counts its processes
     registered: bool = True
-    member: Member = field(default_factory=Member)
+    member: Participant = field(default_factory=Participant)
     heard: Word = field(default_factory=Word)  # the newest word that has reached it, and is not heeded yet
     older: Word | None = None  # one that was heard before, and comes once more
     preparing: tuple[str, ...] = ()
@@ -56,7 +65,7 @@
     word: Word
     proxies: tuple[Proxy, ...]
     proposed_with: tuple[str, ...] = ()
-    looked: Verdict | None = None  # what the decider has made of its view, and at which revision
+    looked: Decision | None = None  # what the decider has made of its view, and at which revision
     looked_at: int = 0
     changes: int = 2  # still to be proposed; likewise the others
     crashes: int = 2
@@ -80,11 +89,11 @@
     ) -> None:
         self.members, self.refuse, self.bad = members, refuse, bad
         self.changes, self.crashes, self.cuts = changes, crashes, cuts
-        self.told: Callable[..., tuple[Member, tuple[Action, ...]]] = policy_commit.told
-        self.prepared: Callable[..., tuple[Member, tuple[Action, ...]]] = policy_commit.prepared
-        self.rejoined: Callable[..., Member] = policy_commit.rejoined
-        self.in_doubt: Callable[[Member], bool] = policy_commit.in_doubt
-        self.verdict: Callable[..., Verdict] = policy_commit.verdict
+        self.told: Callable[..., tuple[Participant, tuple[Action, ...]]] = policy_commit.on_store_update
+        self.prepared: Callable[..., tuple[Participant, tuple[Action, ...]]] = policy_commit.on_prepare_result
+        self.rejoined: Callable[..., Participant] = policy_commit.on_rejoin
+        self.in_doubt: Callable[[Participant], bool] = policy_commit.in_doubt
+        self.verdict: Callable[..., Decision] = policy_commit.decide
         self.compares = True  # the decision compares that the change is still open
         self.dies_with_lease = True  # votes and the right to serve end with the registration
 
@@ -92,7 +101,7 @@
         word = Word()
         proxies = []
         for _ in range(self.members):
-            member, _ = policy_commit.told(Member(), word.force, None, 1)
+            member, _ = policy_commit.on_store_update(Participant(), word.force, None, 1)
             proxies.append(Proxy(member=member, heard=word))
         return State(
             word, tuple(proxies), changes=self.changes, crashes=self.crashes, cuts=self.cuts, bad=self.bad
@@ -105,7 +114,7 @@
     def serves(self, proxy: Proxy) -> bool:
         """What its gate says: under `refuse`, or in doubt, a member that the store has given up had stopped
         before."""
-        if not proxy.up or not proxy.member.serves:
+        if not proxy.up or not proxy.member.may_serve:
             return False
         stops = self.refuse or self.in_doubt(proxy.member)
         return proxy.registered or not (stops and self.dies_with_lease)
@@ -120,7 +129,7 @@
             yield "the change ends by its lease", self._closed(state)
             yield "the change is called off", self._closed(state)
             yield "the decider looks", self._look(state)
-        if state.looked is not None and state.looked.outcome is not Outcome.WAIT:
+        if state.looked is not None and state.looked.outcome is not Outcome.PENDING:
             yield f"the decider's {state.looked.outcome.value} arrives", self._decided(state)
         for number, proxy in enumerate(state.proxies):
             yield from self._own(state, number, proxy)
@@ -139,7 +148,7 @@
                     up=True,
                     life=proxy.life + 1,
                     registered=True,
-                    member=Member(),
+                    member=Participant(),
                     heard=Word(0),
                     older=None,
                     preparing=(),
@@ -150,9 +159,13 @@
             return
         if proxy.registered and proxy.heard != state.word:
             yield f"the word reaches {who}", put(heard=state.word, older=proxy.heard)
-        if proxy.older is not None and proxy.older.revision and proxy.member.seen >= proxy.older.revision:
+        if (
+            proxy.older is not None
+            and proxy.older.revision
+            and proxy.member.seen_revision >= proxy.older.revision
+        ):
             yield f"{who} hears an older word", self._heard(state, number, proxy.older)
-        news = proxy.heard.revision > proxy.member.seen or proxy.member.phase is Phase.UNKNOWN
+        news = proxy.heard.revision > proxy.member.seen_revision or proxy.member.phase is Phase.UNKNOWN
         if proxy.heard.revision and news:
             yield f"{who} hears", self._heard(state, number, proxy.heard)
         for digest in proxy.preparing:
@@ -186,13 +199,13 @@
 
     def _proposed(self, state: State) -> State:
         word = state.word
-        change = Open(word.revision + 1, word.force.epoch + 1, f"b{state.changes}")
+        change = OpenChange(word.revision + 1, word.force.epoch + 1, f"b{state.changes}")
         there = tuple(self.name(state, n) for n, proxy in enumerate(state.proxies) if proxy.registered)
-        after = replace(word, revision=word.revision + 1, change=change)
+        after = replace(word, revision=word.revision + 1, open_change=change)
         return replace(state, word=after, proposed_with=there, changes=state.changes - 1, looked=None)
 
     def _closed(self, state: State) -> State:
-        return replace(state, word=replace(state.word, revision=state.word.revision + 1, change=None))
+        return replace(state, word=replace(state.word, revision=state.word.revision + 1, open_change=None))
 
     def _look(self, state: State) -> State:
         change = state.word.change
@@ -204,7 +217,9 @@
         unreached = [] if self.refuse else [f"m{n}" for n, p in enumerate(state.proxies) if not p.registered]
         found = self.verdict(change, state.word.force, state.proposed_with, registered, votes, (), unreached)
         lost = set(state.proposed_with) - set(registered)
-        wrong = f"decided although {sorted(lost)} were lost" if lost and found.outcome is Outcome.YES else ""
+        wrong = (
+            f"decided although {sorted(lost)} were lost" if lost and found.outcome is Outcome.COMMIT else ""
+        )
         return replace(state, looked=found, looked_at=change.id, wrong=wrong or state.wrong)
 
     def _decided(self, state: State) -> State:
@@ -214,24 +229,24 @@
         state = replace(state, looked=None)
         if self.compares and (change is None or change.id != state.looked_at):
             return state
-        if found.outcome is Outcome.NO:
+        if found.outcome is Outcome.ABORT:
             return self._closed(state)
         if change is None:  # a planted defect: what was looked at is gone
-            change = Open(state.looked_at, word.force.epoch + 1, f"b{state.changes + 1}")
-        force = Force(change.epoch, change.digest)
+            change = OpenChange(state.looked_at, word.force.epoch + 1, f"b{state.changes + 1}")
+        force = CommittedPolicy(change.epoch, change.digest)
         after = Word(word.revision + 1, force)
         return replace(state, word=after, decided=(*state.decided, change.digest))
 
-    def _acted(self, state: State, number: int, member: Member, actions: tuple[Action, ...]) -> State:
+    def _acted(self, state: State, number: int, member: Participant, actions: tuple[Action, ...]) -> State:
         proxy = state.proxies[number]
         preparing, voting, wrong = proxy.preparing, proxy.voting, state.wrong
         for action in actions:
             if action is Action.PREPARE:
-                preparing = (*(one for one in preparing if one != member.wanted), member.wanted)
-            elif action in (Action.YES, Action.NO):
-                assert member.change is not None
-                voting = Vote(member.change.id, member.change.digest, action is Action.YES)
-            elif action is Action.TAKE and member.epoch < proxy.member.epoch:
+                preparing = (*(one for one in preparing if one != member.preparing), member.preparing)
+            elif action in (Action.VOTE_YES, Action.VOTE_NO):
+                assert member.open_change is not None
+                voting = Vote(member.open_change.id, member.open_change.digest, action is Action.VOTE_YES)
+            elif action is Action.ACTIVATE and member.epoch < proxy.member.epoch:
                 wrong = f"m{number} went back from epoch {proxy.member.epoch} to {member.epoch}"
         proxies = list(state.proxies)
         proxies[number] = replace(proxy, member=member, preparing=preparing, voting=voting)
@@ -260,7 +275,7 @@
             epoch, digest = proxy.member.epoch, proxy.member.digest
             if epoch >= len(state.decided) or state.decided[epoch] != digest:
                 return f"m{number} serves by epoch {epoch} ({digest}), which was not decided"
-            if epoch < force.epoch - 1 or (epoch < force.epoch and proxy.member.held != force.digest):
+            if epoch < force.epoch - 1 or (epoch < force.epoch and proxy.member.prepared != force.digest):
                 return f"m{number} serves by epoch {epoch} and does not hold epoch {force.epoch}"
         return ""
 
@@ -272,7 +287,7 @@
         if state.word.change is not None:
             return "a change stays open"
         for number, proxy in enumerate(state.proxies):
-            stuck = proxy.member.phase is Phase.STUCK
+            stuck = proxy.member.phase is Phase.PREPARE_FAILED
             if not stuck and (not self.serves(proxy) or proxy.member.epoch != state.word.force.epoch):
                 return f"m{number} does not come to serve by epoch {state.word.force.epoch}"
         return ""
--- a/gladegw/rig/simulate/judge.py
+++ b/gladegw/rig/simulate/judge.py
@@ -9,8 +9,15 @@
 from gladegw.control.fleet_status import duties
 from gladegw.control.policy_participant import TICK, own
 from gladegw.control.store_cache import View
-from gladegw.coordination.lease import DRIFT
-from gladegw.coordination.records import Change, InForce, Known, Rollout, Weighed, decode
+from gladegw.coordination.lease import MAX_CLOCK_DRIFT
+from gladegw.coordination.records import (
+    EvidenceRecord,
+    KnownMemberRecord,
+    PolicyChangeRecord,
+    PolicyRecord,
+    RolloutRecord,
+    decode,
+)
 from gladegw.coordination.store import Get, within
 from gladegw.rig.simulate.world import BAD, BROKEN, RATES, TTL, Process, World, files
 
@@ -25,12 +32,12 @@
 class Judge:
     def __init__(self, world: World) -> None:
         self.world = world
-        self.decided: dict[int, tuple[float, InForce]] = {0: (0.0, InForce(epoch=0, digest=""))}
+        self.decided: dict[int, tuple[float, PolicyRecord]] = {0: (0.0, PolicyRecord(epoch=0, digest=""))}
         self.seen = 0  # revision of what is in force
         self.words: dict[str, str] = {"": ""}  # by digest
         self.broken: list[str] = []
         self.looks = 0
-        stops = TTL * (1 - DRIFT) / min(RATES) + TICK  # of one that has agreed, or of `refuse`
+        stops = TTL * (1 - MAX_CLOCK_DRIFT) / min(RATES) + TICK  # of one that has agreed, or of `refuse`
         self.bound = max(1.0 + TICK, stops) + SLACK
 
     def knows(self, word: str) -> str:
@@ -47,7 +54,7 @@
         held = world.cluster.model.keys.get(world.operator.keys.force)
         if held is not None and held.mod_revision != self.seen:
             self.seen = held.mod_revision
-            force = decode(held.value, InForce)
+            force = decode(held.value, PolicyRecord)
             self.decided[force.epoch] = (world.loop.now, force)
         for process in world.serving():
             self.serves(process, max(self.decided))
@@ -67,12 +74,12 @@
                 self.add(f"{process.id} serves by epoch {process.epoch}, {after:.2f} s after {epoch}")
                 return
 
-    def right(self, force: InForce, name: str) -> set[str | None]:
+    def right(self, force: PolicyRecord, name: str) -> set[str | None]:
         """Words that a member may serve by under it: its own part, or the others' if it went back."""
         mine, common = own(force, name)
         return {self.words.get(mine), self.words.get(common if common else mine)}
 
-    def bound_of(self, force: InForce, later: InForce) -> float:
+    def bound_of(self, force: PolicyRecord, later: PolicyRecord) -> float:
         """A stage that is taken back waits for nobody: its members that are cut off go back by themselves."""
         if force.new and force.rollout and later.digest == force.digest:
             return max(self.bound, force.confirm_s / min(RATES) + self.bound)
@@ -82,35 +89,35 @@
     def history(self) -> None:
         world, keys = self.world, self.world.operator.keys
         epoch, token = 0, 0
-        weighed: dict[str, Weighed] = {}
+        weighed: dict[str, EvidenceRecord] = {}
         stages: dict[str, int] = {}
         over: set[str] = set()
         there: set[str] = set()
         left: set[str] = set()
-        change: Change | None = None
+        change: PolicyChangeRecord | None = None
         for event in world.cluster.model.log:
             key, value = event.kv.key, event.kv.value
             if within(key, *keys.members):
                 who = "#".join(keys.split(key)[1:])
-                (there.discard if event.gone else there.add)(who)
-            if event.gone:
+                (there.discard if event.deleted else there.add)(who)
+            if event.deleted:
                 continue
             if key == keys.change:
-                change = decode(value, Change)
+                change = decode(value, PolicyChangeRecord)
             elif key.startswith(keys.known("")):
-                known = decode(value, Known)
+                known = decode(value, KnownMemberRecord)
                 (left.add if known.left else left.discard)(known.name)
             if key == keys.fleet("counted"):
                 if int(value) < token:
                     self.add(f"an effect of token {int(value)} was taken after one of {token}")
                 token = max(token, int(value))
             elif key == keys.weighed:
-                told = decode(value, Weighed)
+                told = decode(value, EvidenceRecord)
                 weighed[told.rollout] = told
             elif key == keys.rollout or key.startswith(keys.rolled("")):
-                self._rollout(decode(value, Rollout), weighed, stages, over)
+                self._rollout(decode(value, RolloutRecord), weighed, stages, over)
             elif key == keys.force:
-                force = decode(value, InForce)
+                force = decode(value, PolicyRecord)
                 if force.epoch != epoch + 1:
                     self.add(f"epoch {force.epoch} stands after {epoch}")
                 epoch = force.epoch
@@ -129,14 +136,18 @@
             if what.startswith("BACK"):
                 self.add(what)
 
-    def _force(self, force: InForce, over: set[str]) -> None:
+    def _force(self, force: PolicyRecord, over: set[str]) -> None:
         if BAD in self.words.get(force.digest, ""):
             self.add(f"epoch {force.epoch} has a bundle for all that fails")
         if force.new and force.rollout in over:
             self.add(f"epoch {force.epoch} is a stage of rollout {force.rollout}, which was over")
 
     def _rollout(
-        self, record: Rollout, weighed: dict[str, Weighed], stages: dict[str, int], over: set[str]
+        self,
+        record: RolloutRecord,
+        weighed: dict[str, EvidenceRecord],
+        stages: dict[str, int],
+        over: set[str],
     ) -> None:
         before = stages.get(record.id, 0)
         moved = record.stage > before or record.phase == "finishing"
--- a/gladegw/rig/simulate/scenario_run.py
+++ b/gladegw/rig/simulate/scenario_run.py
@@ -12,7 +12,7 @@
 
 from gladegw.control.errors import StoreFault
 from gladegw.control.rollout_plan import Plan
-from gladegw.coordination.records import Rollout
+from gladegw.coordination.records import RolloutRecord
 from gladegw.rig.simulate.judge import Judge
 from gladegw.rig.simulate.world import BAD, BROKEN, CONFIRM, DEADLINE, World, files, lived
 
@@ -89,9 +89,9 @@
             record = await rollouts.start(PLAN, bundle, CONFIRM, DEADLINE, everyone, "rig", word)
         except (StoreFault, ValueError):
             return
-        course: list[Callable[[], Awaitable[Rollout]]] = []
+        course: list[Callable[[], Awaitable[RolloutRecord]]] = []
         if self.draws.random() < 0.3:
-            courses: tuple[list[Callable[[], Awaitable[Rollout]]], ...] = (
+            courses: tuple[list[Callable[[], Awaitable[RolloutRecord]]], ...] = (
                 [lambda: rollouts.stop("rig", True)],
                 [lambda: rollouts.stop("rig", False)],
                 [lambda: rollouts.pause(True), lambda: rollouts.pause(False)],
--- a/gladegw/rig/simulate/seeded_defects.py
+++ b/gladegw/rig/simulate/seeded_defects.py
@@ -17,9 +17,9 @@
 from gladegw.coordination import duty as duties
 from gladegw.coordination import lease as leases
 from gladegw.coordination import policy_commit as table
-from gladegw.coordination.canary_analysis import Answer, Judged
+from gladegw.coordination.canary_analysis import Evaluation, Verdict
 from gladegw.coordination.duty import Phase
-from gladegw.coordination.store import Done, Get, Operation, Txn
+from gladegw.coordination.store import Get, Operation, Txn, TxnResult
 
 Put = Callable[[Any, str, Any], None]  # in an object, under a name, in place of what is there
 
@@ -51,14 +51,14 @@
 def _no_compares(put: Put) -> None:
     real = Keeper.effect
 
-    async def effect(self: Keeper, *operations: Operation, compares: Any = ()) -> Done:
+    async def effect(self: Keeper, *operations: Operation, compares: Any = ()) -> TxnResult:
         return await real(self, *operations)
 
     put(Keeper, "effect", effect)
 
 
 def _no_bound(put: Put) -> None:
-    put(duties, "may_act", lambda duty, lease, now: duty.phase is Phase.HOLDING)
+    put(duties, "may_act", lambda duty, lease, now: duty.phase is Phase.HELD)
 
 
 def _early(put: Put) -> None:
@@ -76,16 +76,16 @@
 
 
 def _lost_is_yes(put: Put) -> None:
-    real = table.verdict
+    real = table.decide
 
-    def verdict(change: Any, force: Any, proposed_with: Any, *rest: Any) -> Any:
+    def decide(change: Any, force: Any, proposed_with: Any, *rest: Any) -> Any:
         return real(change, force, (), *rest)
 
-    put(table, "verdict", verdict)
+    put(table, "decide", decide)
 
 
 def _no_verdict(put: Put) -> None:
-    put(canary_analysis, "judged", lambda evidence, limits, baked: Judged(Answer.NOT_WORSE))
+    put(canary_analysis, "evaluate", lambda evidence, limits, baked: Evaluation(Verdict.NOT_WORSE))
 
 
 def _any_votes(put: Put) -> None:
--- a/gladegw/rig/simulate/wire.py
+++ b/gladegw/rig/simulate/wire.py
@@ -9,7 +9,16 @@
 from typing import Any, TypeVar
 
 from gladegw.control.errors import RefusedByStore, Unreachable, WatchLost
-from gladegw.coordination.store import Compacted, Done, Event, Get, KeyValue, Operation, StoreError, Txn
+from gladegw.coordination.store import (
+    CompactedError,
+    Get,
+    KeyValue,
+    Operation,
+    StoreError,
+    StoreEvent,
+    Txn,
+    TxnResult,
+)
 from gladegw.rig.simulate.loop import VirtualLoop
 from gladegw.rig.store.cluster import Cluster, NotNow
 
@@ -115,10 +124,10 @@
         found: T = result
         return found
 
-    async def txn(self, txn: Txn) -> Done:
+    async def txn(self, txn: Txn) -> TxnResult:
         return await self._call(lambda member: self.cluster.write(member, txn))
 
-    async def do(self, *operations: Operation) -> Done:
+    async def do(self, *operations: Operation) -> TxnResult:
         return await self.txn(Txn((), operations))
 
     async def get(self, asked: Get, serializable: bool = False) -> tuple[int, tuple[KeyValue, ...]]:
@@ -163,7 +172,7 @@
 
     async def watch(
         self, key: bytes, end: bytes, revision: int, silence: float
-    ) -> AsyncIterator[tuple[int, list[Event]]]:
+    ) -> AsyncIterator[tuple[int, list[StoreEvent]]]:
         member, watch, bell = self.member, Watching(key, end, revision), asyncio.Event()
         machine = self.cluster.machines[member]
         machine.watches[bell] = {0: watch}
@@ -177,7 +186,7 @@
                 if watch.next <= until:
                     try:
                         found = self.cluster.model.since(watch.next, key, end)
-                    except Compacted as fault:
+                    except CompactedError as fault:
                         raise WatchLost(str(fault), True) from None
                     watch.next = until + 1
                     told = [event for event in found if event.kv.mod_revision <= until]
--- a/gladegw/rig/simulate/world.py
+++ b/gladegw/rig/simulate/world.py
@@ -24,8 +24,8 @@
 from gladegw.control.policy_participant import Carrier
 from gladegw.control.policy_proposals import Operator
 from gladegw.control.rollouts import Rollouts
-from gladegw.coordination.records import Figures, Member
-from gladegw.coordination.serving_lease import Gate
+from gladegw.coordination.records import MemberMetricsRecord, MemberRecord
+from gladegw.coordination.serving_lease import ServingLease
 from gladegw.coordination.store import Put
 from gladegw.rig.measures.failover import Judge as Holders
 from gladegw.rig.measures.member import Line
@@ -67,7 +67,7 @@
     rate: float
     loop: VirtualLoop
     agent: Agent = field(init=False)
-    gate: Gate = field(init=False)
+    gate: ServingLease = field(init=False)
     task: asyncio.Task[None] = field(init=False)
     epoch: int = -1
     word: str = ""
@@ -86,7 +86,7 @@
     def clock(self) -> float:
         return self.loop.now * self.rate
 
-    def figures(self) -> Figures:
+    def figures(self) -> MemberMetricsRecord:
         """Of the requests since it was asked last."""
         now = self.loop.now
         asked = int((now - self.counted) * RATE) if self.counted else 0
@@ -104,7 +104,9 @@
             ("cpu_us", 500 * asked),
         ):
             told[name] = told.get(name, 0) + more
-        return Figures(name=self.name, figures={**told, "at_ms": round(1000 * now), "rss_kb": 30_000})
+        return MemberMetricsRecord(
+            name=self.name, figures={**told, "at_ms": round(1000 * now), "rss_kb": 30_000}
+        )
 
 
 class World:
@@ -142,9 +144,9 @@
         return process
 
     def _made(self, process: Process, zone: str) -> None:
-        process.gate = Gate(process.clock)
+        process.gate = ServingLease(process.clock)
         options = Options((("store", 1),), PREFIX, TTL, TIMEOUT)
-        member = Member(name=process.name, incarnation=f"i{process.life}", zone=zone, state="ready")
+        member = MemberRecord(name=process.name, incarnation=f"i{process.life}", zone=zone, state="ready")
         works: list[type[Work]] = [*ALL, Decide, Bundles, Conduct, self._counted(process)]
 
         def told(duty: str, token: int, begun: bool) -> None:
--- a/gladegw/rig/store/cluster.py
+++ b/gladegw/rig/store/cluster.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from gladegw.coordination.store import Done, Get, KeyValue, Model, Target, Txn, within
+from gladegw.coordination.store import Get, InMemoryStore, KeyValue, Target, Txn, TxnResult, within
 from gladegw.rig.store.record import Recorder
 
 STEP = 0.02  # s between looks at what time alone changes
@@ -57,7 +57,7 @@
         election: float = 0.5,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self.model = Model(least_ttl=least_ttl)
+        self.model = InMemoryStore(min_ttl=least_ttl)
         self.machines = [Machine() for _ in range(members)]
         self.leader: int | None = 0
         self.term = 1
@@ -130,7 +130,7 @@
         if self.quorum() and self.leader is None:
             self.term += 1
             self.leader = able[self.term % len(able)]
-            self.model.prolong(self.now)
+            self.model.extend_all(self.now)
 
     # what members do
     async def heard(self) -> None:
@@ -174,7 +174,7 @@
         for watch in self.machines[member].watches:
             watch.set()
 
-    async def write(self, member: int, txn: Txn) -> Done:
+    async def write(self, member: int, txn: Txn) -> TxnResult:
         """Raises StoreError, or NotNow where the caller can't know what became of it."""
         if not self.led(member):
             raise NotNow(NO_LEADER)
