--- a/gladegw/rig/store/record.py
+++ b/gladegw/rig/store/record.py
@@ -16,14 +16,14 @@
 from gladegw.coordination.store import (
     Compare,
     Delete,
-    Done,
-    Event,
     Get,
     KeyValue,
     Put,
     StoreError,
+    StoreEvent,
     Target,
     Txn,
+    TxnResult,
 )
 from gladegw.rig.errors import RigError
 from gladegw.rig.store.linearizability import Seen
@@ -58,7 +58,7 @@
     )
 
 
-def of_txn(asked: Txn, done: Done | None, begin: float, end: float) -> Iterator[Seen]:
+def of_txn(asked: Txn, done: TxnResult | None, begin: float, end: float) -> Iterator[Seen]:
     """`done` None: not answered, so either branch may have taken place, or neither."""
     absent = {compare.key for compare in asked.compare if _wants_absent(compare)}
     if done is None:
@@ -99,11 +99,11 @@
         self.file.flush()
 
     @contextlib.contextmanager
-    def txn(self, asked: Txn) -> Iterator[Callable[[Done], None]]:
+    def txn(self, asked: Txn) -> Iterator[Callable[[TxnResult], None]]:
         """Around one, which tells its outcome. If it ends by a fault it may have taken place, unless the
         store refuses it by its rules."""
         begin = self.clock()
-        outcome: list[Done] = []
+        outcome: list[TxnResult] = []
         try:
             yield outcome.append
         except StoreError:
@@ -113,12 +113,12 @@
             raise
         self.add(of_txn(asked, outcome[0], begin, self.clock()))
 
-    def gone(self, events: Iterable[Event], begin: float, end: float) -> None:
+    def gone(self, events: Iterable[StoreEvent], begin: float, end: float) -> None:
         """Deleted with their lease."""
         self.add(
             Seen(key=event.kv.key.decode("latin-1"), kind="write", begin=begin, end=end)
             for event in events
-            if event.gone
+            if event.deleted
         )
 
 
--- a/gladegw/rig/store/server.py
+++ b/gladegw/rig/store/server.py
@@ -16,18 +16,18 @@
 from gladegw.control.wire import store_grpc as services
 from gladegw.control.wire import store_pb2 as pb
 from gladegw.coordination.store import (
-    MOST_BYTES,
-    Compacted,
+    MAX_REQUEST_BYTES,
+    CompactedError,
     Delete,
-    Done,
-    Event,
-    Full,
     Get,
     KeyValue,
-    NoLease,
+    LeaseNotFoundError,
     Put,
+    QuotaExceededError,
     StoreError,
+    StoreEvent,
     Txn,
+    TxnResult,
 )
 from gladegw.rig.store.cluster import NO_LEADER, Cluster, NotNow
 from gladegw.rig.store.record import of_get
@@ -43,11 +43,11 @@
         yield
     except NotNow as fault:
         raise GRPCError(Status.UNAVAILABLE, str(fault)) from None
-    except NoLease as fault:
+    except LeaseNotFoundError as fault:
         raise GRPCError(Status.NOT_FOUND, f"etcdserver: {fault}") from None
-    except Full as fault:
+    except QuotaExceededError as fault:
         raise GRPCError(Status.RESOURCE_EXHAUSTED, f"etcdserver: {fault}") from None
-    except Compacted as fault:
+    except CompactedError as fault:
         raise GRPCError(Status.OUT_OF_RANGE, f"etcdserver: {fault}") from None
     except StoreError as fault:
         raise GRPCError(Status.INVALID_ARGUMENT, str(fault)) from None
@@ -66,7 +66,7 @@
             cluster_id=CLUSTER, member_id=self.member + 1, revision=told, raft_term=cluster.term
         )
 
-    async def write(self, txn: Txn) -> Done:
+    async def write(self, txn: Txn) -> TxnResult:
         """As the cluster does it, and recorded."""
         recorder = self.cluster.recorder
         if recorder is None:
@@ -83,7 +83,7 @@
         self.allowed(stream)
         if message is None:
             raise GRPCError(Status.INVALID_ARGUMENT, "no message")
-        if message.ByteSize() > MOST_BYTES:
+        if message.ByteSize() > MAX_REQUEST_BYTES:
             raise GRPCError(Status.INVALID_ARGUMENT, "etcdserver: request is too large")
         if not getattr(message, "serializable", False) and not isinstance(message, pb.StatusRequest):
             await self.cluster.heard()
@@ -236,7 +236,7 @@
         lease = cluster.model.leases.get(asked.ID)
         answer = pb.LeaseTimeToLiveResponse(header=self.front.header(), ID=asked.ID, TTL=-1)
         if lease is not None:
-            answer.TTL, answer.grantedTTL = int(lease.until - cluster.now), lease.ttl
+            answer.TTL, answer.grantedTTL = int(lease.expires_at - cluster.now), lease.ttl
             answer.keys.extend(cluster.model.attached(lease.id) if asked.keys else [])
         await stream.send_message(answer)
 
@@ -275,14 +275,14 @@
         self.next = create.start_revision or revision + 1
         self.key, self.end = create.key, create.range_end
 
-    def wants(self, event: Event) -> bool:
+    def wants(self, event: StoreEvent) -> bool:
         filters = list(self.create.filters)
-        return not (event.gone and 1 in filters) and not (not event.gone and 0 in filters)
+        return not (event.deleted and 1 in filters) and not (not event.deleted and 0 in filters)
 
-    def message(self, event: Event) -> Any:
+    def message(self, event: StoreEvent) -> Any:
         before = event.before if self.create.prev_kv else None
         return pb.Event(
-            type=pb.Event.DELETE if event.gone else pb.Event.PUT,
+            type=pb.Event.DELETE if event.deleted else pb.Event.PUT,
             kv=store_messages.pair_message(event.kv),
             prev_kv=store_messages.pair_message(before) if before is not None else None,
         )
@@ -346,7 +346,7 @@
             return
         try:
             events = model.since(watch.next, watch.key, watch.end)
-        except Compacted as fault:
+        except CompactedError as fault:
             del watching[watch.id]
             await stream.send_message(
                 pb.WatchResponse(
--- a/gladegw/supervisor/processes.py
+++ b/gladegw/supervisor/processes.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from gladegw.coordination.supervision import Seen
+from gladegw.coordination.supervision import ProcessStatus
 
 PATIENCE = 1.0  # s for an answer
 LEAST_ENDED = 20  # requests, below which the share that failed says nothing
@@ -167,8 +167,12 @@
         asked = before is not None and before.answered_by(False) >= LEAST_ENDED
         return asked and self.answered_by(True) < LEAST_ENDED
 
-    def seen(self, bad: str = "", thin: bool = False) -> Seen:
-        return Seen(True, self.ready, bad, thin=thin) if self.alive else Seen(why=self.death)
+    def seen(self, bad: str = "", thin: bool = False) -> ProcessStatus:
+        return (
+            ProcessStatus(True, self.ready, bad, insufficient_traffic=thin)
+            if self.alive
+            else ProcessStatus(exit_reason=self.death)
+        )
 
 
 def resident(pid: int) -> int:
--- a/gladegw/supervisor/run.py
+++ b/gladegw/supervisor/run.py
@@ -18,19 +18,19 @@
 import msgspec
 
 from gladegw.control.clock import boot
-from gladegw.coordination.records import Supervised
+from gladegw.coordination.records import SupervisorRecord
 from gladegw.coordination.supervision import (
-    GONE,
+    NOT_RUNNING,
+    ActionKind,
     Actions,
-    Do,
-    Order,
     Phase,
-    Seen,
+    ProcessStatus,
     Slot,
     Supervision,
-    asked,
+    VersionOrder,
+    request_version,
+    revert_unconfirmed,
     step,
-    unconfirmed,
 )
 from gladegw.net.config import Config, ConfigError
 from gladegw.supervisor import settings as file_of
@@ -44,8 +44,12 @@
 log = logging.getLogger(__name__)
 
 TICK = 0.1  # s
-CALLS = {Do.LAME: b"LAMEDUCK\n", Do.REJOIN: b"REJOIN\n"}
-SERVES_OTHER = (Phase.PROVING, Phase.KEEPING, Phase.ENDING)  # the newest has the clients' address
+CALLS = {ActionKind.DRAIN: b"LAMEDUCK\n", ActionKind.REJOIN: b"REJOIN\n"}
+SERVES_OTHER = (
+    Phase.VERIFYING,
+    Phase.RETAINING_PREVIOUS,
+    Phase.STOPPING_PREVIOUS,
+)  # the newest has the clients' address
 BY_FILE = -1  # the epoch of what the supervisor's own file asks for
 
 
@@ -53,7 +57,7 @@
     """The state file."""
 
     supervision: Supervision
-    order: Order
+    order: VersionOrder
     processes: dict[str, Kept]
     supervisor: int = 0  # its process
 
@@ -78,13 +82,13 @@
         self.calls: dict[int, asyncio.Task[None]] = {}  # the last one to each process, by its number
 
     # from one supervisor to the next
-    def _resumed(self) -> Order:
+    def _resumed(self) -> VersionOrder:
         """Processes that another supervisor has left are taken over as they are."""
         now = boot()
         try:
             kept: State = msgspec.json.decode(self.file.read_bytes(), type=State)
         except FileNotFoundError:
-            return Order()
+            return VersionOrder()
         except (OSError, msgspec.MsgspecError) as fault:
             raise ConfigError(f"{self.file}:1: not a state file: {' '.join(str(fault).split())}") from None
         for slot, one in kept.processes.items():
@@ -99,7 +103,7 @@
         return replace(kept.order, heard=now)
 
     def _keep(self) -> None:
-        order = self.companion.without_clock() if self.companion is not None else Order()
+        order = self.companion.without_clock() if self.companion is not None else VersionOrder()
         processes = {slot.value: process.kept for slot, process in self.processes.items()}
         now = State(replace(self.state, since=0.0), order, processes, os.getpid())
         if now != self.kept:
@@ -108,11 +112,11 @@
             part.replace(self.file)
             self.kept = now
 
-    def record(self) -> Supervised:
+    def record(self) -> SupervisorRecord:
         state = self.state
-        kept = state.phase is Phase.KEEPING
-        order = self.companion.order if self.companion is not None else Order()
-        return Supervised(
+        kept = state.phase is Phase.RETAINING_PREVIOUS
+        order = self.companion.order if self.companion is not None else VersionOrder()
+        return SupervisorRecord(
             name=self.config.name,
             version=state.coming if kept else state.current,
             state=state.phase.value,
@@ -160,12 +164,12 @@
         now = boot()
         wanted, epoch, keep = self.settings.version, BY_FILE, False
         if self.companion is not None:
-            order = self.companion.order = unconfirmed(self.companion.order, now)
+            order = self.companion.order = revert_unconfirmed(self.companion.order, now)
             if order.epoch >= 0:
                 wanted, epoch = order.wanted, 2 * order.epoch + order.alone
                 keep = bool(order.base) and not order.alone
         before = self.state
-        self.state = asked(self.state, wanted, epoch, keep)
+        self.state = request_version(self.state, wanted, epoch, keep)
         if wanted not in self.settings.programs and wanted not in self.state.refused:
             reason = f"{wanted}: no program of that version in {self.path}"
             self.state = replace(self.state, refused=self.state.refused | {wanted}, reason=reason)
@@ -185,13 +189,13 @@
         because = f": {state.reason}" if state.reason else ""
         log.warning("supervise: %s, %s%s%s", state.phase.value, state.current, coming, because)
 
-    def _seen(self, slot: Slot, now: float) -> Seen:
+    def _seen(self, slot: Slot, now: float) -> ProcessStatus:
         process = self.processes.get(slot)
         if process is None:
-            return GONE
+            return NOT_RUNNING
         before = self.processes.get(Slot.CURRENT) if slot is Slot.OTHER else None
         silent = self.settings.hang_s if slot is Slot.CURRENT else SILENT
-        starting = self.state.phase in (Phase.STARTING, Phase.BRINGING)
+        starting = self.state.phase in (Phase.STARTING, Phase.STARTING_REPLACEMENT)
         bad = (
             ""
             if starting
@@ -201,18 +205,18 @@
 
     def _act(self, actions: Actions, now: float) -> None:
         for do, slot in actions:
-            if do is Do.START:
+            if do is ActionKind.START:
                 self._start(slot, now)
-            elif do is Do.SWAP:
+            elif do is ActionKind.PROMOTE:
                 self.processes[Slot.CURRENT] = self.processes.pop(Slot.OTHER)
-            elif slot in self.processes and do in (Do.LAME, Do.REJOIN):
+            elif slot in self.processes and do in (ActionKind.DRAIN, ActionKind.REJOIN):
                 process = self.processes[slot]
                 before = self.calls.pop(process.kept.pid, None)
                 if before is not None:  # one that is still made again must not undo this
                     before.cancel()
                 self.calls[process.kept.pid] = asyncio.create_task(process.told(CALLS[do]))
             elif slot in self.processes:
-                self.processes[slot].signal(signal.SIGTERM if do is Do.TERM else signal.SIGKILL)
+                self.processes[slot].signal(signal.SIGTERM if do is ActionKind.TERMINATE else signal.SIGKILL)
 
     def _start(self, slot: Slot, now: float) -> None:
         version = self.state.current if slot is Slot.CURRENT else self.state.coming
--- a/gladegw/supervisor/settings.py
+++ b/gladegw/supervisor/settings.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from gladegw.coordination.supervision import Bounds
+from gladegw.coordination.supervision import Timeouts
 from gladegw.net.config import ConfigError
 from gladegw.net.hcl import LARGEST, Block, blocks_of
 
@@ -35,8 +35,8 @@
     programs: dict[str, Program] = {}
 
     @property
-    def bounds(self) -> Bounds:
-        return Bounds(self.ready_s, self.prove_s, self.drain_s)
+    def bounds(self) -> Timeouts:
+        return Timeouts(self.ready_s, self.prove_s, self.drain_s)
 
 
 RANGES = {
--- a/tests/control/test_bundles.py
+++ b/tests/control/test_bundles.py
@@ -13,21 +13,21 @@
 from gladegw.control.keys import Keys
 from gladegw.control.store_cache import View
 from gladegw.coordination.records import (
-    Ballot,
-    Change,
-    Ended,
-    InForce,
-    Limits,
-    Member,
+    ChangeOutcomeRecord,
+    MemberRecord,
+    PolicyChangeRecord,
+    PolicyRecord,
     Record,
-    Rollout,
+    RolloutLimitsRecord,
+    RolloutRecord,
+    VoteRecord,
     decode,
     encode,
 )
-from gladegw.coordination.store import Compare, Delete, Done, Get, Model, Operation, Put, Txn
+from gladegw.coordination.store import Compare, Delete, Get, InMemoryStore, Operation, Put, Txn, TxnResult
 
-LIMITS = Limits(failed=0, refused=0, level=0, alpha=0.01, least_requests=1)
-ROLLOUT = Rollout(
+LIMITS = RolloutLimitsRecord(failed=0, refused=0, level=0, alpha=0.01, least_requests=1)
+ROLLOUT = RolloutRecord(
     id="r",
     old="o",
     new="n",
@@ -47,7 +47,7 @@
     token = 1
 
     def __init__(self) -> None:
-        self.model, self.at = Model(), Keys("/x")
+        self.model, self.at = InMemoryStore(), Keys("/x")
 
     @property
     def view(self) -> View:
@@ -64,7 +64,7 @@
     async def grant(self, ttl: int) -> int:
         raise NotImplementedError
 
-    async def effect(self, *operations: Operation, compares: tuple[Compare, ...] = ()) -> Done:
+    async def effect(self, *operations: Operation, compares: tuple[Compare, ...] = ()) -> TxnResult:
         return self.model.txn(Txn(compares, operations))
 
     def there(self) -> set[str]:
@@ -78,16 +78,16 @@
     for digest in ("force", "stage", "past", "change", "o", "n", "old", "fresh"):
         held.put(held.at.piece(digest, 0), b"1")
         held.put(held.at.piece(digest, 1), b"2")
-    held.put(held.at.force, InForce(epoch=2, digest="force", new="stage", named=("a",)))
-    held.put(held.at.history(1), InForce(epoch=1, digest="past"))
-    held.put(held.at.change, Change(id="c", epoch=3, digest="change"))
+    held.put(held.at.force, PolicyRecord(epoch=2, digest="force", new="stage", named=("a",)))
+    held.put(held.at.history(1), PolicyRecord(epoch=1, digest="past"))
+    held.put(held.at.change, PolicyChangeRecord(id="c", epoch=3, digest="change"))
     held.put(held.at.rollout, ROLLOUT)
     asyncio.run(duty.step(held))
     now += UNNAMED - 1
-    held.put(held.at.force, InForce(epoch=3, digest="fresh"))  # named meanwhile, and no more
+    held.put(held.at.force, PolicyRecord(epoch=3, digest="fresh"))  # named meanwhile, and no more
     asyncio.run(duty.step(held))
     assert held.there() == {"force", "stage", "past", "change", "o", "n", "old", "fresh"}
-    held.put(held.at.force, InForce(epoch=4, digest="force", new="stage"))
+    held.put(held.at.force, PolicyRecord(epoch=4, digest="force", new="stage"))
     now += 1
     asyncio.run(duty.step(held))
     assert held.there() == {"force", "stage", "past", "change", "o", "n", "fresh"}
@@ -106,7 +106,7 @@
         found = await real(first, end)
         view = held.view
         monkeypatch.setattr(Held, "view", property(lambda self: view))  # what is known of the store is older
-        held.put(held.at.change, Change(id="c", epoch=1, digest="old"))
+        held.put(held.at.change, PolicyChangeRecord(id="c", epoch=1, digest="old"))
         return found
 
     held.names = names  # type: ignore[method-assign]
@@ -119,10 +119,10 @@
 def test_outcomes_are_bounded() -> None:
     held: Any = Held()
     for number in range(OUTCOMES + 5):
-        ended = Ended(id=f"{number}", epoch=1, digest="d", outcome="nowhere", at=float(number))
+        ended = ChangeOutcomeRecord(id=f"{number}", epoch=1, digest="d", outcome="nowhere", at=float(number))
         held.put(held.at.ended(f"{number}"), ended)
     asyncio.run(Bundles().step(held))
-    left = [ended.id for _, ended in held.view.records("policy", "ended", form=Ended)]
+    left = [ended.id for _, ended in held.view.records("policy", "ended", form=ChangeOutcomeRecord)]
     assert len(left) == OUTCOMES and "4" not in left and "5" in left
 
 
@@ -132,17 +132,19 @@
     if planted:
         monkeypatch.setattr(deciding, "as_cast", lambda view, cast: ())
     held, at = Held(), Keys("/x")
-    held.put(at.force, InForce(epoch=1, digest="old"))
+    held.put(at.force, PolicyRecord(epoch=1, digest="old"))
     for name in ("a", "b"):
-        held.put(at.member(name, "i"), Member(name=name, incarnation="i"))
-    held.put(at.change, Change(id="c", epoch=2, digest="new", members=("a#i", "b#i"), everyone=False))
+        held.put(at.member(name, "i"), MemberRecord(name=name, incarnation="i"))
+    held.put(
+        at.change, PolicyChangeRecord(id="c", epoch=2, digest="new", members=("a#i", "b#i"), everyone=False)
+    )
     change = held.model.keys[at.change].create_revision
     for name in ("a", "b"):
-        held.put(at.vote(name, "i"), Ballot(change=change, digest="new", yes=True))
+        held.put(at.vote(name, "i"), VoteRecord(change=change, digest="new", yes=True))
     view = held.view
     held.model.txn(Txn((), (Delete(at.vote("b", "i")), Delete(at.member("b", "i")))))
     monkeypatch.setattr(Held, "view", property(lambda self: view))  # what is known of the store is older
     monkeypatch.setattr(deciding, "LOOK", 0.0)
     asyncio.run(deciding.Decide().step(held))
     assert (at.change in held.model.keys) is not planted
-    assert decode(held.model.keys[at.force].value, InForce).epoch == (2 if planted else 1)
+    assert decode(held.model.keys[at.force].value, PolicyRecord).epoch == (2 if planted else 1)
--- a/tests/control/test_fleet_steps.py
+++ b/tests/control/test_fleet_steps.py
@@ -14,7 +14,7 @@
 
 from gladegw.control.duties import ALL
 from gladegw.control.keys import Keys
-from gladegw.coordination.records import Holder, encode
+from gladegw.coordination.records import DutyHolderRecord, encode
 from gladegw.coordination.store import Put
 from gladegw.rig import process
 from gladegw.rig.faults.links import Link
@@ -33,7 +33,7 @@
             at = await stack.enter_async_context(store(1))
             link = await stack.enter_async_context(Link(at.endpoints[0]))
             foreign, _ = await at.client.grant(60)  # somebody holds them all, so nobody claims yet
-            record = encode(Holder(holder="p0", incarnation="0"))
+            record = encode(DutyHolderRecord(holder="p0", incarnation="0"))
             await at.client.do(*(Put(keys.duty(work.name), record, foreign) for work in ALL))
             first = await stack.enter_async_context(
                 proxy({"s-1": Backend()}, features=at.block([link.address]), name="p1")
--- a/tests/control/test_leader_election.py
+++ b/tests/control/test_leader_election.py
@@ -38,7 +38,7 @@
         keys, live = Keys("/x"), SimpleNamespace(whole=whole)
         agent = SimpleNamespace(keys=keys, view=View(keys), trouble=lambda what: None, live=live)
         keeper = Keeper(cast(Any, agent), Fails(), lambda name, token, begun: None)
-        keeper.duty = Duty(Phase.HOLDING, 7)
+        keeper.duty = Duty(Phase.HELD, 7)
         working = asyncio.create_task(keeper._work(7))
         await asyncio.sleep(1.0 + AGAIN / 2)
         working.cancel()
--- a/tests/control/test_policy_sockets.py
+++ b/tests/control/test_policy_sockets.py
@@ -20,7 +20,7 @@
 from gladegw.control import policy_bundle
 from gladegw.control.keys import Keys
 from gladegw.control.policy_proposals import Operator
-from gladegw.coordination.records import InForce, Tries, decode
+from gladegw.coordination.records import BundleAttemptsRecord, PolicyRecord, decode
 from gladegw.coordination.store import Get, Put, prefix_end
 from gladegw.rig.faults.links import Link
 from gladegw.rig.measures.changes import BOUND, Answer, judge
@@ -389,7 +389,11 @@
                 end = time.monotonic() + PATIENCE
                 while True:
                     _, found = await here.at.client.get(Get(tries, prefix_end(tries)))
-                    counts = [decode(kv.value, Tries).count for kv in found if kv.key.endswith(b"/p1")]
+                    counts = [
+                        decode(kv.value, BundleAttemptsRecord).count
+                        for kv in found
+                        if kv.key.endswith(b"/p1")
+                    ]
                     if counts == [number + 1]:
                         break
                     assert time.monotonic() < end, found
@@ -419,7 +423,7 @@
             code, told = await here.propose("second")
             assert code == 1 and policy_bundle.digest_of(raw) in told["reason"]
             assert await answer(node) == (404, "first")
-            assert (await operator.view()).read(Keys(PREFIX).force, InForce) is None
+            assert (await operator.view()).read(Keys(PREFIX).force, PolicyRecord) is None
 
     run(test())
 
--- a/tests/coordination/test_coordination.py
+++ b/tests/coordination/test_coordination.py
@@ -11,19 +11,19 @@
 
 from gladegw.coordination import duty as duties
 from gladegw.coordination import election_order, records
-from gladegw.coordination.lease import DRIFT, Fence, Lease, Refused, granted, renewed
+from gladegw.coordination.lease import MAX_CLOCK_DRIFT, Fence, Lease, StaleTokenError, granted, renewed
 from gladegw.coordination.store import (
-    MOST_OPERATIONS,
-    Compacted,
+    MAX_TXN_OPERATIONS,
+    CompactedError,
     Compare,
     Delete,
-    Full,
     Get,
+    InMemoryStore,
     KeyValue,
-    Model,
-    NoLease,
+    LeaseNotFoundError,
     Operation,
     Put,
+    QuotaExceededError,
     StoreError,
     Target,
     Txn,
@@ -38,13 +38,13 @@
 )
 
 
-def write(store: Model, *operations: Operation) -> int:
+def write(store: InMemoryStore, *operations: Operation) -> int:
     return store.txn(Txn((), operations)).revision
 
 
 @given(st.lists(writes, max_size=20))
 def test_a_watch_from_any_revision_on_makes_one_copy_out_of_another(done: list[Operation]) -> None:
-    store = Model()
+    store = InMemoryStore()
     states = {1: dict(store.keys)}
     for operation in done:
         before = store.revision
@@ -55,7 +55,7 @@
         copy = dict(then)
         for event in store.since(revision + 1, b"a", b"\0"):
             assert event.before == copy.get(event.kv.key)
-            if event.gone:
+            if event.deleted:
                 del copy[event.kv.key]
             else:
                 copy[event.kv.key] = event.kv
@@ -64,7 +64,7 @@
 
 @given(st.lists(writes, min_size=1, max_size=8))
 def test_a_key_that_was_deleted_begins_anew(done: list[Operation]) -> None:
-    store = Model()
+    store = InMemoryStore()
     for operation in done:
         write(store, operation)
     write(store, Delete(b"a", b"\0"))
@@ -73,7 +73,7 @@
 
 
 def test_a_transaction_does_all_or_nothing_and_is_one_revision() -> None:
-    store = Model()
+    store = InMemoryStore()
     same = (Compare(b"a", Target.CREATE, "=", 0), Compare(b"b", Target.VALUE, "=", b"no"))
     assert not store.txn(Txn(same, (Put(b"a", b"1"),), (Get(b"a"),))).succeeded and store.revision == 1
     done = store.txn(Txn(same[:1], (Put(b"a", b"1"), Put(b"b", b"2"), Get(b"a"))))
@@ -82,7 +82,7 @@
         ((Put(b"a", b"1"), Put(b"a", b"2")), "duplicate"),
         ((Put(b"b/1", b""), Delete(b"b", b"c")), "duplicate"),
         ((Put(b"", b"1"),), "not provided"),
-        (tuple(Put(b"%d" % n, b"") for n in range(MOST_OPERATIONS + 1)), "too many"),
+        (tuple(Put(b"%d" % n, b"") for n in range(MAX_TXN_OPERATIONS + 1)), "too many"),
         ((Put(b"z", b""), Put(b"a", b"1", 77)), "lease not found"),
         ((Get(b"a", b"", 99),), "future"),
     ):
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize(("relation", "true"), [("=", {1}), ("!=", {0, 2}), (">", {2}), ("<", {0})])
 def test_versions_are_compared(relation: str, true: set[int]) -> None:
     for version in range(3):
-        store = Model()
+        store = InMemoryStore()
         for _ in range(version):
             write(store, Put(b"a", b""))
         asked = Compare(b"a", Target.VERSION, relation, 1)  # type: ignore[arg-type]
@@ -102,35 +102,35 @@
 
 
 def test_what_is_compacted_can_be_neither_read_nor_followed() -> None:
-    store = Model()
+    store = InMemoryStore()
     for value in (b"1", b"2", b"3"):
         write(store, Put(b"a", value))
     store.compact(3)
     assert store.get(Get(b"a", b"", 3))[0].value == b"2"
     assert [event.kv.value for event in store.since(4, b"a")] == [b"3"]
     for ask in (lambda: store.get(Get(b"a", b"", 2)), lambda: store.since(3, b"a"), lambda: store.compact(3)):
-        with pytest.raises(Compacted) as told:
+        with pytest.raises(CompactedError) as told:
             ask()
         assert told.value.compact_revision == 3
 
 
 def test_a_lease_ends_by_the_stores_clock_and_takes_its_keys_along() -> None:
-    store = Model(least_ttl=2)
+    store = InMemoryStore(min_ttl=2)
     lease = store.grant(1, 0.0)
     assert lease.ttl == 2
     write(store, Put(b"a", b"1", lease.id), Put(b"b", b"2"))
     assert store.keep_alive(lease.id, 1.5) == 2 and store.expire(3.4) == []
-    store.prolong(3.0)
+    store.extend_all(3.0)
     assert store.expire(4.9) == [] and store.expire(5.0) == [lease.id] and list(store.keys) == [b"b"]
     assert store.keep_alive(lease.id, 5.0) == 0
-    with pytest.raises(NoLease):
+    with pytest.raises(LeaseNotFoundError):
         store.revoke(lease.id)
 
 
 def test_a_full_store_takes_no_writes_and_lets_go_of_what_it_has() -> None:
-    store = Model(quota=4)
+    store = InMemoryStore(quota=4)
     write(store, Put(b"a", b"12345"))
-    with pytest.raises(Full):
+    with pytest.raises(QuotaExceededError):
         write(store, Put(b"b", b""))
     write(store, Delete(b"a"))
     write(store, Put(b"b", b""))
@@ -143,14 +143,14 @@
 
 @given(
     st.lists(st.tuples(st.floats(0, 3), st.floats(0, 5), st.floats(0, 5), st.booleans()), max_size=12),
-    st.floats(-DRIFT / 2.2, DRIFT / 2.2),
+    st.floats(-MAX_CLOCK_DRIFT / 2.2, MAX_CLOCK_DRIFT / 2.2),
     st.integers(1, 20),
 )
 def test_the_holders_bound_lies_before_the_stores(
     course: list[tuple[float, float, float, bool]], pace: float, ttl: int
 ) -> None:
     """Whatever the delays, whichever answers are lost, at any pace of the clocks within the share."""
-    store, true = Model(), 0.0
+    store, true = InMemoryStore(), 0.0
     rate = 1 + pace  # of the holder's clock against the store's
     sent = true
     lease = granted(store.grant(ttl, true).id, sent * rate, ttl)
@@ -164,8 +164,8 @@
         if not lost:
             lease = renewed(lease, lease.id, sent * rate, told)
         held = store.leases.get(lease.id)
-        if lease.live(true * rate):
-            assert held is not None and lease.until / rate <= held.until + 1e-9
+        if lease.is_valid(true * rate):
+            assert held is not None and lease.until / rate <= held.expires_at + 1e-9
 
 
 def test_a_late_answer_does_not_shorten_and_a_strange_one_does_nothing() -> None:
@@ -178,31 +178,31 @@
     fence = Fence()
     fence.accept(5)
     fence.accept(5)
-    with pytest.raises(Refused, match="token 4 after 5"):
+    with pytest.raises(StaleTokenError, match="token 4 after 5"):
         fence.accept(4)
 
 
 def test_whoever_gives_back_leaves_the_next_holders_key() -> None:
     """The planted defect that deletes it whoever holds it fails here."""
-    store = Model()
+    store = InMemoryStore()
     mine, yours = store.grant(5, 0.0).id, store.grant(5, 0.0).id
     store.txn(duties.claim(b"d", b"me", mine))
-    assert store.txn(duties.give_back(b"d", mine, (Put(b"heir", b"you"),))).succeeded
+    assert store.txn(duties.release(b"d", mine, (Put(b"heir", b"you"),))).succeeded
     token = store.txn(duties.claim(b"d", b"you", yours)).revision
-    assert not store.txn(duties.give_back(b"d", mine)).succeeded and store.keys[b"d"].value == b"you"
+    assert not store.txn(duties.release(b"d", mine)).succeeded and store.keys[b"d"].value == b"you"
     assert not store.txn(duties.claim(b"d", b"me", mine)).succeeded
     assert not store.txn(duties.fenced(b"d", token - 1, Put(b"x", b""))).succeeded
     assert store.txn(duties.fenced(b"d", token, Put(b"x", b""))).succeeded
 
 
 def test_each_state_and_event_has_a_stated_outcome() -> None:
-    for (phase, _), (after, actions) in duties.TABLE.items():
-        assert (duties.Action.BEGIN in actions) is (after is duties.Phase.HOLDING)
-        if phase is duties.Phase.HOLDING:
-            assert duties.Action.END in actions
+    for (phase, _), (after, actions) in duties.TRANSITIONS.items():
+        assert (duties.Action.START in actions) is (after is duties.Phase.HELD)
+        if phase is duties.Phase.HELD:
+            assert duties.Action.STOP in actions
     for phase in duties.Phase:
-        if phase is not duties.Phase.RESTING:
-            assert (phase, duties.Event.EXPIRED) in duties.TABLE
+        if phase is not duties.Phase.IDLE:
+            assert (phase, duties.Event.EXPIRED) in duties.TRANSITIONS
 
 
 names = st.sets(st.text("abcdef", min_size=1, max_size=4), min_size=1, max_size=12)
@@ -214,36 +214,36 @@
     all_of = dict.fromkeys(members, 1.0)
     rest = {name: 1.0 for name in members if name != gone}
     for duty in ("digest", "sweeper", "compare", "other"):
-        before, after = election_order.order(duty, all_of), election_order.order(duty, rest)
+        before, after = election_order.ranking(duty, all_of), election_order.ranking(duty, rest)
         assert [name for name in before if name != gone] == after
-        assert election_order.wait(duty, before[0], all_of, 0.05) == 0.0
-        assert election_order.heir(duty, before[0], all_of) == (before[1] if len(before) > 1 else "")
+        assert election_order.claim_delay(duty, before[0], all_of, 0.05) == 0.0
+        assert election_order.successor(duty, before[0], all_of) == (before[1] if len(before) > 1 else "")
 
 
 def test_duties_spread_by_weight_and_a_flapping_member_gets_none() -> None:
-    flaps = election_order.Flaps()
-    for number in range(election_order.FLAPS):
-        flaps.seen("c", str(number), float(number))
-    flaps.seen("a", "1", 0.0)
+    flaps = election_order.FlapDetector()
+    for number in range(election_order.FLAP_THRESHOLD):
+        flaps.observe("c", str(number), float(number))
+    flaps.observe("a", "1", 0.0)
     weights = flaps.weights(["a", "b", "c"], 5.0)
     assert weights == {"a": 1.0, "b": 1.0, "c": 0.0}
-    firsts = [election_order.order(f"duty-{n}", weights)[0] for n in range(400)]
+    firsts = [election_order.ranking(f"duty-{n}", weights)[0] for n in range(400)]
     assert firsts.count("c") == 0 and 150 < firsts.count("a") < 250
-    firsts = [election_order.order(f"duty-{n}", {"a": 3.0, "b": 1.0})[0] for n in range(400)]
+    firsts = [election_order.ranking(f"duty-{n}", {"a": 3.0, "b": 1.0})[0] for n in range(400)]
     assert 260 < firsts.count("a") < 340
-    assert flaps.weights(["c"], election_order.WINDOW + 10.0) == {"c": 1.0}
-    flaps.forget(election_order.WINDOW + 10.0)
-    assert not flaps.came
+    assert flaps.weights(["c"], election_order.FLAP_WINDOW_S + 10.0) == {"c": 1.0}
+    flaps.forget(election_order.FLAP_WINDOW_S + 10.0)
+    assert not flaps.incarnations
 
 
 def test_a_record_of_a_newer_version_is_read_and_written_back_whole() -> None:
     newer = b'{"v":2,"name":"p1","incarnation":"x","spin":[1,2],"state":"lame"}'
-    member = records.decode(newer, records.Member)
+    member = records.decode(newer, records.MemberRecord)
     assert member.state == "lame" and member.can == ()
     again = msgspec.json.decode(records.encode(msgspec.structs.replace(member, state="ready"), newer))
     assert again["spin"] == [1, 2] and again["v"] == 2 and again["state"] == "ready"
-    older = records.decode(b'{"name":"p1","incarnation":"x"}', records.Member)
+    older = records.decode(b'{"name":"p1","incarnation":"x"}', records.MemberRecord)
     assert older.v == records.VERSION and records.encode(older, b"rubbish")
     for rubbish in (b"", b"\xff", b"[]", b'{"name":1}'):
         with pytest.raises(records.RecordError, match="member: "):
-            records.decode(rubbish, records.Member)
+            records.decode(rubbish, records.MemberRecord)
--- a/tests/coordination/test_duty_model.py
+++ b/tests/coordination/test_duty_model.py
@@ -44,8 +44,8 @@
     """The table with a row gone, or another in its place."""
 
     def plant(patch: pytest.MonkeyPatch) -> None:
-        table = {key: row for key, row in duties.TABLE.items() if key != (phase, event)}
-        patch.setattr(duties, "TABLE", table | ({(phase, event): to} if to else {}))
+        table = {key: row for key, row in duties.TRANSITIONS.items() if key != (phase, event)}
+        patch.setattr(duties, "TRANSITIONS", table | ({(phase, event): to} if to else {}))
 
     return plant
 
@@ -58,7 +58,7 @@
 
 
 def gullible(duty: duties.Duty, *word: Any) -> Any:
-    return real_step(dataclasses.replace(duty, seen=0), *word)
+    return real_step(dataclasses.replace(duty, seen_revision=0), *word)
 
 
 def from_the_answer(patch: pytest.MonkeyPatch) -> None:
@@ -83,19 +83,19 @@
     "the clock is read after the answer": (from_the_answer, 17, TWO),
     "no share is given away for drift": (no_drift, 16, TWO),
     "a timer in place of the check": (
-        instead(duties, "may_act", lambda duty, lease, now: duty.phase is Phase.HOLDING),
+        instead(duties, "may_act", lambda duty, lease, now: duty.phase is Phase.HELD),
         0,
         LATE,
     ),
     "a key under an old lease counts as held": (
         instead(
             duties,
-            "heard",
-            lambda token, by, lease: Event.MINE
+            "event_of_key",
+            lambda token, by, lease: Event.OWNED
             if token and by <= lease.id
-            else Event.OTHER
+            else Event.OWNED_BY_OTHER
             if token
-            else Event.NOBODY,
+            else Event.VACANT,
         ),
         0,
         TWO,
@@ -112,12 +112,12 @@
         TWO,
     ),
     "an unanswered claim counts as won": (
-        without(Phase.ASKING, Event.UNKNOWN, (Phase.HOLDING, (Action.BEGIN,))),
+        without(Phase.CLAIMING, Event.UNKNOWN, (Phase.HELD, (Action.START,))),
         3,
         TWO,
     ),
-    "an unanswered claim is never looked into": (without(Phase.ASKING, Event.UNKNOWN), 12, NONE),
-    "an expired holder goes on under its next lease": (without(Phase.HOLDING, Event.EXPIRED), 0, TWO),
+    "an unanswered claim is never looked into": (without(Phase.CLAIMING, Event.UNKNOWN), 12, NONE),
+    "an expired holder goes on under its next lease": (without(Phase.HELD, Event.EXPIRED), 0, TWO),
     "a lease that the store does not know keeps its bound": (
         instead(
             leases,
@@ -131,7 +131,7 @@
         instead(
             duties,
             "may_act",
-            lambda duty, lease, now: lease.live(now) and duty.phase in (Phase.HOLDING, Phase.LEAVING),
+            lambda duty, lease, now: lease.is_valid(now) and duty.phase in (Phase.HELD, Phase.RELEASING),
         ),
         4,
         TWO,
@@ -149,20 +149,20 @@
 
 
 def test_the_trace_is_the_shortest_and_can_be_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(duties, "may_act", lambda duty, lease, now: duty.phase is not Phase.RESTING)
+    monkeypatch.setattr(duties, "may_act", lambda duty, lease, now: duty.phase is not Phase.IDLE)
     found = Search(Duties(2), liveness=0).run(14)
     assert found.broken in (LATE, TWO)
     assert len(found.trace) == found.depth and any("claim" in step or "reads" in step for step in found.trace)
 
 
 def test_a_lease_is_named_before_it_is_used() -> None:
-    assert not Lease().live(-1e9) and Lease(1, 5.0).live(4.9) and not Lease(1, 5.0).live(5.0)
+    assert not Lease().is_valid(-1e9) and Lease(1, 5.0).is_valid(4.9) and not Lease(1, 5.0).is_valid(5.0)
 
 
 def test_the_command_tells_states_and_exits_by_what_it_found(monkeypatch: pytest.MonkeyPatch) -> None:
     asked = ["explore", "--members", "2", "--depth", "3", "--walks", "1", "--steps", "200", "--seed", "0"]
     told = CliRunner().invoke(rig, asked)
     assert told.exit_code == 0 and "states, depth 3" in told.output
-    monkeypatch.setattr(duties, "may_act", lambda duty, lease, now: duty.phase is Phase.HOLDING)
+    monkeypatch.setattr(duties, "may_act", lambda duty, lease, now: duty.phase is Phase.HELD)
     told = CliRunner().invoke(rig, [*asked[:-1], "0", "--steps", "1200", "--members", "3"])
     assert told.exit_code == 1 and "BROKEN: " in told.output
--- a/tests/coordination/test_policy_commit.py
+++ b/tests/coordination/test_policy_commit.py
@@ -11,7 +11,16 @@
 from hypothesis import strategies as st
 
 from gladegw.coordination import policy_commit
-from gladegw.coordination.policy_commit import Action, Force, Member, Open, Outcome, Phase, Verdict, Vote
+from gladegw.coordination.policy_commit import (
+    Action,
+    CommittedPolicy,
+    Decision,
+    OpenChange,
+    Outcome,
+    Participant,
+    Phase,
+    Vote,
+)
 from gladegw.rig.model_checking.policies import Policies
 from gladegw.rig.model_checking.search import Search, walk
 
@@ -36,7 +45,7 @@
         assert found.broken == "", found.trace
 
 
-def judged(**changes: Any) -> Callable[..., Verdict]:
+def judged(**changes: Any) -> Callable[..., Decision]:
     """A verdict of which some arguments are planted."""
 
     def found(
@@ -47,7 +56,7 @@
         votes: Any,
         left: Any = (),
         unreached: Any = (),
-    ) -> Verdict:
+    ) -> Decision:
         told = {
             "change": change,
             "force": force,
@@ -57,7 +66,7 @@
             "signed_off": left,
             "unreached": unreached,
         }
-        return policy_commit.verdict(**(told | {name: made(told) for name, made in changes.items()}))
+        return policy_commit.decide(**(told | {name: made(told) for name, made in changes.items()}))
 
     return found
 
@@ -65,46 +74,48 @@
 def any_vote(told: Any) -> Any:
     """Whatever it was about."""
     return {
-        who: replace(vote, change=told["change"].id, digest=told["change"].digest)
+        who: replace(vote, open_change=told["change"].id, digest=told["change"].digest)
         for who, vote in told["votes"].items()
     }
 
 
-def goes_back(member: Member, force: Force, change: Any, revision: int) -> Any:
-    return policy_commit.told(
-        replace(member, seen=0, epoch=min(member.epoch, force.epoch)), force, change, revision
+def goes_back(member: Participant, force: CommittedPolicy, change: Any, revision: int) -> Any:
+    return policy_commit.on_store_update(
+        replace(member, seen_revision=0, epoch=min(member.epoch, force.epoch)), force, change, revision
     )
 
 
-def starts_by_its_file(member: Member, force: Force, change: Any, revision: int) -> Any:
+def starts_by_its_file(member: Participant, force: CommittedPolicy, change: Any, revision: int) -> Any:
     if member.phase is Phase.UNKNOWN and force.epoch:
         return replace(member, phase=Phase.SETTLED, epoch=0, joined=True), ()
-    return policy_commit.told(member, force, change, revision)
+    return policy_commit.on_store_update(member, force, change, revision)
 
 
-def joins_at_once(member: Member, force: Force, change: Any, revision: int) -> Any:
-    after, actions = policy_commit.told(member, force, change, revision)
+def joins_at_once(member: Participant, force: CommittedPolicy, change: Any, revision: int) -> Any:
+    after, actions = policy_commit.on_store_update(member, force, change, revision)
     return replace(after, joined=True), actions
 
 
-def takes_before_the_decision(member: Member, digest: str, able: bool) -> Any:
-    after, actions = policy_commit.prepared(member, digest, able)
-    if after.phase is Phase.AGREED and after.change is not None:
-        after = replace(after, epoch=after.change.epoch, digest=digest)
+def takes_before_the_decision(member: Participant, digest: str, able: bool) -> Any:
+    after, actions = policy_commit.on_prepare_result(member, digest, able)
+    if after.phase is Phase.VOTED_YES and after.open_change is not None:
+        after = replace(after, epoch=after.open_change.epoch, digest=digest)
     return after, actions
 
 
-def agrees_to_what_it_cannot(member: Member, digest: str, able: bool) -> Any:
-    after, actions = policy_commit.prepared(member, digest, able)
-    return after, tuple(Action.YES if action is Action.NO else action for action in actions)
+def agrees_to_what_it_cannot(member: Participant, digest: str, able: bool) -> Any:
+    after, actions = policy_commit.on_prepare_result(member, digest, able)
+    return after, tuple(Action.VOTE_YES if action is Action.VOTE_NO else action for action in actions)
 
 
-def rejoins_in_doubt(member: Member, goes_on: bool) -> Member:
-    return replace(policy_commit.rejoined(member, goes_on), joined=goes_on and member.joined)
+def rejoins_in_doubt(member: Participant, goes_on: bool) -> Participant:
+    return replace(policy_commit.on_rejoin(member, goes_on), joined=goes_on and member.joined)
 
 
-def takes_any_bundle(member: Member, digest: str, able: bool) -> Any:
-    return policy_commit.prepared(replace(member, wanted=digest or member.wanted), digest, able)
+def takes_any_bundle(member: Participant, digest: str, able: bool) -> Any:
+    return policy_commit.on_prepare_result(
+        replace(member, preparing=digest or member.preparing), digest, able
+    )
 
 
 DEFECTS: dict[str, dict[str, Any]] = {
@@ -142,7 +153,7 @@
     pytest.fail("not found")
 
 
-change = Open(7, 3, "new")
+change = OpenChange(7, 3, "new")
 names = st.sets(st.sampled_from(["a", "b", "c", "d"]))
 
 
@@ -158,11 +169,13 @@
 def test_a_yes_needs_a_yes_of_each(
     proposed: set[str], registered: set[str], votes: dict[str, Vote], unreached: set[str]
 ) -> None:
-    found = policy_commit.verdict(change, Force(2, "old"), proposed, registered, votes, (), unreached)
+    found = policy_commit.decide(
+        change, CommittedPolicy(2, "old"), proposed, registered, votes, (), unreached
+    )
     agreed = {who for who, vote in votes.items() if vote == Vote(7, "new", True)}
-    if found.outcome is Outcome.YES:
+    if found.outcome is Outcome.COMMIT:
         assert registered and registered <= agreed and proposed <= registered and not unreached
-    elif found.outcome is Outcome.WAIT:
+    elif found.outcome is Outcome.PENDING:
         assert set(found.awaited) == registered - agreed
     else:
         assert found.reason
@@ -170,5 +183,8 @@
 
 def test_one_that_signed_off_is_not_missed() -> None:
     votes = {"a": Vote(7, "new", True)}
-    assert policy_commit.verdict(change, Force(2, "old"), "ab", "a", votes).outcome is Outcome.NO
-    assert policy_commit.verdict(change, Force(2, "old"), "ab", "a", votes, "b").outcome is Outcome.YES
+    assert policy_commit.decide(change, CommittedPolicy(2, "old"), "ab", "a", votes).outcome is Outcome.ABORT
+    assert (
+        policy_commit.decide(change, CommittedPolicy(2, "old"), "ab", "a", votes, "b").outcome
+        is Outcome.COMMIT
+    )
--- a/tests/coordination/test_supervision.py
+++ b/tests/coordination/test_supervision.py
@@ -13,21 +13,21 @@
 
 from gladegw.coordination import supervision
 from gladegw.coordination.supervision import (
-    GONE,
-    Bounds,
-    Do,
-    Order,
+    NOT_RUNNING,
+    ActionKind,
     Phase,
-    Seen,
+    ProcessStatus,
     Slot,
     Supervision,
-    asked,
-    ordered,
+    Timeouts,
+    VersionOrder,
+    apply_order,
+    request_version,
+    revert_unconfirmed,
     step,
-    unconfirmed,
 )
 
-BOUNDS = Bounds(ready=5.0, prove=3.0, drain=4.0, again=0.5, again_most=4.0)
+BOUNDS = Timeouts(ready=5.0, verify=3.0, drain=4.0, restart_backoff=0.5, max_restart_backoff=4.0)
 TICK = 0.25
 VERSIONS = ("good", "dies", "never", "bad", "late", "better", "flaps")
 
@@ -40,14 +40,14 @@
     lame: bool = False
     deaf: bool = False  # does not heed what it is told
 
-    def seen(self, now: float) -> Seen:
+    def seen(self, now: float) -> ProcessStatus:
         age = now - self.born
         if self.version == "dies" and age > 1.0:
-            return Seen(why="ended with 1")
+            return ProcessStatus(exit_reason="ended with 1")
         ready = age > 0.5 and self.version != "never" and not self.told and not self.lame
         ready &= self.version != "late" or age > BOUNDS.ready + 1
         ready &= self.version != "flaps" or int(age) % 2 == 0
-        return Seen(True, ready, "serves errors" if self.version == "bad" and age > 1.5 else "")
+        return ProcessStatus(True, ready, "serves errors" if self.version == "bad" and age > 1.5 else "")
 
 
 class World:
@@ -61,9 +61,9 @@
         self.proven = 0.0  # since when the other one was ready without a break
         self.given_up: set[tuple[int, str]] = set()
 
-    def seen(self, slot: Slot) -> Seen:
+    def seen(self, slot: Slot) -> ProcessStatus:
         process = self.there.get(slot)
-        return process.seen(self.now) if process is not None else GONE
+        return process.seen(self.now) if process is not None else NOT_RUNNING
 
     def tick(self) -> None:
         self.now += TICK
@@ -72,7 +72,7 @@
             if leaves or not process.seen(self.now).alive:
                 del self.there[slot]
         current, other = self.seen(Slot.CURRENT), self.seen(Slot.OTHER)
-        if not (other.alive and other.ready and not other.bad):
+        if not (other.alive and other.ready and not other.failure):
             self.proven = self.now
         before = self.state
         self.state, actions = step(before, current, other, self.now, BOUNDS)
@@ -81,21 +81,21 @@
             self.do(do, slot, before, current)
         assert len(self.there) <= 2
 
-    def do(self, do: Do, slot: Slot, before: Supervision, current: Seen) -> None:
-        if do is Do.START:
+    def do(self, do: ActionKind, slot: Slot, before: Supervision, current: ProcessStatus) -> None:
+        if do is ActionKind.START:
             version = self.state.current if slot is Slot.CURRENT else self.state.coming
             assert slot not in self.there, "started over one that is there"
             assert (self.state.epoch, version) not in self.given_up or version == before.good, "tried again"
             self.there[slot] = Process(version, self.now, deaf=self.draws.random() < 0.2)
-        elif do is Do.SWAP:
+        elif do is ActionKind.PROMOTE:
             assert Slot.CURRENT not in self.there, "it took the place of one that is there"
             self.there[Slot.CURRENT] = self.there.pop(Slot.OTHER)
         else:
-            if slot is Slot.CURRENT and current.ready and not current.bad and not self.there[slot].told:
-                assert self.now >= self.proven + BOUNDS.prove, f"{do} of who serves before it was proven"
-            if do in (Do.LAME, Do.REJOIN):
-                self.there[slot].lame = do is Do.LAME
-            elif do is Do.KILL:
+            if slot is Slot.CURRENT and current.ready and not current.failure and not self.there[slot].told:
+                assert self.now >= self.proven + BOUNDS.verify, f"{do} of who serves before it was proven"
+            if do in (ActionKind.DRAIN, ActionKind.REJOIN):
+                self.there[slot].lame = do is ActionKind.DRAIN
+            elif do is ActionKind.KILL:
                 self.there.pop(slot, None)
             elif slot in self.there:
                 self.there[slot].told = True
@@ -103,10 +103,10 @@
     def settle(self, version: str, ask: str = "", lost: bool = False) -> None:
         """Once nothing happens any more it serves by what was asked for, or by this version where that is no
         good, by one process, in bounded time. `lost`: who served dies first."""
-        self.state = asked(self.state, ask or version, self.state.epoch + 1, keep=bool(ask))
+        self.state = request_version(self.state, ask or version, self.state.epoch + 1, keep=bool(ask))
         if lost:
             self.there.pop(Slot.CURRENT)
-        most = 2 * (BOUNDS.ready + BOUNDS.prove + BOUNDS.drain + BOUNDS.again_most) + 2
+        most = 2 * (BOUNDS.ready + BOUNDS.verify + BOUNDS.drain + BOUNDS.max_restart_backoff) + 2
         for _ in range(int(most / TICK)):
             self.tick()
         assert self.state.phase is Phase.STEADY and self.state.current == version, self.state
@@ -130,9 +130,11 @@
             for _ in range(event):
                 world.tick()
         elif event == "again":  # the same word of the store, under the same epoch
-            world.state = asked(world.state, world.state.wanted, world.state.epoch)
+            world.state = request_version(world.state, world.state.wanted, world.state.epoch)
         elif event in VERSIONS:
-            world.state = asked(world.state, event, world.state.epoch + 1, world.draws.random() < 0.5)
+            world.state = request_version(
+                world.state, event, world.state.epoch + 1, world.draws.random() < 0.5
+            )
         else:
             world.there.pop(Slot.CURRENT if event == "kill current" else Slot.OTHER, None)
     world.settle("better")
@@ -168,7 +170,7 @@
     world = World(1)
     world.settle("good")
     pid = world.there[Slot.CURRENT]
-    world.state = asked(world.state, version, 2)
+    world.state = request_version(world.state, version, 2)
     for _ in range(200):
         world.tick()
     assert world.state.phase is Phase.STEADY and world.there == {Slot.CURRENT: pid}
@@ -192,20 +194,20 @@
 
 
 def _unproven(state: Any, current: Any, other: Any, now: float, bounds: Any) -> Any:
-    return supervision_real["_proving"](state, current, other, now + bounds.prove, bounds)
+    return supervision_real["_verifying"](state, current, other, now + bounds.verify, bounds)
 
 
 def _not_looked_at(state: Any, current: Any, other: Any, now: float, bounds: Any) -> Any:
-    seen = replace(other, bad="", ready=True) if other.alive else other
-    return supervision_real["_proving"](state, current, seen, now, bounds)
+    seen = replace(other, failure="", ready=True) if other.alive else other
+    return supervision_real["_verifying"](state, current, seen, now, bounds)
 
 
 def _patient(state: Any, current: Any, other: Any, now: float, bounds: Any) -> Any:
-    return supervision_real["_bringing"](state, current, other, now, replace(bounds, ready=1e9))
+    return supervision_real["_starting_replacement"](state, current, other, now, replace(bounds, ready=1e9))
 
 
 def _never_killed(state: Any, current: Any, other: Any, now: float, bounds: Any) -> Any:
-    return supervision_real["_ending"](state, current, other, now, replace(bounds, drain=1e9))
+    return supervision_real["_stopping_previous"](state, current, other, now, replace(bounds, drain=1e9))
 
 
 def _deaf_to_death(state: Any, current: Any, other: Any, now: float, bounds: Any) -> Any:
@@ -213,40 +215,49 @@
 
 
 def _ends_both(state: Any, current: Any, other: Any, now: float, bounds: Any) -> Any:
-    after, actions = supervision_real["_bringing"](state, current, other, now, bounds)
-    return after, (*actions, (Do.TERM, Slot.CURRENT)) if actions == ((Do.TERM, Slot.OTHER),) else actions
+    after, actions = supervision_real["_starting_replacement"](state, current, other, now, bounds)
+    return after, (*actions, (ActionKind.TERMINATE, Slot.CURRENT)) if actions == (
+        (ActionKind.TERMINATE, Slot.OTHER),
+    ) else actions
 
 
 def _not_called_back(*given: Any) -> Any:
-    after, actions = supervision_real["_keeping"](*given)
-    return after, tuple(one for one in actions if one[0] is not Do.REJOIN)
+    after, actions = supervision_real["_retaining_previous"](*given)
+    return after, tuple(one for one in actions if one[0] is not ActionKind.REJOIN)
 
 
 def _kept_for_ever(state: Any, *rest: Any) -> Any:
-    return supervision_real["_keeping"](replace(state, keep=True), *rest)
+    return supervision_real["_retaining_previous"](replace(state, keep=True), *rest)
 
 
 supervision_real = {
-    name: getattr(supervision, name) for name in ("_proving", "_bringing", "_ending", "_steady", "_keeping")
+    name: getattr(supervision, name)
+    for name in (
+        "_verifying",
+        "_starting_replacement",
+        "_stopping_previous",
+        "_steady",
+        "_retaining_previous",
+    )
 }
 PLANTED: dict[str, tuple[str, Any]] = {
-    "the old one is told to end at once": ("_proving", _unproven),
-    "what the new one does is not looked at": ("_proving", _not_looked_at),
-    "one that is never ready is waited for": ("_bringing", _patient),
-    "one that does not leave is never killed": ("_ending", _never_killed),
+    "the old one is told to end at once": ("_verifying", _unproven),
+    "what the new one does is not looked at": ("_verifying", _not_looked_at),
+    "one that is never ready is waited for": ("_starting_replacement", _patient),
+    "one that does not leave is never killed": ("_stopping_previous", _never_killed),
     "a death is not noticed": ("_steady", _deaf_to_death),
-    "both are told to end": ("_bringing", _ends_both),
-    "what was given up is tried again": ("_refused", lambda state, why: replace(state, reason=why)),
-    "the other takes over and the place is not": ("_followed", _plant("_followed", actions=lambda _: ())),
-    "who follows is not named": ("_followed", _plant("_followed", current=lambda was, _: was.current)),
-    "a start that fails never falls back": ("DEATHS", 10**9),
+    "both are told to end": ("_starting_replacement", _ends_both),
+    "what was given up is tried again": ("_reject_version", lambda state, why: replace(state, reason=why)),
+    "the other takes over and the place is not": ("_promote", _plant("_promote", actions=lambda _: ())),
+    "who follows is not named": ("_promote", _plant("_promote", current=lambda was, _: was.current)),
+    "a start that fails never falls back": ("DEATHS_BEFORE_FALLBACK", 10**9),
     "one that leaves is not followed": (
-        "_giving_up",
+        "_stopping_replacement",
         lambda state, *_: (replace(state, phase=Phase.STEADY, coming=""), ()),
     ),
-    "nothing is started after a death": ("_pause", lambda *_: 1e9),
-    "the one before is drained and never called back": ("_keeping", _not_called_back),
-    "it is kept when all is confirmed": ("_keeping", _kept_for_ever),
+    "nothing is started after a death": ("_restart_backoff", lambda *_: 1e9),
+    "the one before is drained and never called back": ("_retaining_previous", _not_called_back),
+    "it is kept when all is confirmed": ("_retaining_previous", _kept_for_ever),
 }
 
 
@@ -268,26 +279,31 @@
 
 
 def test_a_proof_waits_for_requests_where_there_are_some_and_not_for_ever() -> None:
-    ready, thin = Seen(True, True), Seen(True, True, thin=True)
-    proving = Supervision("better", "good", Phase.PROVING, 10.0, coming="better")
+    ready, thin = ProcessStatus(True, True), ProcessStatus(True, True, insufficient_traffic=True)
+    proving = Supervision("better", "good", Phase.VERIFYING, 10.0, coming="better")
 
-    def phase(other: Seen, after: float) -> Phase:
-        return step(proving, ready, other, 10.0 + after * BOUNDS.prove, BOUNDS)[0].phase
+    def phase(other: ProcessStatus, after: float) -> Phase:
+        return step(proving, ready, other, 10.0 + after * BOUNDS.verify, BOUNDS)[0].phase
 
-    assert phase(ready, 0.9) is Phase.PROVING and phase(ready, 1.0) is Phase.ENDING
-    assert phase(thin, 3.9) is Phase.PROVING and phase(thin, 4.0) is Phase.ENDING
-    assert phase(replace(thin, bad="serves errors"), 2.0) is Phase.GIVING_UP
+    assert phase(ready, 0.9) is Phase.VERIFYING and phase(ready, 1.0) is Phase.STOPPING_PREVIOUS
+    assert phase(thin, 3.9) is Phase.VERIFYING and phase(thin, 4.0) is Phase.STOPPING_PREVIOUS
+    assert phase(replace(thin, failure="serves errors"), 2.0) is Phase.STOPPING_REPLACEMENT
 
 
 def test_an_order_is_heeded_by_epochs_and_a_stage_needs_signs() -> None:
-    order = ordered(Order(), "a", 1, "1.0", "1.1", ("a", "b"), 10.0, 5, 100.0)
+    order = apply_order(VersionOrder(), "a", 1, "1.0", "1.1", ("a", "b"), 10.0, 5, 100.0)
     assert (order.wanted, order.base) == ("1.1", "1.0")
-    assert ordered(Order(), "c", 1, "1.0", "1.1", ("a", "b"), 10.0, 5, 100.0).wanted == "1.0"
-    assert ordered(order, "a", 0, "0.9", "", (), 0.0, 9, 101.0) == order
-    later = ordered(order, "a", 1, "1.0", "1.1", ("a", "b"), 10.0, 6, 108.0)
-    assert unconfirmed(later, 117.9).wanted == "1.1"
-    alone = unconfirmed(later, 118.1)
+    assert apply_order(VersionOrder(), "c", 1, "1.0", "1.1", ("a", "b"), 10.0, 5, 100.0).wanted == "1.0"
+    assert apply_order(order, "a", 0, "0.9", "", (), 0.0, 9, 101.0) == order
+    later = apply_order(order, "a", 1, "1.0", "1.1", ("a", "b"), 10.0, 6, 108.0)
+    assert revert_unconfirmed(later, 117.9).wanted == "1.1"
+    alone = revert_unconfirmed(later, 118.1)
     assert alone.wanted == "1.0"
-    assert ordered(alone, "a", 1, "1.0", "1.1", ("a", "b"), 10.0, 9, 119.0).wanted == "1.0"  # for the epoch
-    assert ordered(alone, "a", 2, "1.1", "", (), 0.0, 9, 120.0).wanted == "1.1"
-    assert unconfirmed(ordered(Order(), "c", 1, "1.0", "", (), 10.0, 1, 0.0), 1e9).wanted == "1.0"
+    assert (
+        apply_order(alone, "a", 1, "1.0", "1.1", ("a", "b"), 10.0, 9, 119.0).wanted == "1.0"
+    )  # for the epoch
+    assert apply_order(alone, "a", 2, "1.1", "", (), 0.0, 9, 120.0).wanted == "1.1"
+    assert (
+        revert_unconfirmed(apply_order(VersionOrder(), "c", 1, "1.0", "", (), 10.0, 1, 0.0), 1e9).wanted
+        == "1.0"
+    )
--- a/tests/net/test_policy_epochs.py
+++ b/tests/net/test_policy_epochs.py
@@ -15,7 +15,14 @@
 from test_policy_sockets import Site
 
 from gladegw import replay
-from gladegw.coordination.policy_epochs import DECIDES, MOST_HELD, Shelf, Stamp, Standing, read
+from gladegw.coordination.policy_epochs import (
+    MAX_RETAINED_TABLES,
+    USABLE_STATES,
+    PolicyEpoch,
+    TableRetention,
+    TableState,
+    parse_epoch,
+)
 from gladegw.rig.faults.links import Link
 
 STAMP = "X-Policy-Epoch"
@@ -23,42 +30,44 @@
 
 @given(st.lists(st.tuples(st.sampled_from(["take", "prepare", "drop", "wait", "end"]), st.integers(1, 3))))
 def test_a_request_is_decided_by_what_was_decided_or_agreed_to_alone(course: list[tuple[str, int]]) -> None:
-    shelf, now, epoch = Shelf(hold=3.0), 0.0, 0
-    taken: dict[Stamp, float] = {}  # since when it is not in use
-    agreed: Stamp | None = None
+    shelf, now, epoch = TableRetention(retention_s=3.0), 0.0, 0
+    taken: dict[PolicyEpoch, float] = {}  # since when it is not in use
+    agreed: PolicyEpoch | None = None
     for what, size in course:
         if what == "take":
             if shelf.in_use is not None:
                 taken[shelf.in_use] = now
             epoch += size
-            stamp = Stamp(epoch, f"{size}")
-            shelf.takes(stamp, now)
-            assert shelf.standing(stamp, now) is Standing.IN_USE
+            stamp = PolicyEpoch(epoch, f"{size}")
+            shelf.activate(stamp, now)
+            assert shelf.state_of(stamp, now) is TableState.IN_USE
             agreed = agreed if agreed is not None and agreed.epoch > epoch else None
         elif what == "prepare":
-            agreed = Stamp(epoch + 1, f"{size}")
-            shelf.prepares(agreed)
+            agreed = PolicyEpoch(epoch + 1, f"{size}")
+            shelf.on_prepared(agreed)
         elif what == "drop":
             agreed = None
-            shelf.prepares(None)
+            shelf.on_prepared(None)
         elif what == "wait":
             now += size
         else:
-            gone = shelf.over(now)
-            assert not any(shelf.standing(one, now) in DECIDES for one in gone)
-            assert len(shelf.held) <= MOST_HELD
+            gone = shelf.expire(now)
+            assert not any(shelf.state_of(one, now) in USABLE_STATES for one in gone)
+            assert len(shelf.retained) <= MAX_RETAINED_TABLES
         for number in range(epoch + 3):
             for digest in "123":
-                asked = Stamp(number, digest)
-                standing = shelf.standing(asked, now)
+                asked = PolicyEpoch(number, digest)
+                standing = shelf.state_of(asked, now)
                 if asked == shelf.in_use:
-                    assert standing is Standing.IN_USE
-                elif standing is Standing.HELD:
-                    assert now < taken[asked] + shelf.hold
-                elif standing is Standing.PREPARED:
+                    assert standing is TableState.IN_USE
+                elif standing is TableState.RETAINED:
+                    assert now < taken[asked] + shelf.retention_s
+                elif standing is TableState.PREPARED:
                     assert asked == agreed
                 else:
-                    assert standing is (Standing.RETIRED if number <= epoch and epoch else Standing.UNKNOWN)
+                    assert standing is (
+                        TableState.RETIRED if number <= epoch and epoch else TableState.UNKNOWN
+                    )
 
 
 @pytest.mark.parametrize(
@@ -66,8 +75,8 @@
 )
 def test_a_malformed_stamp_is_no_stamp(text: bytes) -> None:
     with pytest.raises(ValueError, match="malformed"):
-        read(text)
-    assert str(read(b"12-0a")) == "12-0a"
+        parse_epoch(text)
+    assert str(parse_epoch(b"12-0a")) == "12-0a"
 
 
 def front(word: str) -> str:
--- a/tests/rig/test_rolled.py
+++ b/tests/rig/test_rolled.py
@@ -8,12 +8,18 @@
 
 from gladegw.control.duties.rollout_controller import POINTS, THINNED, point_of
 from gladegw.coordination.canary_analysis import Evidence, Sample
-from gladegw.coordination.fleet_regression import Whole
-from gladegw.coordination.records import Limits, Point, Rollout, decode, encode
+from gladegw.coordination.fleet_regression import FleetWindow
+from gladegw.coordination.records import (
+    RolloutLimitsRecord,
+    RolloutRecord,
+    TimelinePointRecord,
+    decode,
+    encode,
+)
 from gladegw.rig.measures import rolled
 
-LIMITS = Limits(failed=0.002, refused=0.02, level=0.1, alpha=0.01, least_requests=200)
-RECORD = Rollout(
+LIMITS = RolloutLimitsRecord(failed=0.002, refused=0.02, level=0.1, alpha=0.01, least_requests=200)
+RECORD = RolloutRecord(
     id="r<1>",
     old="o",
     new="n",
@@ -40,21 +46,21 @@
     assert rolled.wilson(10, 100)[2] - rolled.wilson(10, 100)[1] > rolled.wilson(100, 1000)[2] - 0.1
 
 
-def point(stage: int, window: int, bad: int) -> Point:
-    new = Whole({"failed status": (bad, 20)}, {"ms status": 20.0 + bad})
-    return Point(
+def point(stage: int, window: int, bad: int) -> TimelinePointRecord:
+    new = FleetWindow({"failed status": (bad, 20)}, {"ms status": 20.0 + bad})
+    return TimelinePointRecord(
         at=10.0 + 40 * stage + 2 * window,
         stage=stage,
         baked_s=2.0 * window,
         log_e={"failed status": 0.3 * bad},
         new=new,
-        others=Whole({"failed status": (1, 200)}, {"ms status": 21.0}),
+        others=FleetWindow({"failed status": (1, 200)}, {"ms status": 21.0}),
     )
 
 
 def test_a_page_tells_stages_and_figures_and_nothing_as_markup() -> None:
     points = [point(0, window, 0) for window in range(1, 6)] + [point(1, window, 4) for window in range(1, 9)]
-    assert [decode(encode(one), Point) for one in points] == points
+    assert [decode(encode(one), TimelinePointRecord) for one in points] == points
     text = rolled.page(RECORD, points)
     assert "failed &amp; &lt;done&gt;" in text and "r&lt;1&gt;" in text and "<svg" in text and "90 s" in text
     assert rolled.stages(RECORD, points) == [
--- a/tests/rig/test_simulate.py
+++ b/tests/rig/test_simulate.py
@@ -38,12 +38,19 @@
 def test_what_cannot_be_prepared_is_tried_again_in_its_time_and_not_at_each_word() -> None:
     """Found by seed 26 of `refuse`: each word of the store began one more chain of tries."""
     stuck = dataclasses.replace(
-        table.Member(), phase=table.Phase.STUCK, epoch=3, digest="old", force=table.Force(4, "bad"), seen=9
+        table.Participant(),
+        phase=table.Phase.PREPARE_FAILED,
+        epoch=3,
+        digest="old",
+        committed=table.CommittedPolicy(4, "bad"),
+        seen_revision=9,
     )
-    after, actions = table.told(stuck, table.Force(4, "bad"), None, 10)
-    assert actions == () and after.phase is table.Phase.STUCK
-    assert table.told(stuck, table.Force(5, "other"), None, 10)[1] == (table.Action.PREPARE,)
-    assert table.again(after)[1] == (table.Action.PREPARE,)
+    after, actions = table.on_store_update(stuck, table.CommittedPolicy(4, "bad"), None, 10)
+    assert actions == () and after.phase is table.Phase.PREPARE_FAILED
+    assert table.on_store_update(stuck, table.CommittedPolicy(5, "other"), None, 10)[1] == (
+        table.Action.PREPARE,
+    )
+    assert table.retry_prepare(after)[1] == (table.Action.PREPARE,)
 
 
 @pytest.mark.parametrize("name", [name for name, defect in DEFECTS.items() if defect.seed])
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -17,7 +17,7 @@
 from gladegw.control import fleet_status
 from gladegw.control.errors import StoreFault
 from gladegw.control.store_client import Client
-from gladegw.coordination.records import Fleet, RecordError, decode
+from gladegw.coordination.records import FleetSummaryRecord, RecordError, decode
 from gladegw.coordination.store import Get
 from gladegw.rig import process
 from gladegw.rig.store.launch import launch
@@ -72,7 +72,7 @@
         """Until the holder of `digest` under this token has written."""
 
         def told(view: Any) -> int:
-            found = view.read(view.at.fleet("digest"), Fleet)
+            found = view.read(view.at.fleet("digest"), FleetSummaryRecord)
             return found.token if found is not None else 0
 
         await self._until(told, lambda newest: bool(newest >= token))
@@ -94,7 +94,7 @@
             _, kvs = await self.client.get(Get(f"{PREFIX}/told/fleet/digest".encode(), b"", at))
             for kv in kvs:
                 with contextlib.suppress(RecordError):
-                    found.append((kv.mod_revision, decode(kv.value, Fleet).token))
+                    found.append((kv.mod_revision, decode(kv.value, FleetSummaryRecord).token))
         return [token for _, token in sorted(set(found))]
 
 
