--- a/benchmarks/stamps.py
+++ b/benchmarks/stamps.py
@@ -15,7 +15,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from gladegw.control.clock import boot
+from gladegw.control.clock import boot_time
 from gladegw.coordination.policy_epochs import HEADER
 from gladegw.coordination.serving_lease import ServingLease
 from gladegw.net.features import PolicySettings
@@ -36,8 +36,8 @@
 
 
 def stamped(**settings: Any) -> Stamped:
-    gate = ServingLease(boot)
-    gate.until = boot() + 3600
+    gate = ServingLease(boot_time)
+    gate.until = boot_time() + 3600
     made = Stamped(pools(), gate, PolicySettings(**settings), False)
     made.take(7, DIGEST, ("table", ""))  # type: ignore[arg-type]
     return made
--- a/gladegw/cli/fleet.py
+++ b/gladegw/cli/fleet.py
@@ -12,7 +12,7 @@
 from gladegw.net.config import ConfigError
 
 if TYPE_CHECKING:
-    from gladegw.control.store_cache import View
+    from gladegw.control.store_cache import StoreCache
 
 file_option = click.option("-f", "file", metavar="FILE", help="Settings of the features, in HCL blocks.")
 json_option = click.option("--json", "as_json", is_flag=True, help="Print one object.")
@@ -23,7 +23,7 @@
     """What proxies that share a store know of each other."""
 
 
-def looked(ctx: click.Context, file: str | None) -> View:
+def looked(ctx: click.Context, file: str | None) -> StoreCache:
     """One read of the store that the settings name; raises ConfigError."""
     named = file or ctx.obj
     if not named:
@@ -31,18 +31,18 @@
     settings = features.read(named).coordination
     if settings is None:
         raise ConfigError(f"bad settings: {named}: no block coordination")
-    from gladegw.control.errors import StoreFault
+    from gladegw.control.errors import StoreClientError
     from gladegw.control.fleet_status import read
-    from gladegw.control.store_client import Client
+    from gladegw.control.store_client import StoreClient
 
-    async def look() -> View:
-        client = Client(settings.addresses, settings.timeout_ms / 1000, settings.token_file)
-        fault: StoreFault | None = None
+    async def look() -> StoreCache:
+        client = StoreClient(settings.addresses, settings.timeout_ms / 1000, settings.token_file)
+        fault: StoreClientError | None = None
         try:
             for _ in settings.addresses:
                 try:
                     return await read(client, settings.prefix)
-                except StoreFault as found:
+                except StoreClientError as found:
                     fault = found
         finally:
             client.close()
--- a/gladegw/cli/policy.py
+++ b/gladegw/cli/policy.py
@@ -16,7 +16,7 @@
 from gladegw.net.config import ConfigError
 
 if TYPE_CHECKING:
-    from gladegw.control.policy_proposals import Operator, Result
+    from gladegw.control.policy_proposals import PolicyOperator, ProposalResult
 
 T = TypeVar("T")
 why_option = click.option("--why", default="", help="Is kept with the change.")
@@ -39,20 +39,20 @@
     return named, found
 
 
-def asked(ctx: click.Context, file: str | None, what: Callable[[Operator], Awaitable[T]]) -> T:
+def asked(ctx: click.Context, file: str | None, what: Callable[[PolicyOperator], Awaitable[T]]) -> T:
     """Raises ConfigError in one line where the store does not answer."""
     named, found = settings_of(ctx, file)
     settings = found.coordination
     assert settings is not None
-    from gladegw.control.errors import StoreFault
-    from gladegw.control.policy_proposals import Operator
-    from gladegw.control.store_client import Client
+    from gladegw.control.errors import StoreClientError
+    from gladegw.control.policy_proposals import PolicyOperator
+    from gladegw.control.store_client import StoreClient
 
     async def ask() -> T:
-        client = Client(settings.addresses, settings.timeout_ms / 1000, settings.token_file)
+        client = StoreClient(settings.addresses, settings.timeout_ms / 1000, settings.token_file)
         try:
-            return await what(Operator(client, settings.prefix))
-        except StoreFault as fault:
+            return await what(PolicyOperator(client, settings.prefix))
+        except StoreClientError as fault:
             raise ConfigError(f"{named}: the store at {', '.join(settings.endpoints)}: {fault}") from None
         finally:
             client.close()
@@ -76,7 +76,7 @@
     from gladegw.routing.read import read_text
 
     try:
-        files = policy_bundle.read(folder)
+        files = policy_bundle.read_files(folder)
     except policy_bundle.BundleError as fault:
         raise ConfigError(str(fault)) from None
     for name, text in files.items():
@@ -100,17 +100,17 @@
     assert found.policy is not None
     deadline, everyone = found.policy.deadline_s, found.policy.when_cut_off == "serve"
 
-    async def propose(operator: Operator) -> Result:
-        from gladegw.control.policy_proposals import Result
+    async def propose(operator: PolicyOperator) -> ProposalResult:
+        from gladegw.control.policy_proposals import ProposalResult
 
-        named = await operator.send(files) if files is not None else digest
+        named = await operator.upload(files) if files is not None else digest
         try:
             change = await operator.propose(named, deadline, everyone, me(), why, dry)
         except ValueError as fault:
-            return Result("nowhere", 0, named, str(fault))
+            return ProposalResult("nowhere", 0, named, str(fault))
         if wait or dry:
             return await operator.outcome(change, deadline)
-        return Result("open", change.epoch, change.digest)
+        return ProposalResult("open", change.epoch, change.digest)
 
     result = asked(ctx, file, propose)
     told: dict[str, Any] = msgspec.to_builtins(result)
@@ -158,7 +158,7 @@
 def by_epoch(ctx: click.Context, file: str | None, epoch: int) -> str:
     from gladegw.control.policy_proposals import history
 
-    async def look(operator: Operator) -> list[dict[str, Any]]:
+    async def look(operator: PolicyOperator) -> list[dict[str, Any]]:
         return history(await operator.view())
 
     for one in asked(ctx, file, look):
@@ -177,7 +177,7 @@
     """What is in force, which change is open, who has voted what, and who serves by what."""
     from gladegw.control import policy_proposals as told
 
-    async def look(operator: Operator) -> dict[str, Any]:
+    async def look(operator: PolicyOperator) -> dict[str, Any]:
         return told.status(await operator.view())
 
     while True:
@@ -212,7 +212,7 @@
 @mendable
 def call_off(ctx: click.Context, file: str | None, as_json: bool) -> None:
     """End the open change, unless it is decided already."""
-    change = asked(ctx, file, lambda operator: operator.call_off(me() or "an operator"))
+    change = asked(ctx, file, lambda operator: operator.cancel(me() or "an operator"))
     if as_json:
         show_json({"called_off": change.id if change is not None else None})
     else:
@@ -230,7 +230,7 @@
     """What was in force, epoch by epoch."""
     from gladegw.control.policy_proposals import history as told
 
-    async def look(operator: Operator) -> list[dict[str, Any]]:
+    async def look(operator: PolicyOperator) -> list[dict[str, Any]]:
         return told(await operator.view())
 
     found = asked(ctx, file, look)
@@ -319,7 +319,7 @@
 @mendable
 def members(ctx: click.Context, name: str, file: str | None) -> None:
     """Forget a member that is gone for good: no change waits for it any more."""
-    why = asked(ctx, file, lambda operator: operator.remove(name))
+    why = asked(ctx, file, lambda operator: operator.forget_member(name))
     click.echo(why or f"removed: {name}")
     if why:
         raise SystemExit(1)
--- a/gladegw/cli/rollout.py
+++ b/gladegw/cli/rollout.py
@@ -15,9 +15,9 @@
 from gladegw.net.config import ConfigError
 
 if TYPE_CHECKING:
-    from gladegw.control.policy_proposals import Operator
+    from gladegw.control.policy_proposals import PolicyOperator
     from gladegw.control.rollout_plan import Plan
-    from gladegw.control.rollouts import Rollouts
+    from gladegw.control.rollouts import RolloutOperator
     from gladegw.coordination.records import RolloutRecord, TimelinePointRecord
 
 
@@ -39,21 +39,24 @@
 
 
 def done(
-    ctx: click.Context, file: str | None, as_json: bool, what: Callable[[Rollouts], Awaitable[RolloutRecord]]
+    ctx: click.Context,
+    file: str | None,
+    as_json: bool,
+    what: Callable[[RolloutOperator], Awaitable[RolloutRecord]],
 ) -> None:
     """Exit code 1 where it is refused."""
     named, found = settings_of(ctx, file)
     if found.rollout is None:
         raise ConfigError(f"bad settings: {named}: no block rollout")
 
-    async def ask(operator: Operator) -> tuple[str, dict[str, Any]]:
-        from gladegw.control.rollouts import Refused, Rollouts, last, status
+    async def ask(operator: PolicyOperator) -> tuple[str, dict[str, Any]]:
+        from gladegw.control.rollouts import RolloutOperator, RolloutRejectedError, latest, status
 
         try:
-            record = await what(Rollouts(operator))
-        except Refused as fault:
+            record = await what(RolloutOperator(operator))
+        except RolloutRejectedError as fault:
             view = await operator.view()
-            return str(fault), status(view, last(view))
+            return str(fault), status(view, latest(view))
         return "", status(await operator.view(), record)
 
     why, told = asked(ctx, file, ask)
@@ -97,7 +100,7 @@
     if file or ctx.obj:
         from gladegw.coordination.rollout import plan_stages
 
-        async def look(operator: Operator) -> dict[str, str]:
+        async def look(operator: PolicyOperator) -> dict[str, str]:
             return {member.name: member.zone for _, member in (await operator.view()).members()}
 
         members = asked(ctx, file, look)
@@ -129,7 +132,7 @@
     deadline, everyone = settings.policy.deadline_s, settings.policy.when_cut_off == "serve"
     over: list[RolloutRecord] = []
 
-    async def begin(rollouts: Rollouts) -> RolloutRecord:
+    async def begin(rollouts: RolloutOperator) -> RolloutRecord:
         record = await rollouts.start(found, files, confirm, deadline, everyone, me(), why)
         if wait:
             record = await rollouts.outcome(record.id)
@@ -150,12 +153,12 @@
 def status(ctx: click.Context, file: str | None, as_json: bool, watch: bool) -> None:
     """Which stage, what was seen so far, and who serves by what."""
 
-    async def look(operator: Operator) -> dict[str, Any]:
-        from gladegw.control.rollouts import last
+    async def look(operator: PolicyOperator) -> dict[str, Any]:
+        from gladegw.control.rollouts import latest
         from gladegw.control.rollouts import status as told
 
         view = await operator.view()
-        return told(view, last(view))
+        return told(view, latest(view))
 
     while True:
         show(asked(ctx, file, look), as_json)
@@ -212,7 +215,7 @@
 def history(ctx: click.Context, file: str | None, as_json: bool) -> None:
     """What was rolled out, and what became of it."""
 
-    async def look(operator: Operator) -> list[RolloutRecord]:
+    async def look(operator: PolicyOperator) -> list[RolloutRecord]:
         from gladegw.control.rollouts import history as told
 
         return told(await operator.view())
@@ -256,14 +259,14 @@
 def page_of(ctx: click.Context, id: str, output: str, file: str | None) -> None:
     """Write one page of a rollout, the last one if none is named: stages, figures judged, evidence, plots."""
 
-    async def look(operator: Operator) -> tuple[RolloutRecord | None, list[TimelinePointRecord]]:
+    async def look(operator: PolicyOperator) -> tuple[RolloutRecord | None, list[TimelinePointRecord]]:
         from gladegw.control.rollouts import history as told
-        from gladegw.control.rollouts import last, points
+        from gladegw.control.rollouts import latest, timeline
 
         view = await operator.view()
         named = [one for one in told(view) if one.id == id] if id else []
-        record = last(view) if not id or last_is(last(view), id) else (named[0] if named else None)
-        return record, await points(operator, record.id) if record is not None else []
+        record = latest(view) if not id or last_is(latest(view), id) else (named[0] if named else None)
+        return record, await timeline(operator, record.id) if record is not None else []
 
     record, found = asked(ctx, file, look)
     if record is None:
--- a/gladegw/cli/supervise.py
+++ b/gladegw/cli/supervise.py
@@ -68,9 +68,9 @@
         return click.echo("  ".join(f"{key} {value}" for key, value in told.items()))
     options = None
     if coordination is not None:
-        from gladegw.control.member import Options
+        from gladegw.control.member import StoreOptions
 
-        options = Options(
+        options = StoreOptions(
             coordination.addresses,
             coordination.prefix,
             coordination.ttl_s,
--- a/gladegw/control/backoff.py
+++ b/gladegw/control/backoff.py
@@ -4,22 +4,22 @@
 
 from random import Random
 
-FIRST_BACKOFF, MOST_BACKOFF = 0.1, 5.0  # s
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.1, 5.0  # s
 
 
 class Backoff:
     """Capped, doubled, and jittered by half, so that forty that lost the store don't return at once."""
 
-    def __init__(self, draws: Random) -> None:
-        self.draws, self.pause = draws, FIRST_BACKOFF
+    def __init__(self, random: Random) -> None:
+        self.random, self.delay = random, INITIAL_BACKOFF_S
 
-    def next(self) -> float:
-        pause, self.pause = self.pause, min(MOST_BACKOFF, 2 * self.pause)
-        return pause * self.draws.uniform(0.5, 1.0)
+    def next_delay(self) -> float:
+        pause, self.delay = self.delay, min(MAX_BACKOFF_S, 2 * self.delay)
+        return pause * self.random.uniform(0.5, 1.0)
 
-    def most(self) -> float:
+    def max_delay(self) -> float:
         """For what no further try will mend soon."""
-        return MOST_BACKOFF * self.draws.uniform(0.5, 1.0)
+        return MAX_BACKOFF_S * self.random.uniform(0.5, 1.0)
 
     def reset(self) -> None:
-        self.pause = FIRST_BACKOFF
+        self.delay = INITIAL_BACKOFF_S
--- a/gladegw/control/clock.py
+++ b/gladegw/control/clock.py
@@ -4,9 +4,9 @@
 
 import time
 
-BOOT = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+BOOT_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
-def boot() -> float:
+def boot_time() -> float:
     """S since the machine started."""
-    return time.clock_gettime(BOOT)
+    return time.clock_gettime(BOOT_CLOCK)
--- a/gladegw/control/duties/__init__.py
+++ b/gladegw/control/duties/__init__.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from gladegw.control.duties.base import Work
-from gladegw.control.duties.config_drift import Compare
-from gladegw.control.duties.fleet_summary import Digest
-from gladegw.control.duties.member_cleanup import Sweeper
+from gladegw.control.duties.base import DutyWork
+from gladegw.control.duties.config_drift import ConfigDrift
+from gladegw.control.duties.fleet_summary import FleetSummary
+from gladegw.control.duties.member_cleanup import MemberCleanup
 
-ALL: tuple[type[Work], ...] = (Digest, Sweeper, Compare)
+ALL: tuple[type[DutyWork], ...] = (FleetSummary, MemberCleanup, ConfigDrift)
--- a/gladegw/control/duties/base.py
+++ b/gladegw/control/duties/base.py
@@ -5,26 +5,26 @@
 from abc import ABC, abstractmethod
 from typing import Protocol
 
-from gladegw.control.store_cache import View
+from gladegw.control.store_cache import StoreCache
 from gladegw.coordination.store import Compare, Operation, TxnResult
 
 
-class NotHeld(Exception):
+class NotHolderError(Exception):
     """The duty is not held (any more). `begun`: the effect was sent, and the store refused its token."""
 
     def __init__(self, duty: str, begun: bool = False) -> None:
         super().__init__(duty)
-        self.begun = begun
+        self.started = begun
 
 
-class Holding(Protocol):
+class DutyContext(Protocol):
     """What a duty may do while it is held under `token`."""
 
     @property
     def token(self) -> int: ...
 
     @property
-    def view(self) -> View: ...
+    def cache(self) -> StoreCache: ...
 
     async def grant(self, ttl: int) -> int:
         """A lease of the store's that nobody keeps alive; raises StoreFault."""
@@ -38,21 +38,21 @@
         not known."""
 
 
-class Work(ABC):
+class DutyWork(ABC):
     """`period`: s from the end of one step to the begin of the next. `reads`: its steps need what stands
     under `told/`, which only holders read. A duty that is not held has nothing under way: `end` is called
     once its step is cancelled."""
 
     name = ""
     period = 1.0
-    reads = False
-    knows: tuple[str, ...] = ()  # kinds of its work that an older program would get wrong
+    reads_reported = False
+    capabilities: tuple[str, ...] = ()  # kinds of its work that an older program would get wrong
 
-    async def begin(self, holding: Holding) -> None:  # noqa: B027
+    async def begin(self, holding: DutyContext) -> None:  # noqa: B027
         """Before the first step of a holder."""
 
     @abstractmethod
-    async def step(self, holding: Holding) -> None: ...
+    async def step(self, holding: DutyContext) -> None: ...
 
     def end(self) -> None:  # noqa: B027
         """What was kept for the steps can be forgotten; nothing is written any more."""
--- a/gladegw/control/duties/config_drift.py
+++ b/gladegw/control/duties/config_drift.py
@@ -6,24 +6,24 @@
 
 import msgspec
 
-from gladegw.control.duties.base import Holding, Work
-from gladegw.control.store_cache import View
+from gladegw.control.duties.base import DutyContext, DutyWork
+from gladegw.control.store_cache import StoreCache
 from gladegw.coordination.records import ConfigDriftRecord, encode
 from gladegw.coordination.store import Put
 
 
-def groups(view: View, field: str) -> dict[str, tuple[str, ...]]:
+def groups(view: StoreCache, field: str) -> dict[str, tuple[str, ...]]:
     """Names by the digest that they work by; empty where there is one at most. Only members of one zone's or
     one tier's table are alike; what differs by design shows here as well."""
     found: dict[str, list[str]] = {}
-    for name, figures in sorted(view.figures().items()):
+    for name, figures in sorted(view.member_metrics().items()):
         digest = getattr(figures, field)
         if digest:
             found.setdefault(digest, []).append(name)
     return {digest: tuple(names) for digest, names in found.items()} if len(found) > 1 else {}
 
 
-class Compare(Work):
+class ConfigDrift(DutyWork):
     name = "compare"
     period = 1.0
     reads = True
@@ -31,9 +31,9 @@
     def __init__(self) -> None:
         self.last: ConfigDriftRecord | None = None
 
-    async def step(self, holding: Holding) -> None:
-        view = holding.view
-        key = view.at.fleet("compare")
+    async def step(self, holding: DutyContext) -> None:
+        view = holding.cache
+        key = view.keys.fleet_record("compare")
         discovery, routes = groups(view, "discovery"), groups(view, "routes")
         before = self.last or view.read(key, ConfigDriftRecord)
         since = 0.0
--- a/gladegw/control/duties/policy_coordinator.py
+++ b/gladegw/control/duties/policy_coordinator.py
@@ -7,9 +7,9 @@
 import time
 from dataclasses import replace
 
-from gladegw.control.duties.base import Holding, Work
-from gladegw.control.policy_participant import own
-from gladegw.control.store_cache import View
+from gladegw.control.duties.base import DutyContext, DutyWork
+from gladegw.control.policy_participant import own_digests
+from gladegw.control.store_cache import StoreCache
 from gladegw.coordination import policy_commit
 from gladegw.coordination.policy_commit import Decision, Outcome, Vote
 from gladegw.coordination.records import (
@@ -21,12 +21,12 @@
 )
 from gladegw.coordination.store import Compare, Delete, KeyValue, Operation, Put, Target
 
-LOOK = 1.0  # s without news after which it is looked at all the same
-HISTORY = 100  # epochs that are kept
-COMPARED = 100  # votes that one transaction compares: the store takes 128 operations of each kind
+POLL_INTERVAL_S = 1.0  # s without news after which it is looked at all the same
+MAX_HISTORY = 100  # epochs that are kept
+MAX_COMPARED_VOTES = 100  # votes that one transaction compares: the store takes 128 operations of each kind
 
 
-def votes(view: View) -> dict[str, Vote]:
+def votes(view: StoreCache) -> dict[str, Vote]:
     """By process: `name#incarnation`."""
     found = {}
     for parts, ballot in view.records("policy", "votes", form=VoteRecord):
@@ -34,26 +34,28 @@
     return found
 
 
-def common(cast: dict[str, Vote], change: PolicyChangeRecord) -> dict[str, Vote]:
+def votes_on(cast: dict[str, Vote], change: PolicyChangeRecord) -> dict[str, Vote]:
     """The same votes under the change's common digest, but those on another bundle than the voter's own."""
     found = {}
     for who, vote in cast.items():
-        mine = own(change, who.partition("#")[0])[0]
+        mine = own_digests(change, who.partition("#")[0])[0]
         found[who] = replace(vote, digest=change.digest) if vote.digest == mine else replace(vote, digest="")
     return found
 
 
-def registered(view: View) -> set[str]:
+def registered(view: StoreCache) -> set[str]:
     return {f"{member.name}#{member.incarnation}" for _, member in view.members()}
 
 
-def looked(view: View, change: PolicyChangeRecord, id: int) -> tuple[Decision, dict[str, Vote]]:
+def current_decision(
+    view: StoreCache, change: PolicyChangeRecord, id: int
+) -> tuple[Decision, dict[str, Vote]]:
     """The verdict on an open change by what is known now."""
-    force = view.read(view.at.force, PolicyRecord) or PolicyRecord(epoch=0, digest="")
-    left = {known.name for _, known in view.known() if known.left}
+    force = view.read(view.keys.committed_policy, PolicyRecord) or PolicyRecord(epoch=0, digest="")
+    left = {known.name for _, known in view.known_members() if known.left}
     signed_off = [who for who in change.members if who.partition("#")[0] in left]
-    unreached = [known.name for known in view.missing() if not known.left] if change.everyone else []
-    cast = common(votes(view), change)
+    unreached = [known.name for known in view.missing_members() if not known.left] if change.everyone else []
+    cast = votes_on(votes(view), change)
     opened = policy_commit.OpenChange(id, change.epoch, change.digest)
     found = policy_commit.decide(
         opened,
@@ -67,7 +69,7 @@
     return found, cast
 
 
-def told(cast: dict[str, Vote], change: int) -> dict[str, dict[str, str]]:
+def vote_summary(cast: dict[str, Vote], change: int) -> dict[str, dict[str, str]]:
     """The votes on this change, for its record and for people."""
     return {
         who: {"vote": "yes" if vote.yes else "no", "reason": vote.reason}
@@ -76,31 +78,31 @@
     }
 
 
-class Decide(Work):
+class PolicyCoordinator(DutyWork):
     name = "policy"
     period = 0.0
     reads = True
 
-    async def step(self, holding: Holding) -> None:
-        view = holding.view
-        view.news.clear()
-        kv = view.keys.get(view.at.change)
-        change = view.read(view.at.change, PolicyChangeRecord)
+    async def step(self, holding: DutyContext) -> None:
+        view = holding.cache
+        view.changed.clear()
+        kv = view.entries.get(view.keys.open_change)
+        change = view.read(view.keys.open_change, PolicyChangeRecord)
         if kv is not None and change is not None:
-            found, cast = looked(view, change, kv.create_revision)
+            found, cast = current_decision(view, change, kv.create_revision)
             if found.outcome is not Outcome.PENDING:
                 await self._decide(holding, change, kv, found, cast)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LOOK):
-                await view.news.wait()
+            async with asyncio.timeout(POLL_INTERVAL_S):
+                await view.changed.wait()
 
     @staticmethod
     async def _decide(
-        holding: Holding, change: PolicyChangeRecord, kv: KeyValue, found: Decision, cast: dict[str, Vote]
+        holding: DutyContext, change: PolicyChangeRecord, kv: KeyValue, found: Decision, cast: dict[str, Vote]
     ) -> None:
         """One transaction under the duty's token: that very change is open still, and what is in force is
         what it would replace. A dry run is never decided."""
-        at, now = holding.view.at, time.time()
+        at, now = holding.cache.keys, time.time()
         yes = found.outcome is Outcome.COMMIT and not change.dry
         reason = found.reason or ("a dry run: all would go over" if change.dry else "")
         ended = ChangeOutcomeRecord(
@@ -109,12 +111,12 @@
             digest=change.digest,
             reason=reason,
             at=now,
-            votes=told(cast, kv.create_revision),
+            votes=vote_summary(cast, kv.create_revision),
             who=change.who,
             why=change.why,
             outcome="everywhere" if yes else "nowhere",
         )
-        done: list[Operation] = [Delete(at.change), Put(at.ended(change.id), encode(ended))]
+        done: list[Operation] = [Delete(at.open_change), Put(at.change_outcome(change.id), encode(ended))]
         if yes:
             new = PolicyRecord(
                 epoch=change.epoch,
@@ -127,23 +129,25 @@
                 rollout=change.rollout,
                 confirm_s=change.confirm_s,
             )
-            done += [Put(at.force, encode(new)), Put(at.history(change.epoch), encode(new))]
-            if change.epoch > HISTORY:
-                done.append(Delete(at.history(change.epoch - HISTORY)))
-        in_force = holding.view.keys.get(at.force)
+            done += [Put(at.committed_policy, encode(new)), Put(at.history(change.epoch), encode(new))]
+            if change.epoch > MAX_HISTORY:
+                done.append(Delete(at.history(change.epoch - MAX_HISTORY)))
+        in_force = holding.cache.entries.get(at.committed_policy)
         compares = (
-            Compare(at.change, Target.MOD, "=", kv.mod_revision),
-            Compare(at.force, Target.MOD, "=", in_force.mod_revision if in_force is not None else 0),
-            *(as_cast(holding.view, cast) if yes else ()),
+            Compare(at.open_change, Target.MOD, "=", kv.mod_revision),
+            Compare(
+                at.committed_policy, Target.MOD, "=", in_force.mod_revision if in_force is not None else 0
+            ),
+            *(votes_unchanged(holding.cache, cast) if yes else ()),
         )
         await holding.effect(*done, compares=compares)
 
 
-def as_cast(view: View, cast: dict[str, Vote]) -> tuple[Compare, ...]:
+def votes_unchanged(view: StoreCache, cast: dict[str, Vote]) -> tuple[Compare, ...]:
     """That each vote which was counted stands still: a vote ends with its voter's lease, and news of that may
     be on its way. Of more than one transaction compares, none: there who is lost in these milliseconds is
     counted, and reads what is in force before it serves, as ever."""
-    if len(cast) > COMPARED:
+    if len(cast) > MAX_COMPARED_VOTES:
         return ()
-    keys = [view.at.vote(name, life) for name, _, life in (who.rpartition("#") for who in sorted(cast))]
-    return tuple(Compare(key, Target.MOD, "=", view.keys[key].mod_revision) for key in keys)
+    keys = [view.keys.vote(name, life) for name, _, life in (who.rpartition("#") for who in sorted(cast))]
+    return tuple(Compare(key, Target.MOD, "=", view.entries[key].mod_revision) for key in keys)
--- a/gladegw/control/errors.py
+++ b/gladegw/control/errors.py
@@ -3,19 +3,19 @@
 from __future__ import annotations
 
 
-class StoreFault(Exception):
+class StoreClientError(Exception):
     """One line."""
 
 
-class Unreachable(StoreFault):
+class StoreUnreachableError(StoreClientError):
     """No member of the store answered; nothing is known of what was sent: a write may have been done."""
 
 
-class RefusedByStore(StoreFault):
+class StoreRejectedError(StoreClientError):
     """The store answered that it won't: nothing was done."""
 
 
-class WatchLost(StoreFault):
+class WatchLostError(StoreClientError):
     """A watch ended; `compacted` if what it missed is not kept any more."""
 
     def __init__(self, reason: str, compacted: bool = False) -> None:
--- a/gladegw/control/fleet_status.py
+++ b/gladegw/control/fleet_status.py
@@ -6,19 +6,19 @@
 from typing import Any
 
 from gladegw.control.keys import Keys
-from gladegw.control.store_cache import View
-from gladegw.control.store_client import Client
+from gladegw.control.store_cache import StoreCache
+from gladegw.control.store_client import StoreClient
 from gladegw.coordination.records import ConfigDriftRecord, FleetSummaryRecord
 from gladegw.coordination.store import Get
 
 
-async def read(client: Client, prefix: str) -> View:
+async def read(client: StoreClient, prefix: str) -> StoreCache:
     """Raises StoreFault. The read is linearizable: operators act on what they see. Bundles are not in it."""
-    view = View(Keys(prefix))
-    parts = view.at.live, view.at.told
+    view = StoreCache(Keys(prefix))
+    parts = view.keys.live, view.keys.reported
     done = await client.do(*(Get(*part) for part in parts))
     for part, found in zip(parts, done.found, strict=True):
-        view.whole(part, done.revision, found)
+        view.load_snapshot(part, done.revision, found)
     return view
 
 
@@ -26,7 +26,7 @@
     return round(max(0.0, time.time() - at), 1) if at else 0.0
 
 
-def members(view: View) -> list[dict[str, Any]]:
+def members(view: StoreCache) -> list[dict[str, Any]]:
     """Who is there, and who is missing; `since_s` by the clocks of those who wrote it down."""
     told = [
         {
@@ -47,14 +47,14 @@
             "state": "missing",
             "since_s": _since(known.lost),
         }
-        for known in view.missing()
+        for known in view.missing_members()
     ]
     return sorted(told, key=lambda member: (str(member["name"]), str(member["incarnation"])))
 
 
-def duties(view: View) -> list[dict[str, Any]]:
+def duties(view: StoreCache) -> list[dict[str, Any]]:
     """Also those that nobody holds, if some member knows them."""
-    held = {view.at.split(kv.key)[1]: (kv, holder) for kv, holder in view.holders()}
+    held = {view.keys.split(kv.key)[1]: (kv, holder) for kv, holder in view.duty_holders()}
     names = sorted(held.keys() | {name for _, member in view.members() for name in member.can})
     return [
         {
@@ -69,12 +69,12 @@
     ]
 
 
-def status(view: View) -> dict[str, Any]:
-    fleet = view.read(view.at.fleet("digest"), FleetSummaryRecord)
-    differs = view.read(view.at.fleet("compare"), ConfigDriftRecord)
+def status(view: StoreCache) -> dict[str, Any]:
+    fleet = view.read(view.keys.fleet_record("digest"), FleetSummaryRecord)
+    differs = view.read(view.keys.fleet_record("compare"), ConfigDriftRecord)
     return {
         "members": len(view.members()),
-        "missing": [known.name for known in view.missing()],
+        "missing": [known.name for known in view.missing_members()],
         "totals": fleet.totals if fleet is not None else {},
         "worst": [{"name": name, "unserved": share} for name, share in fleet.worst] if fleet else [],
         "silent": list(fleet.silent) if fleet is not None else [],
--- a/gladegw/control/keys.py
+++ b/gladegw/control/keys.py
@@ -11,8 +11,8 @@
 
 from gladegw.coordination.store import prefix_end
 
-LIVE, TOLD, KEPT = "live", "told", "kept"
-Range = tuple[bytes, bytes]
+LIVE_PREFIX, REPORTED_PREFIX, RETAINED_PREFIX = "live", "told", "kept"
+KeyRange = tuple[bytes, bytes]
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,113 +22,117 @@
     def _key(self, *parts: str) -> bytes:
         return "/".join((self.prefix.rstrip("/"), *parts)).encode()
 
-    def _below(self, *parts: str) -> Range:
+    def _below(self, *parts: str) -> KeyRange:
         first = self._key(*parts, "")
         return first, prefix_end(first)
 
     @property
-    def all(self) -> Range:
+    def all(self) -> KeyRange:
         return self._below()
 
     @property
-    def live(self) -> Range:
-        return self._below(LIVE)
+    def live(self) -> KeyRange:
+        return self._below(LIVE_PREFIX)
 
     @property
-    def claims(self) -> Range:
+    def claims(self) -> KeyRange:
         """The part of `live/` with who holds what, in any fleet: what sorts before the members."""
-        return self._below(LIVE)[0], self.members[0]
+        return self._below(LIVE_PREFIX)[0], self.members[0]
 
     @property
-    def members(self) -> Range:
-        return self._below(LIVE, "members")
+    def members(self) -> KeyRange:
+        return self._below(LIVE_PREFIX, "members")
 
     @property
-    def told(self) -> Range:
-        return self._below(TOLD)
+    def reported(self) -> KeyRange:
+        return self._below(REPORTED_PREFIX)
 
     def member(self, name: str, incarnation: str) -> bytes:
-        return self._key(LIVE, "members", name, incarnation)
+        return self._key(LIVE_PREFIX, "members", name, incarnation)
 
     def duty(self, name: str) -> bytes:
-        return self._key(LIVE, "duties", name)
+        return self._key(LIVE_PREFIX, "duties", name)
 
-    def heir(self, name: str) -> bytes:
-        return self._key(LIVE, "heirs", name)
+    def successor(self, name: str) -> bytes:
+        return self._key(LIVE_PREFIX, "heirs", name)
 
-    def known(self, name: str) -> bytes:
-        return self._key(TOLD, "known", name)
+    def known_member(self, name: str) -> bytes:
+        return self._key(REPORTED_PREFIX, "known", name)
 
-    def figures(self, name: str) -> bytes:
-        return self._key(TOLD, "figures", name)
+    def member_metrics(self, name: str) -> bytes:
+        return self._key(REPORTED_PREFIX, "figures", name)
 
-    def fleet(self, name: str) -> bytes:
-        return self._key(TOLD, "fleet", name)
+    def fleet_record(self, name: str) -> bytes:
+        return self._key(REPORTED_PREFIX, "fleet", name)
 
     @property
-    def policy(self) -> Range:
-        return self._below(LIVE, "policy")
+    def policy(self) -> KeyRange:
+        return self._below(LIVE_PREFIX, "policy")
 
     @property
-    def force(self) -> bytes:
-        return self._key(LIVE, "policy", "force")
+    def committed_policy(self) -> bytes:
+        return self._key(LIVE_PREFIX, "policy", "force")
 
     @property
-    def change(self) -> bytes:
-        return self._key(LIVE, "policy", "change")
+    def open_change(self) -> bytes:
+        return self._key(LIVE_PREFIX, "policy", "change")
 
     @property
     def rollout(self) -> bytes:
-        return self._key(LIVE, "policy", "rollout")
+        return self._key(LIVE_PREFIX, "policy", "rollout")
 
     @property
-    def sign(self) -> bytes:
-        return self._key(LIVE, "policy", "sign")
+    def rollout_heartbeat(self) -> bytes:
+        return self._key(LIVE_PREFIX, "policy", "sign")
 
     @property
     def program(self) -> bytes:
-        return self._key(LIVE, "policy", "program")
+        return self._key(LIVE_PREFIX, "policy", "program")
 
     def supervisor(self, name: str) -> bytes:
-        return self._key(LIVE, "supervisors", name)
+        return self._key(LIVE_PREFIX, "supervisors", name)
 
     @property
-    def weighed(self) -> bytes:
-        return self._key(TOLD, "rollout", "weighed")
+    def rollout_evidence(self) -> bytes:
+        return self._key(REPORTED_PREFIX, "rollout", "weighed")
 
-    def rolled(self, id: str) -> bytes:
-        return self._key(TOLD, "rollout", "ended", id)
+    def finished_rollout(self, id: str) -> bytes:
+        return self._key(REPORTED_PREFIX, "rollout", "ended", id)
 
     @property
-    def votes(self) -> Range:
-        return self._below(TOLD, "policy", "votes")
+    def votes(self) -> KeyRange:
+        return self._below(REPORTED_PREFIX, "policy", "votes")
 
     def vote(self, name: str, incarnation: str) -> bytes:
-        return self._key(TOLD, "policy", "votes", name, incarnation)
+        return self._key(REPORTED_PREFIX, "policy", "votes", name, incarnation)
 
-    def ended(self, id: str) -> bytes:
-        return self._key(TOLD, "policy", "ended", id)
+    def change_outcome(self, id: str) -> bytes:
+        return self._key(REPORTED_PREFIX, "policy", "ended", id)
 
     def history(self, epoch: int) -> bytes:
-        return self._key(TOLD, "policy", "history", f"{epoch:012d}")
+        return self._key(REPORTED_PREFIX, "policy", "history", f"{epoch:012d}")
 
-    def tries(self, digest: str, name: str) -> bytes:
-        return self._key(KEPT, "tries", digest, name)
+    def bundle_attempts(self, digest: str, name: str) -> bytes:
+        return self._key(RETAINED_PREFIX, "tries", digest, name)
 
-    def bundle(self, digest: str) -> Range:
+    def bundle(self, digest: str) -> KeyRange:
         """All pieces of it; of all bundles where none is named."""
-        return self._below(KEPT, "bundles", digest) if digest else self._below(KEPT, "bundles")
+        return (
+            self._below(RETAINED_PREFIX, "bundles", digest)
+            if digest
+            else self._below(RETAINED_PREFIX, "bundles")
+        )
 
-    def piece(self, digest: str, number: int) -> bytes:
-        return self._key(KEPT, "bundles", digest, f"{number:06d}")
+    def bundle_chunk(self, digest: str, number: int) -> bytes:
+        return self._key(RETAINED_PREFIX, "bundles", digest, f"{number:06d}")
 
     def split(self, key: bytes) -> list[str]:
         """Kind and names: the parts below `live/` or `told/`."""
         return key.decode("utf-8", "replace")[len(self.prefix.rstrip("/")) + 1 :].split("/")[1:]
 
-    def course(self, id: str) -> Range:
+    def timeline(self, id: str) -> KeyRange:
         """All points of a rollout's course; of all courses where none is named."""
-        return self._below(KEPT, "courses", id) if id else self._below(KEPT, "courses")
+        return self._below(RETAINED_PREFIX, "courses", id) if id else self._below(RETAINED_PREFIX, "courses")
 
-    def point(self, id: str, stage: int, window: int) -> bytes:
-        return self._key(KEPT, "courses", id, f"{stage:03d}-{window:06d}")
+    def timeline_point(self, id: str, stage: int, window: int) -> bytes:
+        return self._key(RETAINED_PREFIX, "courses", id, f"{stage:03d}-{window:06d}")
--- a/gladegw/control/policy_bundle.py
+++ b/gladegw/control/policy_bundle.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-PIECE = 256 * 1024  # bytes: four fit into one request with room to spare
-LARGEST = 16 << 20  # bytes of all files
+CHUNK_BYTES = 256 * 1024  # bytes: four fit into one request with room to spare
+MAX_BUNDLE_BYTES = 16 << 20  # bytes of all files
 SUFFIX = ".routes.hcl"
 
 
@@ -17,7 +17,7 @@
     """What can't be a bundle, or is not the one that it should be; the message is one line."""
 
 
-def packed(files: Mapping[str, str]) -> bytes:
+def pack(files: Mapping[str, str]) -> bytes:
     return msgspec.json.encode({name: files[name] for name in sorted(files)})
 
 
@@ -25,11 +25,11 @@
     return hashlib.blake2b(raw, digest_size=12).hexdigest()
 
 
-def pieces(raw: bytes) -> list[bytes]:
-    return [raw[at : at + PIECE] for at in range(0, len(raw), PIECE)]
+def split_chunks(raw: bytes) -> list[bytes]:
+    return [raw[at : at + CHUNK_BYTES] for at in range(0, len(raw), CHUNK_BYTES)]
 
 
-def whole(digest: str, parts: Iterable[bytes]) -> dict[str, str]:
+def assemble(digest: str, parts: Iterable[bytes]) -> dict[str, str]:
     """Raises BundleError where it is cut, foreign or changed."""
     raw = b"".join(parts)
     if not raw:
@@ -42,7 +42,7 @@
         raise BundleError(f"bundle {digest}: {fault}") from None
 
 
-def read(folder: str) -> dict[str, str]:
+def read_files(folder: str) -> dict[str, str]:
     """The files of a folder, or one file; raises BundleError."""
     path = Path(folder)
     files = sorted(path.glob(f"*{SUFFIX}")) if path.is_dir() else [path]
@@ -56,12 +56,12 @@
             raise BundleError(f"{file}: {fault.strerror or fault}") from None
         except UnicodeDecodeError:
             raise BundleError(f"{file}: not UTF-8") from None
-    if sum(map(len, found.values())) > LARGEST:
-        raise BundleError(f"{folder}: more than {LARGEST >> 20} MiB")
+    if sum(map(len, found.values())) > MAX_BUNDLE_BYTES:
+        raise BundleError(f"{folder}: more than {MAX_BUNDLE_BYTES >> 20} MiB")
     return found
 
 
-def chosen(files: Mapping[str, str], own: str) -> tuple[str, str]:
+def select_file(files: Mapping[str, str], own: str) -> tuple[str, str]:
     """Name and text of the file that a proxy serves by: the one named like its own, or the only one. Raises
     BundleError."""
     name = PurePath(own).name
--- a/gladegw/control/program_rollouts.py
+++ b/gladegw/control/program_rollouts.py
@@ -9,27 +9,27 @@
 import msgspec
 
 from gladegw.control.rollout_plan import Plan
-from gladegw.control.store_cache import View
+from gladegw.control.store_cache import StoreCache
 from gladegw.coordination import rollout as table
 from gladegw.coordination.records import MemberRecord, ProgramRecord, RolloutRecord, SupervisorRecord, encode
 from gladegw.coordination.rollout import Observation, Phase
 from gladegw.coordination.store import Compare, Operation, Put, Target
 
 KIND = "program"
-CAN = "program rollouts"  # what members say that they know who know these
-SERVES = ("steady", "keeping")  # states of a supervisor in which its version serves and nothing moves
-MOST_RESTARTS = 2  # of a name in a stage, from which the version is taken for bad
+CAPABILITY = "program rollouts"  # what members say that they know who know these
+SERVING_STATES = ("steady", "keeping")  # states of a supervisor in which its version serves and nothing moves
+MAX_RESTARTS = 2  # of a name in a stage, from which the version is taken for bad
 
 
-def supervisors(view: View) -> dict[str, SupervisorRecord]:
+def supervisors(view: StoreCache) -> dict[str, SupervisorRecord]:
     return {one.name: one for _, one in view.records("supervisors", form=SupervisorRecord)}
 
 
-def in_force(view: View) -> ProgramRecord | None:
-    return view.read(view.at.program, ProgramRecord)
+def committed_program(view: StoreCache) -> ProgramRecord | None:
+    return view.read(view.keys.program, ProgramRecord)
 
 
-def newest(view: View) -> dict[str, MemberRecord]:
+def newest(view: StoreCache) -> dict[str, MemberRecord]:
     """The process that each name began last."""
     found: dict[str, MemberRecord] = {}
     for _, member in view.members():
@@ -38,21 +38,21 @@
     return found
 
 
-def runs(view: View, names: tuple[str, ...], version: str) -> dict[str, str]:
+def not_running(view: StoreCache, names: tuple[str, ...], version: str) -> dict[str, str]:
     """Why a name does not run this version, by those that don't."""
     told, members, found = supervisors(view), newest(view), {}
     for name in names:
         one, member = told.get(name), members.get(name)
         if one is None:
             found[name] = "its supervisor is not heard of"
-        elif one.state not in SERVES or one.version != version:
+        elif one.state not in SERVING_STATES or one.version != version:
             found[name] = f"{one.state}, {one.version}"
         elif member is None or member.version != version:
             found[name] = "its process is not registered"
     return found
 
 
-def failed(view: View, names: tuple[str, ...], version: str, epoch: int) -> str:
+def failure_reason(view: StoreCache, names: tuple[str, ...], version: str, epoch: int) -> str:
     """Why some name can't run this version, as its supervisor has found; empty: none says so."""
     for name, one in sorted(supervisors(view).items()):
         if name in names and one.epoch == epoch:
@@ -60,24 +60,24 @@
                 return f"{name}: {one.reason}"
             if one.alone:
                 return f"{name} went back by itself"
-            if one.version == version and one.restarts >= MOST_RESTARTS:
+            if one.version == version and one.restarts >= MAX_RESTARTS:
                 return f"{name} was started again {one.restarts} times"
     return ""
 
 
-def everybody(view: View) -> tuple[str, ...]:
+def all_names(view: StoreCache) -> tuple[str, ...]:
     return tuple(sorted({member.name for _, member in view.members()} | supervisors(view).keys()))
 
 
-def world_of(view: View, record: RolloutRecord, waited: float) -> Observation:
+def observe(view: StoreCache, record: RolloutRecord, waited_s: float) -> Observation:
     """`waited`: s since the stage's write was seen first. A stage counts as in force once all of its names
     run it, and as open until then."""
-    program = in_force(view) or ProgramRecord(epoch=0, version=record.old)
+    program = committed_program(view) or ProgramRecord(epoch=0, version=record.old)
     phase, mine = Phase(record.phase), program.rollout == record.id
-    named = program.named if program.new else everybody(view)
-    awaited = runs(view, named, program.new or program.version) if mine else {}
-    bad = failed(view, named, record.new, program.epoch) if mine else ""
-    if awaited and not bad and waited > record.deadline_s and phase is not Phase.BAKING:
+    named = program.named if program.new else all_names(view)
+    awaited = not_running(view, named, program.new or program.version) if mine else {}
+    bad = failure_reason(view, named, record.new, program.epoch) if mine else ""
+    if awaited and not bad and waited_s > record.deadline_s and phase is not Phase.BAKING:
         name = min(awaited)
         bad = f"{name} does not run it after {record.deadline_s} s: {awaited[name]}"
     before = (record.id, record.stages[record.stage - 1]) if record.stage else None
@@ -98,9 +98,11 @@
     return Observation(program.version, staged)
 
 
-def _next(view: View, record: RolloutRecord, version: str, why: str = "") -> tuple[ProgramRecord, Compare]:
-    program, held = in_force(view), view.keys.get(view.at.program)
-    same = Compare(view.at.program, Target.MOD, "=", held.mod_revision if held is not None else 0)
+def _next_program(
+    view: StoreCache, record: RolloutRecord, version: str, why: str = ""
+) -> tuple[ProgramRecord, Compare]:
+    program, held = committed_program(view), view.entries.get(view.keys.program)
+    same = Compare(view.keys.program, Target.MOD, "=", held.mod_revision if held is not None else 0)
     epoch = program.epoch + 1 if program is not None else 1
     made = ProgramRecord(
         epoch=epoch, version=version, rollout=record.id, who=record.who, why=why or record.why, at=time.time()
@@ -108,36 +110,38 @@
     return made, same
 
 
-def moved(view: View, record: RolloutRecord) -> tuple[list[Operation], tuple[Compare, ...]]:
+def stage_writes(view: StoreCache, record: RolloutRecord) -> tuple[list[Operation], tuple[Compare, ...]]:
     """The stage, or the new version for all; nobody is asked, each supervisor tries it beside what serves."""
     whole = record.phase == Phase.FINISHING.value
-    made, same = _next(view, record, record.new if whole else record.old)
+    made, same = _next_program(view, record, record.new if whole else record.old)
     if not whole:
         named, confirm = record.stages[record.stage], record.confirm_s
         made = msgspec.structs.replace(made, new=record.new, named=named, confirm_s=confirm)
-    return [Put(view.at.program, encode(made))], (same,)
+    return [Put(view.keys.program, encode(made))], (same,)
 
 
-def returned(view: View, record: RolloutRecord) -> tuple[list[Operation], tuple[Compare, ...]]:
+def rollback_writes(view: StoreCache, record: RolloutRecord) -> tuple[list[Operation], tuple[Compare, ...]]:
     """The old version for all, unless it is that already."""
-    program, held = in_force(view), view.keys.get(view.at.program)
+    program, held = committed_program(view), view.entries.get(view.keys.program)
     mine = program is not None and program.rollout == record.id
     if mine and program is not None and record.new in (program.new, program.version):
-        made, same = _next(view, record, record.old, f"rollout {record.id} is taken back: {record.reason}")
-        return [Put(view.at.program, encode(made))], (same,)
-    return [], (Compare(view.at.program, Target.MOD, "=", held.mod_revision if held is not None else 0),)
+        made, same = _next_program(
+            view, record, record.old, f"rollout {record.id} is taken back: {record.reason}"
+        )
+        return [Put(view.keys.program, encode(made))], (same,)
+    return [], (Compare(view.keys.program, Target.MOD, "=", held.mod_revision if held is not None else 0),)
 
 
-def begun(
-    view: View, plan: Plan, confirm: int, who: str, why: str
+def start_writes(
+    view: StoreCache, plan: Plan, confirm: int, who: str, why: str
 ) -> tuple[RolloutRecord, list[Operation], tuple[Compare, ...]]:
     """The record, and what it is written with. Raises ValueError with the reason why it can't be started."""
-    at, program, told = view.at, in_force(view), supervisors(view)
+    at, program, told = view.keys, committed_program(view), supervisors(view)
     members = newest(view)
     without = sorted(name for name in members if name not in told)
     if without or not members:
         raise ValueError(f"no supervisor is heard of: {', '.join(without) or 'there is no member'}")
-    old = sorted(name for name, member in members.items() if CAN not in member.knows)
+    old = sorted(name for name, member in members.items() if CAPABILITY not in member.knows)
     if old:
         raise ValueError(f"the program is too old to conduct this: {', '.join(old)}")
     if program is not None and program.new:
@@ -173,7 +177,7 @@
         at=time.time(),
     )
     done: list[Operation] = [Put(at.rollout, encode(record))]
-    held = view.keys.get(at.program)
+    held = view.entries.get(at.program)
     if held is None:
         first = ProgramRecord(epoch=1, version=record.old, who=who, why="as it was found", at=time.time())
         done.append(Put(at.program, encode(first)))
--- a/gladegw/control/rollouts.py
+++ b/gladegw/control/rollouts.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from gladegw.control import program_rollouts
-from gladegw.control.policy_participant import own
-from gladegw.control.policy_proposals import Operator
+from gladegw.control.policy_participant import own_digests
+from gladegw.control.policy_proposals import PolicyOperator
 from gladegw.control.rollout_plan import Plan
-from gladegw.control.store_cache import View
+from gladegw.control.store_cache import StoreCache
 from gladegw.coordination import rollout as table
 from gladegw.coordination.records import (
     ChangeOutcomeRecord,
@@ -29,11 +29,11 @@
 from gladegw.coordination.rollout import Observation, Phase
 from gladegw.coordination.store import Compare, Delete, Get, Operation, Put, Target, Txn
 
-LOOK = 0.1  # s
-TRIES = 20  # at a write that another's overtakes
+POLL_INTERVAL_S = 0.1  # s
+MAX_UPDATE_ATTEMPTS = 20  # at a write that another's overtakes
 
 
-def pure(record: RolloutRecord) -> table.Rollout:
+def to_rollout(record: RolloutRecord) -> table.Rollout:
     return table.Rollout(
         record.id,
         record.old,
@@ -47,15 +47,15 @@
     )
 
 
-def move(after: table.Rollout) -> dict[str, Any]:
+def record_changes(after: table.Rollout) -> dict[str, Any]:
     """What a step has changed."""
     return {"stage": after.stage, "phase": after.phase.value, "paused": after.paused, "reason": after.reason}
 
 
-def world_of(view: View, record: RolloutRecord) -> Observation:
-    force = view.read(view.at.force, PolicyRecord) or PolicyRecord(epoch=0, digest="")
-    change = view.read(view.at.change, PolicyChangeRecord)
-    over = view.read(view.at.ended(change_id(record)), ChangeOutcomeRecord)
+def observe(view: StoreCache, record: RolloutRecord) -> Observation:
+    force = view.read(view.keys.committed_policy, PolicyRecord) or PolicyRecord(epoch=0, digest="")
+    change = view.read(view.keys.open_change, PolicyChangeRecord)
+    over = view.read(view.keys.change_outcome(change_id(record)), ChangeOutcomeRecord)
     refused = over.reason or "refused" if over is not None and over.outcome != "everywhere" else ""
     staged = (force.rollout, force.named) if force.new else None
     gone_back = [
@@ -63,7 +63,7 @@
         for _, member in view.members()
         if staged is not None
         and member.epoch == force.epoch
-        and member.digest not in ("", own(force, member.name)[0])
+        and member.digest not in ("", own_digests(force, member.name)[0])
     ]
     opened = change.rollout if change is not None else None
     return Observation(force.digest, staged, opened, refused, tuple(sorted(set(gone_back))))
@@ -74,24 +74,24 @@
     return f"{record.id}.{'all' if record.phase == Phase.FINISHING.value else record.stage}"
 
 
-def called_off(view: View, record: RolloutRecord) -> tuple[list[Operation], tuple[Compare, ...]]:
+def cancel_writes(view: StoreCache, record: RolloutRecord) -> tuple[list[Operation], tuple[Compare, ...]]:
     """The end of the stage that is open; that none is, or another's, holds when it is written."""
-    key = view.at.change
-    change, kv = view.read(key, PolicyChangeRecord), view.keys.get(key)
+    key = view.keys.open_change
+    change, kv = view.read(key, PolicyChangeRecord), view.entries.get(key)
     if kv is None:
         return [], (Compare(key, Target.CREATE, "=", 0),)
     mine = change is not None and change.rollout == record.id
     return [Delete(key)] if mine else [], (Compare(key, Target.MOD, "=", kv.mod_revision),)
 
 
-def returned(view: View, record: RolloutRecord) -> tuple[list[Operation], tuple[Compare, ...]]:
+def rollback_writes(view: StoreCache, record: RolloutRecord) -> tuple[list[Operation], tuple[Compare, ...]]:
     """The writes that make the old bundle the policy of all, and end the stage that is open. They need
     nobody's vote: whoever is in a stage holds the old table, and whoever starts reads before it serves."""
-    at = view.at
+    at = view.keys
     if record.kind == program_rollouts.KIND:
-        return program_rollouts.returned(view, record)
-    force, held = view.read(at.force, PolicyRecord), view.keys.get(at.force)
-    done, compares = called_off(view, record)
+        return program_rollouts.rollback_writes(view, record)
+    force, held = view.read(at.committed_policy, PolicyRecord), view.entries.get(at.committed_policy)
+    done, compares = cancel_writes(view, record)
     if force is not None and force.new and force.rollout == record.id:
         back = PolicyRecord(
             epoch=force.epoch + 1,
@@ -100,22 +100,26 @@
             at=time.time(),
             why=f"rollout {record.id} is taken back: {record.reason}",
         )
-        done += [Put(at.force, encode(back)), Put(at.history(back.epoch), encode(back))]
-    same = Compare(at.force, Target.MOD, "=", held.mod_revision if held is not None else 0)
+        done += [Put(at.committed_policy, encode(back)), Put(at.history(back.epoch), encode(back))]
+    same = Compare(at.committed_policy, Target.MOD, "=", held.mod_revision if held is not None else 0)
     return done, (*compares, same)
 
 
-def ended(view: View, record: RolloutRecord) -> list[Operation]:
+def end_writes(view: StoreCache, record: RolloutRecord) -> list[Operation]:
     over = msgspec.structs.replace(record, ended_at=time.time())
-    return [Delete(view.at.rollout), Delete(view.at.weighed), Put(view.at.rolled(record.id), encode(over))]
+    return [
+        Delete(view.keys.rollout),
+        Delete(view.keys.rollout_evidence),
+        Put(view.keys.finished_rollout(record.id), encode(over)),
+    ]
 
 
-class Refused(ValueError):
+class RolloutRejectedError(ValueError):
     """It could not be done, and nothing was changed; the message is one line."""
 
 
-class Rollouts:
-    def __init__(self, operator: Operator) -> None:
+class RolloutOperator:
+    def __init__(self, operator: PolicyOperator) -> None:
         self.operator = operator
 
     async def start(
@@ -131,21 +135,23 @@
         """Raises Refused, StoreFault."""
         if plan.program:
             return await self._start_program(plan, confirm, who, why)
-        new = await self.operator.send(files)
+        new = await self.operator.upload(files)
         view = await self.operator.view()
-        at, held = view.at, view.keys.get(view.at.force)
-        force = view.read(at.force, PolicyRecord)
+        at, held = view.keys, view.entries.get(view.keys.committed_policy)
+        force = view.read(at.committed_policy, PolicyRecord)
         if force is None or held is None or not force.digest:
-            raise Refused("no policy is in force that it could go back to: propose one first")
+            raise RolloutRejectedError("no policy is in force that it could go back to: propose one first")
         if force.new:
-            raise Refused(f"rollout {force.rollout} has left its stage in force: `rollout back` first")
+            raise RolloutRejectedError(
+                f"rollout {force.rollout} has left its stage in force: `rollout back` first"
+            )
         if force.digest == new:
-            raise Refused("that bundle is in force already")
+            raise RolloutRejectedError("that bundle is in force already")
         zones = {member.name: member.zone for _, member in view.members()}
         try:
             stages = table.plan_stages(zones, plan.stages, plan.most_of_zone)
         except ValueError as fault:
-            raise Refused(str(fault)) from None
+            raise RolloutRejectedError(str(fault)) from None
         record = RolloutRecord(
             id=secrets.token_hex(6),
             old=force.digest,
@@ -169,41 +175,41 @@
             Txn(
                 (
                     Compare(at.rollout, Target.CREATE, "=", 0),
-                    Compare(at.change, Target.CREATE, "=", 0),
-                    Compare(at.piece(new, 0), Target.CREATE, ">", 0),
-                    Compare(at.force, Target.MOD, "=", held.mod_revision),
+                    Compare(at.open_change, Target.CREATE, "=", 0),
+                    Compare(at.bundle_chunk(new, 0), Target.CREATE, ">", 0),
+                    Compare(at.committed_policy, Target.MOD, "=", held.mod_revision),
                 ),
                 (Put(at.rollout, encode(record)),),
             )
         )
         if not done.succeeded:
-            raise Refused("another rollout or change of policy is under way")
+            raise RolloutRejectedError("another rollout or change of policy is under way")
         return record
 
     async def _start_program(self, plan: Plan, confirm: int, who: str, why: str) -> RolloutRecord:
         view = await self.operator.view()
-        at = view.at
+        at = view.keys
         try:
-            record, writes, compares = program_rollouts.begun(view, plan, confirm, who, why)
+            record, writes, compares = program_rollouts.start_writes(view, plan, confirm, who, why)
         except ValueError as fault:
-            raise Refused(str(fault)) from None
-        absent = Compare(at.rollout, Target.CREATE, "=", 0), Compare(at.change, Target.CREATE, "=", 0)
+            raise RolloutRejectedError(str(fault)) from None
+        absent = Compare(at.rollout, Target.CREATE, "=", 0), Compare(at.open_change, Target.CREATE, "=", 0)
         done = await self.operator.client.txn(Txn((*absent, *compares), tuple(writes)))
         if not done.succeeded:
-            raise Refused("another rollout or change of policy is under way")
+            raise RolloutRejectedError("another rollout or change of policy is under way")
         return record
 
     async def outcome(self, id: str) -> RolloutRecord:
         """Waits until it is over."""
         while True:
             view = await self.operator.view()
-            over = view.read(view.at.rolled(id), RolloutRecord)
+            over = view.read(view.keys.finished_rollout(id), RolloutRecord)
             if over is not None:
                 return over
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def pause(self, paused: bool) -> RolloutRecord:
-        return await self._changed(lambda record: msgspec.structs.replace(record, paused=paused))
+        return await self._update(lambda record: msgspec.structs.replace(record, paused=paused))
 
     async def stop(self, why: str, back: bool) -> RolloutRecord:
         """At once, whether anybody conducts it or not: the way back is in the same transaction."""
@@ -211,77 +217,86 @@
         def changed(record: RolloutRecord) -> RolloutRecord:
             if not back:
                 return msgspec.structs.replace(record, phase=Phase.STOPPED.value, reason=why)
-            return msgspec.structs.replace(record, **move(table.roll_back(pure(record), why)))
+            return msgspec.structs.replace(record, **record_changes(table.roll_back(to_rollout(record), why)))
 
-        return await self._changed(changed, back)
+        return await self._update(changed, back)
 
-    async def _changed(self, change: Any, back: bool = False) -> RolloutRecord:
-        for _ in range(TRIES):
+    async def _update(self, change: Any, back: bool = False) -> RolloutRecord:
+        for _ in range(MAX_UPDATE_ATTEMPTS):
             view = await self.operator.view()
             at, kv, record = (
-                view.at,
-                view.keys.get(view.at.rollout),
-                view.read(view.at.rollout, RolloutRecord),
+                view.keys,
+                view.entries.get(view.keys.rollout),
+                view.read(view.keys.rollout, RolloutRecord),
             )
             if kv is None or record is None:
-                return await self._left(view, back)
+                return await self._roll_back_leftover_stage(view, back)
             after: RolloutRecord = change(record)
             done: list[Operation] = [Put(at.rollout, encode(after, kv.value))]
             compares: tuple[Compare, ...] = (Compare(at.rollout, Target.MOD, "=", kv.mod_revision),)
             if back:
-                more, also = returned(view, after)
+                more, also = rollback_writes(view, after)
                 done, compares = [*done, *more], (*compares, *also)
             elif after.phase == Phase.STOPPED.value:
-                more, also = called_off(view, after) if not record.kind else ([], ())
-                done, compares = [*ended(view, after), *more], (*compares, *also)
+                more, also = cancel_writes(view, after) if not record.kind else ([], ())
+                done, compares = [*end_writes(view, after), *more], (*compares, *also)
             told = await self.operator.client.txn(Txn(compares, tuple(done)))
             if told.succeeded:
                 return after
-        raise Refused("it changes faster than it can be asked to")
+        raise RolloutRejectedError("it changes faster than it can be asked to")
 
-    async def _left(self, view: View, back: bool) -> RolloutRecord:
+    async def _roll_back_leftover_stage(self, view: StoreCache, back: bool) -> RolloutRecord:
         """A stage that a stop has left in force."""
-        at, held = view.at, view.keys.get(view.at.force)
-        program, force = program_rollouts.in_force(view), view.read(view.at.force, PolicyRecord)
-        left = view.read(at.rolled(program.rollout), RolloutRecord) if program and program.new else None
+        at, held = view.keys, view.entries.get(view.keys.committed_policy)
+        program, force = (
+            program_rollouts.committed_program(view),
+            view.read(view.keys.committed_policy, PolicyRecord),
+        )
+        left = (
+            view.read(at.finished_rollout(program.rollout), RolloutRecord)
+            if program and program.new
+            else None
+        )
         if back and left is not None:
-            return await self._ended(view, left)
+            return await self._roll_back_finished(view, left)
         over = (
-            view.read(at.rolled(force.rollout), RolloutRecord)
+            view.read(at.finished_rollout(force.rollout), RolloutRecord)
             if force is not None and force.rollout
             else None
         )
         if not back or over is None or force is None or not force.new or held is None:
-            raise Refused("no rollout is under way")
-        return await self._ended(view, over)
+            raise RolloutRejectedError("no rollout is under way")
+        return await self._roll_back_finished(view, over)
 
-    async def _ended(self, view: View, over: RolloutRecord) -> RolloutRecord:
-        at = view.at
+    async def _roll_back_finished(self, view: StoreCache, over: RolloutRecord) -> RolloutRecord:
+        at = view.keys
         after = msgspec.structs.replace(
             over, phase=Phase.ROLLED_BACK.value, reason="taken back by an operator"
         )
-        done, compares = returned(view, after)
-        told = await self.operator.client.txn(Txn(compares, (*done, Put(at.rolled(after.id), encode(after)))))
+        done, compares = rollback_writes(view, after)
+        told = await self.operator.client.txn(
+            Txn(compares, (*done, Put(at.finished_rollout(after.id), encode(after))))
+        )
         if not told.succeeded:
-            raise Refused("what is in force has changed meanwhile")
+            raise RolloutRejectedError("what is in force has changed meanwhile")
         return after
 
 
-def last(view: View) -> RolloutRecord | None:
+def latest(view: StoreCache) -> RolloutRecord | None:
     """The one that is under way, or the one that ended last."""
-    now = view.read(view.at.rollout, RolloutRecord)
+    now = view.read(view.keys.rollout, RolloutRecord)
     over = sorted(history(view), key=lambda one: one.ended_at)
     return now or (over[-1] if over else None)
 
 
-def history(view: View) -> list[RolloutRecord]:
+def history(view: StoreCache) -> list[RolloutRecord]:
     found = [one for _, one in view.records("rollout", "ended", form=RolloutRecord)]
     return sorted(found, key=lambda one: one.at)
 
 
-async def points(operator: Operator, id: str) -> list[TimelinePointRecord]:
+async def timeline(operator: PolicyOperator, id: str) -> list[TimelinePointRecord]:
     """The course of a rollout, as far as it is kept; raises StoreFault."""
-    _, found = await operator.client.get(Get(*operator.keys.course(id)))
+    _, found = await operator.client.get(Get(*operator.keys.timeline(id)))
     return [decode(kv.value, TimelinePointRecord) for kv in sorted(found, key=lambda kv: kv.key)]
 
 
@@ -296,7 +311,7 @@
 }
 
 
-def status(view: View, record: RolloutRecord | None) -> dict[str, Any]:
+def status(view: StoreCache, record: RolloutRecord | None) -> dict[str, Any]:
     """`members`: name and the bundle that it serves by; `log_e`: the evidence by figure, 0 is none."""
     if record is not None and record.kind == program_rollouts.KIND:
         members = [
@@ -309,7 +324,7 @@
         return {"state": "none", "stage": 0, "stages": 0, "verdict": "", "members": members}
     phase = Phase(record.phase)
     state = "paused" if record.paused and STATES[phase] == "running" else STATES[phase]
-    weighed = view.read(view.at.weighed, EvidenceRecord)
+    weighed = view.read(view.keys.rollout_evidence, EvidenceRecord)
     figures, baked = {}, 0.0
     if weighed is not None and weighed.rollout == record.id and weighed.stage == record.stage:
         figures, baked = dict(weighed.peaks), weighed.baked_s
--- a/gladegw/control/startup.py
+++ b/gladegw/control/startup.py
@@ -13,20 +13,20 @@
 from typing import TYPE_CHECKING, Any
 
 from gladegw.control.duties import ALL
-from gladegw.control.member import Agent, Options
+from gladegw.control.member import FleetMember, StoreOptions
 from gladegw.coordination.records import MemberMetricsRecord, MemberRecord
 from gladegw.net.config import Config
 from gladegw.net.features import CoordinationSettings
-from gladegw.operators.request_counters import Ledger
+from gladegw.operators.request_counters import RequestCounters
 
 if TYPE_CHECKING:
-    from gladegw.control.policy_participant import Carrier
+    from gladegw.control.policy_participant import ServingHost
     from gladegw.net.policy_router import Stamped
     from gladegw.net.timing import Timing
 
-Listed = Callable[[], Iterable[tuple[int, bool]]]  # backends, and whether each is sent to
+ListBackends = Callable[[], Iterable[tuple[int, bool]]]  # backends, and whether each is sent to
 
-FULL = 0.95  # of the memory that the process may use, above which no second table is held
+MAX_MEMORY_FRACTION = 0.95  # of the memory that the process may use, above which no second table is held
 
 
 def version() -> str:
@@ -40,15 +40,15 @@
         return ""
 
 
-def figures(
+def member_metrics(
     name: str,
-    ledger: Ledger,
-    backends: Listed,
+    ledger: RequestCounters,
+    backends: ListBackends,
     routes: Callable[[], str],
     timing: Timing | None = None,
 ) -> MemberMetricsRecord:
     """Read from the agent's thread: figures that may be one step apart."""
-    told = {"upstream_tries": ledger.upstream_tries, "in_progress": ledger.in_progress}
+    told = {"upstream_tries": ledger.upstream_attempts, "in_progress": ledger.in_progress}
     for cls, handled in list(ledger.handled.items()):
         told |= {
             f"handled.{cls}.passed": handled.passed,
@@ -60,7 +60,7 @@
         told |= {
             "at_ms": round(1000 * time.monotonic()),
             "cpu_us": round(1e6 * time.process_time()),
-            "rss_kb": resident() >> 10,
+            "rss_kb": resident_bytes() >> 10,
         }
     listed = sorted(backends())
     serving = [number for number, sent_to in listed if sent_to]
@@ -78,7 +78,7 @@
     return hashlib.blake2b(joined.encode(), digest_size=6).hexdigest()
 
 
-def resident() -> int:
+def resident_bytes() -> int:
     """Bytes of this process in memory; 0 where the system does not tell."""
     try:
         return int(Path("/proc/self/statm").read_text(encoding="ascii").split()[1]) * resource.getpagesize()
@@ -86,17 +86,17 @@
         return 0
 
 
-def carrier(router: Stamped, serving: asyncio.AbstractEventLoop) -> Carrier:
+def serving_host(router: Stamped, serving: asyncio.AbstractEventLoop) -> ServingHost:
     """How a policy gets to what routes requests, whose loop is not the agent's."""
-    from gladegw.control.policy_bundle import BundleError, chosen
-    from gladegw.control.policy_participant import Carrier
+    from gladegw.control.policy_bundle import BundleError, select_file
+    from gladegw.control.policy_participant import ServingHost
 
     pools = router.pools
 
     def prepare(files: Mapping[str, str]) -> Any:
-        ready = pools.prepare(*chosen(files, pools.settings.file))
-        used, limit = resident(), pools.config.memory
-        if used > FULL * limit:
+        ready = pools.prepare(*select_file(files, pools.settings.file))
+        used, limit = resident_bytes(), pools.config.memory
+        if used > MAX_MEMORY_FRACTION * limit:
             mib = f"{used / (1 << 20):.0f} of {limit / (1 << 20):.0f} MiB"
             raise BundleError(f"{mib} are in use with both tables")
         return ready
@@ -111,20 +111,20 @@
     def agreed(epoch: int, digest: str, ready: Any) -> None:
         serving.call_soon_threadsafe(router.prepared, epoch, digest, ready)
 
-    return Carrier(prepare, take, router.gate, router.settings.when_cut_off, agreed)
+    return ServingHost(prepare, take, router.gate, router.settings.when_cut_off, agreed)
 
 
-def joined(
+def join_fleet(
     settings: CoordinationSettings,
     config: Config,
-    ledger: Ledger,
-    backends: Listed,
+    ledger: RequestCounters,
+    backends: ListBackends,
     routes: Callable[[], str],
-    carried: Carrier | None = None,
+    host: ServingHost | None = None,
     timing: Timing | None = None,
-) -> Agent:
+) -> FleetMember:
     """An agent that is under way. A store that can't be reached is a line of the log, and is tried again."""
-    options = Options(
+    options = StoreOptions(
         settings.addresses, settings.prefix, settings.ttl_s, settings.timeout_ms / 1000, settings.token_file
     )
     member = MemberRecord(
@@ -136,21 +136,21 @@
         state="starting",
     )
     works = ALL
-    if carried is not None:
-        from gladegw.control.duties.bundle_collection import Bundles
-        from gladegw.control.duties.policy_coordinator import Decide
+    if host is not None:
+        from gladegw.control.duties.bundle_collection import BundleCollection
+        from gladegw.control.duties.policy_coordinator import PolicyCoordinator
 
-        works = (*ALL, Decide, Bundles)
+        works = (*ALL, PolicyCoordinator, BundleCollection)
         if timing is not None:
-            from gladegw.control.duties.rollout_controller import Conduct
+            from gladegw.control.duties.rollout_controller import RolloutController
 
-            works = (*works, Conduct)
-    agent = Agent(
+            works = (*works, RolloutController)
+    agent = FleetMember(
         options,
         member,
         works,
-        lambda: figures(config.name, ledger, backends, routes, timing),
-        carrier=carried,
+        lambda: member_metrics(config.name, ledger, backends, routes, timing),
+        host=host,
     )
     agent.start()
     return agent
--- a/gladegw/control/store_cache.py
+++ b/gladegw/control/store_cache.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Iterator
 from typing import TypeVar, cast
 
-from gladegw.control.keys import Keys, Range
+from gladegw.control.keys import KeyRange, Keys
 from gladegw.coordination import records
 from gladegw.coordination.records import (
     DutyHolderRecord,
@@ -25,65 +25,66 @@
 R = TypeVar("R", bound=Record)
 
 
-class View:
+class StoreCache:
     """Each range of keys is known up to a revision of its own. Records are decoded once for each change of
     their key, and not before somebody asks."""
 
     def __init__(self, keys: Keys) -> None:
-        self.at = keys
-        self.known_to: dict[Range, int] = {}
-        self.keys: dict[bytes, KeyValue] = {}
-        self.kinds: dict[str, set[bytes]] = {}
+        self.keys = keys
+        self.known_revisions: dict[KeyRange, int] = {}
+        self.entries: dict[bytes, KeyValue] = {}
+        self.keys_by_kind: dict[str, set[bytes]] = {}
         self.decoded: dict[bytes, tuple[int, Record | None]] = {}
-        self.news = asyncio.Event()  # set at each change
+        self.changed = asyncio.Event()  # set at each change
 
-    def to(self, part: Range) -> int:
+    def known_revision(self, part: KeyRange) -> int:
         """The revision up to which all of this range is known."""
         first, end = part
         return max(
-            (known for over, known in self.known_to.items() if over[0] <= first and over[1] >= end), default=0
+            (known for over, known in self.known_revisions.items() if over[0] <= first and over[1] >= end),
+            default=0,
         )
 
-    def whole(self, part: Range, revision: int, found: Iterable[KeyValue]) -> None:
+    def load_snapshot(self, part: KeyRange, revision: int, found: Iterable[KeyValue]) -> None:
         """All that stands in this range."""
         there = {kv.key: kv for kv in found}
-        for key in [key for key in self.keys if within(key, *part) and key not in there]:
-            self._gone(key)
+        for key in [key for key in self.entries if within(key, *part) and key not in there]:
+            self._remove(key)
         for kv in there.values():
-            self._stands(kv)
-        self.known_to[part] = revision
-        self.news.set()
+            self._put(kv)
+        self.known_revisions[part] = revision
+        self.changed.set()
 
-    def change(self, part: Range, revision: int, events: Iterable[StoreEvent]) -> None:
+    def apply_events(self, part: KeyRange, revision: int, events: Iterable[StoreEvent]) -> None:
         for event in events:
             if event.deleted:
-                self._gone(event.kv.key)
+                self._remove(event.kv.key)
             else:
-                self._stands(event.kv)
-        self.known_to[part] = max(self.known_to.get(part, 0), revision)
-        self.news.set()
+                self._put(event.kv)
+        self.known_revisions[part] = max(self.known_revisions.get(part, 0), revision)
+        self.changed.set()
 
-    def forget(self, part: Range) -> None:
+    def drop_range(self, part: KeyRange) -> None:
         """It is not watched any more."""
-        self.whole(part, 0, ())
-        del self.known_to[part]
+        self.load_snapshot(part, 0, ())
+        del self.known_revisions[part]
 
-    def only(self, *parts: Range) -> None:
+    def retain_ranges(self, *parts: KeyRange) -> None:
         """Nothing but these is watched from now on; what is known of others within them stays a while."""
-        self.known_to = {part: known for part, known in self.known_to.items() if part in parts}
+        self.known_revisions = {part: known for part, known in self.known_revisions.items() if part in parts}
 
-    def _stands(self, kv: KeyValue) -> None:
-        self.keys[kv.key] = kv
-        self.kinds.setdefault(self.at.split(kv.key)[0], set()).add(kv.key)
+    def _put(self, kv: KeyValue) -> None:
+        self.entries[kv.key] = kv
+        self.keys_by_kind.setdefault(self.keys.split(kv.key)[0], set()).add(kv.key)
 
-    def _gone(self, key: bytes) -> None:
-        if self.keys.pop(key, None) is not None:
-            self.kinds[self.at.split(key)[0]].discard(key)
+    def _remove(self, key: bytes) -> None:
+        if self.entries.pop(key, None) is not None:
+            self.keys_by_kind[self.keys.split(key)[0]].discard(key)
             self.decoded.pop(key, None)
 
     def read(self, key: bytes, form: type[R]) -> R | None:
         """None: there is none, or none that can be read."""
-        held = self.keys.get(key)
+        held = self.entries.get(key)
         if held is None:
             return None
         known = self.decoded.get(key)
@@ -96,39 +97,39 @@
             known = self.decoded[key] = (held.mod_revision, record)
         return cast("R | None", known[1])  # a key has records of one form
 
-    def _below(self, kind: str, form: type[R]) -> Iterator[tuple[KeyValue, R]]:
-        for key in sorted(self.kinds.get(kind, ())):
+    def _records_of_kind(self, kind: str, form: type[R]) -> Iterator[tuple[KeyValue, R]]:
+        for key in sorted(self.keys_by_kind.get(kind, ())):
             record = self.read(key, form)
             if record is not None:
-                yield self.keys[key], record
+                yield self.entries[key], record
 
     def records(self, *kind: str, form: type[R]) -> list[tuple[list[str], R]]:
         """All below these parts, each with the parts behind them."""
         found = []
-        for key in sorted(self.kinds.get(kind[0], ())):
-            parts = self.at.split(key)
+        for key in sorted(self.keys_by_kind.get(kind[0], ())):
+            parts = self.keys.split(key)
             record = self.read(key, form) if parts[: len(kind)] == list(kind) else None
             if record is not None:
                 found.append((parts[len(kind) :], record))
         return found
 
     def members(self) -> list[tuple[KeyValue, MemberRecord]]:
-        return list(self._below("members", MemberRecord))
+        return list(self._records_of_kind("members", MemberRecord))
 
-    def known(self) -> list[tuple[KeyValue, KnownMemberRecord]]:
-        return list(self._below("known", KnownMemberRecord))
+    def known_members(self) -> list[tuple[KeyValue, KnownMemberRecord]]:
+        return list(self._records_of_kind("known", KnownMemberRecord))
 
-    def holders(self) -> list[tuple[KeyValue, DutyHolderRecord]]:
-        return list(self._below("duties", DutyHolderRecord))
+    def duty_holders(self) -> list[tuple[KeyValue, DutyHolderRecord]]:
+        return list(self._records_of_kind("duties", DutyHolderRecord))
 
-    def figures(self) -> dict[str, MemberMetricsRecord]:
-        return {figures.name: figures for _, figures in self._below("figures", MemberMetricsRecord)}
+    def member_metrics(self) -> dict[str, MemberMetricsRecord]:
+        return {figures.name: figures for _, figures in self._records_of_kind("figures", MemberMetricsRecord)}
 
-    def heir(self, duty: str) -> str:
-        found = self.read(self.at.heir(duty), SuccessorRecord)
+    def successor(self, duty: str) -> str:
+        found = self.read(self.keys.successor(duty), SuccessorRecord)
         return found.name if found is not None else ""
 
-    def missing(self) -> list[KnownMemberRecord]:
+    def missing_members(self) -> list[KnownMemberRecord]:
         """Who was here and is not, with no process of that name."""
         live = {member.name for _, member in self.members()}
-        return [known for _, known in self.known() if known.name not in live]
+        return [known for _, known in self.known_members() if known.name not in live]
--- a/gladegw/control/store_client.py
+++ b/gladegw/control/store_client.py
@@ -17,7 +17,7 @@
 from grpclib.exceptions import GRPCError, ProtocolError, StreamTerminatedError
 
 from gladegw.control import store_messages
-from gladegw.control.errors import RefusedByStore, StoreFault, Unreachable, WatchLost
+from gladegw.control.errors import StoreClientError, StoreRejectedError, StoreUnreachableError, WatchLostError
 from gladegw.control.wire import store_grpc as services
 from gladegw.control.wire import store_pb2 as pb
 from gladegw.coordination.store import Get, KeyValue, Operation, StoreEvent, Txn, TxnResult
@@ -37,19 +37,19 @@
     return tuple((host, int(port)) for host, _, port in parts)
 
 
-class Client:
+class StoreClient:
     """Asks one member at a time and turns to the next when it fails."""
 
     def __init__(self, endpoints: Sequence[tuple[str, int]], timeout: float, token_file: str = "") -> None:
         """`timeout`: s for each call of one member. The token's file is read for each connection."""
         self.endpoints, self.timeout, self.token_file = list(endpoints), timeout, token_file
-        self.at = 0
+        self.endpoint_index = 0
         self.channel: Channel | None = None
         self.calls = 0
 
     def _open(self) -> Channel:
         if self.channel is None:
-            host, port = self.endpoints[self.at % len(self.endpoints)]
+            host, port = self.endpoints[self.endpoint_index % len(self.endpoints)]
             self.channel = Channel(host, port)
         return self.channel
 
@@ -59,17 +59,19 @@
         try:
             return {"token": Path(self.token_file).read_text(encoding="utf-8").strip()}
         except (OSError, UnicodeDecodeError) as fault:
-            raise RefusedByStore(f"{self.token_file}: {getattr(fault, 'strerror', None) or fault}") from None
+            raise StoreRejectedError(
+                f"{self.token_file}: {getattr(fault, 'strerror', None) or fault}"
+            ) from None
 
-    def elsewhere(self) -> None:
+    def use_next_endpoint(self) -> None:
         """The next call goes to another member."""
-        self.at += 1
+        self.endpoint_index += 1
         self.close()
 
     def _failed(self, channel: Channel) -> None:
         """A call that began before another turned elsewhere says nothing of where that one turned to."""
         if channel is self.channel:
-            self.elsewhere()
+            self.use_next_endpoint()
 
     def close(self) -> None:
         if self.channel is not None:
@@ -86,34 +88,36 @@
         except GRPCError as fault:
             if fault.status in ELSEWHERE:
                 self._failed(channel)
-                raise Unreachable(fault.message or fault.status.name.lower()) from None
-            raise RefusedByStore(fault.message or fault.status.name.lower()) from None
+                raise StoreUnreachableError(fault.message or fault.status.name.lower()) from None
+            raise StoreRejectedError(fault.message or fault.status.name.lower()) from None
         except (OSError, ProtocolError, StreamTerminatedError, EOFError) as fault:
             self._failed(channel)
             why = " ".join(str(fault).split()) or type(fault).__name__
-            raise Unreachable("no answer in time" if isinstance(fault, TimeoutError) else why) from None
-        except StoreFault:
+            raise StoreUnreachableError(
+                "no answer in time" if isinstance(fault, TimeoutError) else why
+            ) from None
+        except StoreClientError:
             raise
         except Exception as fault:  # what came was no answer of the protocol
             self._failed(channel)
-            raise Unreachable(f"rubbish: {type(fault).__name__}") from None
+            raise StoreUnreachableError(f"rubbish: {type(fault).__name__}") from None
 
     async def txn(self, txn: Txn) -> TxnResult:
         asked = store_messages.txn_message(txn)
         reply = await self._call(lambda channel, told: services.KVStub(channel).Txn(asked, metadata=told))
-        found = tuple(store_messages.found_in(part) for part in reply.responses)
+        found = tuple(store_messages.key_values_in(part) for part in reply.responses)
         return TxnResult(reply.header.revision, reply.succeeded, found)
 
     async def do(self, *operations: Operation) -> TxnResult:
         return await self.txn(Txn((), operations))
 
-    async def get(self, asked: Get, serializable: bool = False) -> tuple[int, tuple[KeyValue, ...]]:
+    async def get(self, request: Get, serializable: bool = False) -> tuple[int, tuple[KeyValue, ...]]:
         """The store's revision and what it has."""
         message = pb.RangeRequest(
-            key=asked.key, range_end=asked.end, revision=asked.revision, serializable=serializable
+            key=request.key, range_end=request.end, revision=request.revision, serializable=serializable
         )
         reply = await self._call(lambda channel, told: services.KVStub(channel).Range(message, metadata=told))
-        return reply.header.revision, tuple(store_messages.pair(kv) for kv in reply.kvs)
+        return reply.header.revision, tuple(store_messages.key_value(kv) for kv in reply.kvs)
 
     async def count(self, first: bytes, end: bytes) -> int:
         """How many keys there are."""
@@ -144,7 +148,7 @@
                 await stream.send_message(pb.LeaseKeepAliveRequest(ID=id), end=True)
                 reply = await stream.recv_message()
                 if reply is None:
-                    raise Unreachable("a renewal was not answered")
+                    raise StoreUnreachableError("a renewal was not answered")
                 return int(reply.TTL)
 
         return await self._call(ask)
@@ -183,7 +187,7 @@
                     except TimeoutError:
                         if asked:
                             self._failed(channel)
-                            raise WatchLost("it fell silent") from None
+                            raise WatchLostError("it fell silent") from None
                         asked = True
                         progress = pb.WatchProgressRequest()
                         await stream.send_message(pb.WatchRequest(progress_request=progress))
@@ -191,10 +195,10 @@
                     asked = False
                     if reply is None:
                         self._failed(channel)
-                        raise WatchLost("it ended")
+                        raise WatchLostError("it ended")
                     if reply.canceled:
                         why = reply.cancel_reason or "it was cancelled"
-                        raise WatchLost(why, bool(reply.compact_revision))
+                        raise WatchLostError(why, bool(reply.compact_revision))
                     held += [store_messages.event(event) for event in reply.events]
                     if reply.fragment or reply.created:
                         continue
@@ -203,4 +207,4 @@
         except (GRPCError, OSError, ProtocolError, StreamTerminatedError) as fault:
             self._failed(channel)
             why = (fault.message or "") if isinstance(fault, GRPCError) else " ".join(str(fault).split())
-            raise WatchLost(why or type(fault).__name__) from None
+            raise WatchLostError(why or type(fault).__name__) from None
--- a/gladegw/control/store_messages.py
+++ b/gladegw/control/store_messages.py
@@ -13,11 +13,11 @@
 RELATIONS = ["=", ">", "<", "!="]
 
 
-def pair(kv: Any) -> KeyValue:
+def key_value(kv: Any) -> KeyValue:
     return KeyValue(kv.key, kv.value, kv.create_revision, kv.mod_revision, kv.version, kv.lease)
 
 
-def pair_message(kv: KeyValue, keys_only: bool = False) -> Any:
+def key_value_message(kv: KeyValue, keys_only: bool = False) -> Any:
     return pb.KeyValue(
         key=kv.key,
         value=b"" if keys_only else kv.value,
@@ -91,16 +91,16 @@
     )
 
 
-def found_in(message: Any) -> tuple[KeyValue, ...]:
+def key_values_in(message: Any) -> tuple[KeyValue, ...]:
     """What a part of a transaction's answer holds."""
     kind = message.WhichOneof("response")
     if kind == "response_range":
-        return tuple(pair(kv) for kv in message.response_range.kvs)
+        return tuple(key_value(kv) for kv in message.response_range.kvs)
     if kind == "response_delete_range":
-        return tuple(pair(kv) for kv in message.response_delete_range.prev_kvs)
+        return tuple(key_value(kv) for kv in message.response_delete_range.prev_kvs)
     return ()
 
 
 def event(message: Any) -> store.StoreEvent:
-    before = pair(message.prev_kv) if message.HasField("prev_kv") else None
-    return store.StoreEvent(pair(message.kv), message.type == pb.Event.DELETE, before)
+    before = key_value(message.prev_kv) if message.HasField("prev_kv") else None
+    return store.StoreEvent(key_value(message.kv), message.type == pb.Event.DELETE, before)
--- a/gladegw/control/store_watcher.py
+++ b/gladegw/control/store_watcher.py
@@ -9,67 +9,67 @@
 from typing import TYPE_CHECKING
 
 from gladegw.control.backoff import Backoff
-from gladegw.control.errors import RefusedByStore, StoreFault, WatchLost
-from gladegw.control.keys import Range
-from gladegw.control.store_cache import View
-from gladegw.control.store_client import Client
+from gladegw.control.errors import StoreClientError, StoreRejectedError, WatchLostError
+from gladegw.control.keys import KeyRange
+from gladegw.control.store_cache import StoreCache
+from gladegw.control.store_client import StoreClient
 from gladegw.coordination.store import Get, StoreEvent
 
 if TYPE_CHECKING:
-    from gladegw.control.member import Agent
+    from gladegw.control.member import FleetMember
 
-RANKED = 64  # members up to which each knows all
-MANY = 2 * RANKED  # of them, from which one that knew all does no more
-RECOUNT = 30.0  # s between looks how many there are, where they are not all known
+MAX_RANKED_MEMBERS = 64  # members up to which each knows all
+MAX_WATCHED_MEMBERS = 2 * MAX_RANKED_MEMBERS  # of them, from which one that knew all does no more
+RECOUNT_INTERVAL_S = 30.0  # s between looks how many there are, where they are not all known
 
-Changed = Callable[[list[StoreEvent] | None], None]  # None: all of it was read anew
+OnChange = Callable[[list[StoreEvent] | None], None]  # None: all of it was read anew
 
 
-class Follower:
+class StoreWatcher:
     """`silence`: s without a word of the watch, though it was asked, after which it counts as lost."""
 
     def __init__(
         self,
-        client: Client,
-        view: View,
-        part: Range,
+        client: StoreClient,
+        cache: StoreCache,
+        key_range: KeyRange,
         silence: float,
         backoff: Backoff,
-        trouble: Callable[[str], None],
-        changed: Changed,
+        log_fault: Callable[[str], None],
+        on_change: OnChange,
     ) -> None:
-        self.client, self.view, self.part, self.silence = client, view, part, silence
-        self.backoff, self.trouble, self.changed = backoff, trouble, changed
+        self.client, self.cache, self.key_range, self.silence = client, cache, key_range, silence
+        self.backoff, self.log_fault, self.on_change = backoff, log_fault, on_change
 
     async def run(self) -> None:
         while True:
             try:
                 # Linearizable: claims hang on it.
-                revision, found = await self.client.get(Get(*self.part))
-                self.view.whole(self.part, revision, found)
+                revision, found = await self.client.get(Get(*self.key_range))
+                self.cache.load_snapshot(self.key_range, revision, found)
                 self.backoff.reset()
-                self.changed(None)
-                async for now, events in self.client.watch(*self.part, revision + 1, self.silence):
-                    self.view.change(self.part, now, events)
+                self.on_change(None)
+                async for now, events in self.client.watch(*self.key_range, revision + 1, self.silence):
+                    self.cache.apply_events(self.key_range, now, events)
                     if events:
-                        self.changed(events)
-            except RefusedByStore as fault:
-                self.trouble(f"the store refuses: {fault}")
-                await asyncio.sleep(self.backoff.most())
-            except StoreFault as fault:
-                if not isinstance(fault, WatchLost):
-                    self.trouble(f"the store is not reached: {fault}")
-                await asyncio.sleep(self.backoff.next())
+                        self.on_change(events)
+            except StoreRejectedError as fault:
+                self.log_fault(f"the store refuses: {fault}")
+                await asyncio.sleep(self.backoff.max_delay())
+            except StoreClientError as fault:
+                if not isinstance(fault, WatchLostError):
+                    self.log_fault(f"the store is not reached: {fault}")
+                await asyncio.sleep(self.backoff.next_delay())
 
 
-class Reader:
+class ReportedWatch:
     """Follows `told/` while some duty that reads it is held."""
 
-    def __init__(self, agent: Agent) -> None:
+    def __init__(self, agent: FleetMember) -> None:
         self.agent = agent
         self.wanted: set[str] = set()
-        self.there = asyncio.Event()
-        self.following: asyncio.Task[None] | None = None
+        self.loaded = asyncio.Event()
+        self.task: asyncio.Task[None] | None = None
 
     def want(self, duty: str, wanted: bool) -> None:
         if wanted:
@@ -77,110 +77,114 @@
         else:
             self.wanted.discard(duty)
         agent = self.agent
-        if self.wanted and self.following is None:
-            follower = agent.follower(agent.keys.told, lambda _: self.there.set())
-            self.following = agent.loop.create_task(follower.run())
-        elif not self.wanted and self.following is not None:
+        if self.wanted and self.task is None:
+            follower = agent.watcher_of(agent.keys.reported, lambda _: self.loaded.set())
+            self.task = agent.loop.create_task(follower.run())
+        elif not self.wanted and self.task is not None:
             self.stop()
-            agent.view.forget(agent.keys.told)
+            agent.cache.drop_range(agent.keys.reported)
 
-    async def known(self) -> None:
+    async def wait_loaded(self) -> None:
         """Once all of it was read since it was wanted."""
-        await self.there.wait()
+        await self.loaded.wait()
 
     def stop(self) -> None:
-        following, self.following = self.following, None
+        following, self.task = self.task, None
         if following is not None:
             following.cancel()
-        self.there.clear()
+        self.loaded.clear()
 
 
-class Live:
+class LiveWatch:
     """Follows `live/`: all of it in a small fleet, and while some duty is held; else what is claimed and the
     policy alone. Each member's record sent to each is what grows with the square of a fleet, and who holds
     nothing needs but their number."""
 
-    def __init__(self, agent: Agent, changed: Changed) -> None:
-        self.agent, self.changed = agent, changed
-        self.held: set[str] = set()
-        self.counted = 0
-        self.whole = asyncio.Event()  # all of it is known, and kept up
-        self.moved = asyncio.Event()
-        self.wide = False
-        self.following: list[asyncio.Task[None]] = []
+    def __init__(self, agent: FleetMember, on_change: OnChange) -> None:
+        self.agent, self.on_change = agent, on_change
+        self.held_duties: set[str] = set()
+        self.member_count = 0
+        self.complete = asyncio.Event()  # all of it is known, and kept up
+        self.resize_needed = asyncio.Event()
+        self.watches_all = False
+        self.tasks: list[asyncio.Task[None]] = []
 
     @property
-    def parts(self) -> list[Range]:
+    def key_ranges(self) -> list[KeyRange]:
         keys = self.agent.keys
-        if self.wide:
+        if self.watches_all:
             return [keys.live]
-        return [keys.claims] if self.agent.policies is None else [keys.claims, keys.policy]
+        return [keys.claims] if self.agent.participant is None else [keys.claims, keys.policy]
 
     @property
     def informed(self) -> bool:
         """Whether what claims hang on is known."""
-        return bool(self.following) and all(self.agent.view.to(part) for part in self.parts)
+        return bool(self.tasks) and all(self.agent.cache.known_revision(part) for part in self.key_ranges)
 
     @property
-    def number(self) -> int:
+    def members(self) -> int:
         """Members that are there, about."""
-        return len(self.agent.view.kinds.get("members", ())) if self.whole.is_set() else self.counted
+        return (
+            len(self.agent.cache.keys_by_kind.get("members", ()))
+            if self.complete.is_set()
+            else self.member_count
+        )
 
     def want(self, duty: str, held: bool) -> None:
         if held:
-            self.held.add(duty)
+            self.held_duties.add(duty)
         else:
-            self.held.discard(duty)
-        self.moved.set()
+            self.held_duties.discard(duty)
+        self.resize_needed.set()
 
     async def run(self) -> None:
         agent = self.agent
-        backoff = Backoff(agent.draws)
+        backoff = Backoff(agent.random)
         try:
             while True:
-                self.moved.clear()
+                self.resize_needed.clear()
                 try:
-                    if not self.whole.is_set():
-                        self.counted = await agent.client.count(*agent.keys.members)
+                    if not self.complete.is_set():
+                        self.member_count = await agent.client.count(*agent.keys.members)
                     backoff.reset()
-                except StoreFault as fault:
-                    agent.trouble(f"the store is not reached: {fault}")
-                    await asyncio.sleep(backoff.next())
-                    if not self.following:  # unknown: as a small one
-                        self._follow(True)
+                except StoreClientError as fault:
+                    agent.log_fault(f"the store is not reached: {fault}")
+                    await asyncio.sleep(backoff.next_delay())
+                    if not self.tasks:  # unknown: as a small one
+                        self._start(True)
                     continue
-                most = MANY if self.wide else RANKED
-                self.counted = self.number
-                self._follow(bool(self.held) or self.counted <= most)
+                most = MAX_WATCHED_MEMBERS if self.watches_all else MAX_RANKED_MEMBERS
+                self.member_count = self.members
+                self._start(bool(self.held_duties) or self.member_count <= most)
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(RECOUNT * agent.draws.uniform(0.7, 1.0)):
-                        await self.moved.wait()
+                    async with asyncio.timeout(RECOUNT_INTERVAL_S * agent.random.uniform(0.7, 1.0)):
+                        await self.resize_needed.wait()
         finally:
             self._stop()
 
-    def _follow(self, wide: bool) -> None:
-        if self.following and wide is self.wide:
+    def _start(self, wide: bool) -> None:
+        if self.tasks and wide is self.watches_all:
             return
         self._stop()
-        self.wide = wide
+        self.watches_all = wide
         agent = self.agent
         if not wide:
-            agent.view.whole(agent.keys.members, 0, ())
-        agent.view.only(*self.parts, agent.keys.told)
-        self.following = [
-            agent.loop.create_task(agent.follower(part, self._seen).run()) for part in self.parts
+            agent.cache.load_snapshot(agent.keys.members, 0, ())
+        agent.cache.retain_ranges(*self.key_ranges, agent.keys.reported)
+        self.tasks = [
+            agent.loop.create_task(agent.watcher_of(part, self._on_update).run()) for part in self.key_ranges
         ]
 
-    def _seen(self, events: list[StoreEvent] | None) -> None:
-        if self.wide and not self.whole.is_set():
-            self.whole.set()
-        if self.wide and not self.held and self.number > MANY:
-            self.moved.set()
+    def _on_update(self, events: list[StoreEvent] | None) -> None:
+        if self.watches_all and not self.complete.is_set():
+            self.complete.set()
+        if self.watches_all and not self.held_duties and self.members > MAX_WATCHED_MEMBERS:
+            self.resize_needed.set()
         if self.informed:
-            self.changed(events)
+            self.on_change(events)
 
     def _stop(self) -> None:
-        for task in self.following:
+        for task in self.tasks:
             task.cancel()
-        self.following = []
-        self.whole.clear()
+        self.tasks = []
+        self.complete.clear()
--- a/gladegw/net/acceptor.py
+++ b/gladegw/net/acceptor.py
@@ -10,8 +10,8 @@
 from functools import partial
 from typing import Any
 
-from gladegw.limits.connection_eviction import SERVED, Press, late
-from gladegw.limits.request_timeouts import HEAD
+from gladegw.limits.connection_eviction import SERVED_FRACTION, ConnectionFlood, is_lagging
+from gladegw.limits.request_timeouts import HEAD_TIMEOUT_S
 from gladegw.net import listener
 from gladegw.net.interfaces import Certificates, Door, Peer, TurnedAway, told_address
 from gladegw.net.sockets import OUT_OF_RESOURCES
@@ -37,8 +37,8 @@
     def __init__(self, make: Make, most: int, held: Callable[[], int], evict: Callable[[int], None]) -> None:
         self.loop = asyncio.get_running_loop()
         self.make, self.most, self.held, self.evict = make, most, held, evict
-        self.served = max(1, int(most * SERVED))
-        self.press = Press(self.served)
+        self.served = max(1, int(most * SERVED_FRACTION))
+        self.press = ConnectionFlood(self.served)
         self.door: Door | None = None
         self.listeners: dict[socket.socket, Certificates | None] = {}
         self.resting: set[socket.socket] = set()  # listeners that are not read now
@@ -90,14 +90,14 @@
             came = time.monotonic()
             if taken >= self.served:
                 age, received = listener.seen(caller)
-                if late(received, age, self.press.patience):
+                if is_lagging(received, age, self.press.silence_timeout):
                     caller.close()
                     continue
                 if not received:
                     came -= age
             self._let_in(caller, self.listeners[sock], came)
             taken += 1
-        self.press.came(looked, time.monotonic())
+        self.press.on_accepted(looked, time.monotonic())
         if taken > self.served:
             self.evict(taken - self.served if full else min(taken - self.served, taken - before))
         if full:
@@ -144,13 +144,13 @@
                 peer = Peer(told_address(sock.getpeername()))
                 told = peer.client
             if self.door is not None:
-                async with asyncio.timeout(HEAD):
+                async with asyncio.timeout(HEAD_TIMEOUT_S):
                     peer = await self.door.meet(sock)
             if certificates is not None:
                 more = {
                     "ssl": certificates.context,
                     "ssl_shutdown_timeout": GOODBYE,
-                    "ssl_handshake_timeout": came + HEAD - time.monotonic(),
+                    "ssl_handshake_timeout": came + HEAD_TIMEOUT_S - time.monotonic(),
                 }
             handed_on = True
             await self.loop.connect_accepted_socket(partial(self.make, peer, came), sock, **more)
--- a/gladegw/net/admin.py
+++ b/gladegw/net/admin.py
@@ -13,7 +13,7 @@
 from gladegw.net.config import Address, ConfigError
 from gladegw.net.listener import family_of
 from gladegw.net.sockets import opened
-from gladegw.operators.commands import Line, Operators
+from gladegw.operators.commands import CommandHandler, LineReader
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +28,7 @@
 
     def __init__(self, sock: socket.socket, came: float) -> None:
         self.sock, self.came = sock, came
-        self.line = Line()
+        self.line = LineReader()
         self.reply: bytes | None = None
 
 
@@ -55,7 +55,7 @@
         self.accepting = True
         self.thread: threading.Thread | None = None
 
-    def start(self, operators: Operators, most: int) -> None:
+    def start(self, operators: CommandHandler, most: int) -> None:
         """`most` callers at once, and so descriptors; beyond it the one that came first gives way."""
         self.operators, self.most = operators, most
         self.thread = threading.Thread(target=self._run, name="admin", daemon=True)
--- a/gladegw/net/downstream/connection.py
+++ b/gladegw/net/downstream/connection.py
@@ -10,9 +10,9 @@
 
 import httptools
 
-from gladegw.limits.buffer_budget import WHOLE
-from gladegw.limits.connection_eviction import Stage
-from gladegw.limits.request_timeouts import Pace
+from gladegw.limits.buffer_budget import MAX_BUFFERED_BYTES
+from gladegw.limits.connection_eviction import ConnectionStage
+from gladegw.limits.request_timeouts import RequestDeadline
 from gladegw.net.downstream.pending_response import Turn, response_head
 from gladegw.net.interfaces import Asked, Peer, Source
 from gladegw.net.request import BadRequest, Request, class_of, origin_form, read_head
@@ -27,7 +27,9 @@
 
 MOST_BODY = 32 * 1024 * 1024  # bytes of a request's body
 MOST_HEAD = 32 * 1024  # bytes of its target and headers
-MOST_RAW = 2 * (MOST_HEAD + WHOLE)  # bytes of what is held as it comes; the parser holds what is unfinished
+MOST_RAW = 2 * (
+    MOST_HEAD + MAX_BUFFERED_BYTES
+)  # bytes of what is held as it comes; the parser holds what is unfinished
 LINGER = 1.0  # s that a peer has to close after its last answer
 MOST_UNREAD = 10.0  # s that bytes may have waited unread; what is longer is not believed
 LINGER_LOOK = 0.01  # s between looks whether it has
@@ -50,7 +52,7 @@
         self.coming: Turn | None = None  # the message whose head is whole and whose end has not come
         self.begun = came  # since when a request is due
         self.received = 0  # bytes of it
-        self.pace = Pace(came)  # of the request that is awaited
+        self.pace = RequestDeadline(came)  # of the request that is awaited
         self.asked_before = False
         self.waiting: deque[Turn] = deque()
         self.turn: Turn | None = None  # whose answer is due
@@ -113,11 +115,11 @@
         if pause:
             self.transport.pause_reading()
             if self.inside:
-                self.pace.held_up()
+                self.pace.suspend()
         else:
             self.transport.resume_reading()
             if self.inside:
-                self.pace.resumed(time.monotonic())
+                self.pace.resume(time.monotonic())
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """One for all: what is read is parsed before another connection reads."""
@@ -157,7 +159,7 @@
         self.inside = True
         if self.asked_before:
             self.begun, self.received = self.changed_at, 0
-        self.pace.head_begins(self.changed_at)
+        self.pace.on_head_start(self.changed_at)
         self.target = b""
         self.headers, self.body = [], []
         self.head_size = self.body_size = self.raw_size = 0
@@ -204,7 +206,7 @@
                 if turn.what.bodyless and length:
                     raise BadRequest(400, "a GET has no body")
             except BadRequest as bad:
-                if length > WHOLE:
+                if length > MAX_BUFFERED_BYTES:
                     raise  # it is not worth waiting for
                 turn.what = bad
             else:
@@ -213,7 +215,7 @@
         if turn.what is not None:
             turn.asked = self._asked()
         self.coming = turn
-        self.pace.body_begins(now)
+        self.pace.on_body_start(now)
         expects = any(n == b"expect" and v.lower() == b"100-continue" for n, v in self.headers)
         if expects and not turn.old and self.transport is not None and not (self.turn or self.waiting):
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -222,7 +224,7 @@
         turn = self.coming
         assert turn is not None
         self.body_size += len(chunk)
-        self.pace.body(len(chunk), self.changed_at)
+        self.pace.on_body(len(chunk), self.changed_at)
         if self.dropping:
             if self.body_size > MOST_BODY:
                 self.end()
@@ -232,13 +234,13 @@
         if turn.upload is not None:
             turn.upload.feed(chunk)
         elif not isinstance(turn.what, Request):
-            if self.body_size > WHOLE:
+            if self.body_size > MAX_BUFFERED_BYTES:
                 raise turn.what or BadRequest(413, "body too large")
         elif turn.what.bodyless:
             turn.what = BadRequest(400, "a GET has no body")
         else:
             self.body.append(chunk)
-            if self.body_size > WHOLE:
+            if self.body_size > MAX_BUFFERED_BYTES:
                 turn.upload = turn.what.upload = Upload(turn.what.length, self.body, self._flow)
                 self.body = []
                 self.waiting.append(turn)
@@ -247,7 +249,7 @@
         turn, self.coming = self.coming, None
         assert turn is not None
         self.inside = False
-        self.pace.whole()
+        self.pace.on_complete()
         self.asked_before = True
         self.headers = []
         if self.dropping:
@@ -258,7 +260,7 @@
         if isinstance(request, Request):
             request.came = self.changed_at - self._waited_unread()
             turn.taken = True
-            self.server.ledger.taken()
+            self.server.ledger.on_received()
             if turn.upload is not None:
                 if turn is self.turn and self.call is not None:
                     self.server.handler.uploaded(self.call)
@@ -298,7 +300,7 @@
         """What waits behind the open request is not answered any more."""
         for turn in self.waiting:
             if turn.taken and isinstance(turn.what, Request):
-                self.server.ledger.ended(turn.what.cls, None)
+                self.server.ledger.on_ended(turn.what.cls, None)
         self.waiting.clear()
 
     def _ended(self, turn: Turn, code: int | None) -> None:
@@ -306,11 +308,11 @@
         ledger = self.server.ledger
         if isinstance(turn.what, Request) and (turn.taken or code is not None):
             if not turn.taken:  # it was answered before it had come whole
-                ledger.taken()
-            ledger.ended(turn.what.cls, code)
+                ledger.on_received()
+            ledger.on_ended(turn.what.cls, code)
         if turn.asked is not None:
             for watcher in self.server.watchers:
-                watcher.ended(turn.asked, code)
+                watcher.on_end(turn.asked, code)
 
     # answers
     def _next(self) -> None:
@@ -319,7 +321,7 @@
             request = turn.what
             if turn.asked is not None:
                 for watcher in self.server.watchers:
-                    watcher.begun(turn.asked)
+                    watcher.on_start(turn.asked)
             if self.peer is not None and self.peer.denied:
                 turn.last = True
                 self.answer(403, NO_HEADERS, b"this address is not admitted\n")
@@ -463,12 +465,12 @@
             self.server.loop.call_later(look, self._linger, until)
 
     @property
-    def stage(self) -> Stage:
+    def stage(self) -> ConnectionStage:
         if self.turn is not None or self.waiting:
-            return Stage.OWED
+            return ConnectionStage.PENDING
         if self.closing and not self.dropping:
-            return Stage.ENDING
-        return Stage.COMING if self.inside or not self.asked_before else Stage.IDLE
+            return ConnectionStage.CLOSING
+        return ConnectionStage.RECEIVING if self.inside or not self.asked_before else ConnectionStage.IDLE
 
     @property
     def unread(self) -> bool:
@@ -492,7 +494,7 @@
         """Whether a request that is awaited does not come; not where another is owed its answer."""
         if self.turn is not None and self.turn is not self.coming:
             return False
-        return self.pace.due < now and not self.waiting
+        return self.pace.due_at < now and not self.waiting
 
     def close(self) -> None:
         """Ends it where no answer is owed. What comes from now on is not read, so that its sender may repeat
--- a/gladegw/net/downstream/server.py
+++ b/gladegw/net/downstream/server.py
@@ -8,12 +8,16 @@
 from collections.abc import Callable, Mapping
 
 from gladegw.balancing.events import Effect
-from gladegw.limits.connection_eviction import PRESSED, Stage, gives_way
+from gladegw.limits.connection_eviction import (
+    CLOSE_AFTER_RESPONSE_FRACTION,
+    ConnectionStage,
+    connections_to_evict,
+)
 from gladegw.net.acceptor import Entrance
 from gladegw.net.downstream.connection import ClientConnection
 from gladegw.net.interfaces import Asked, Handler
 from gladegw.net.request import Router
-from gladegw.operators.request_counters import Ledger, Watcher
+from gladegw.operators.request_counters import RequestCounters, RequestObserver
 
 IDLE = 120.0  # s after which a connection that asks nothing more is closed
 STILL_READ = 0.25  # s from the beginning of a drain: 0.7 s after SIGTERM a client may not rely on an answer
@@ -28,7 +32,7 @@
         effects: Mapping[str, Effect],
         handler: Handler,
         most_open: int,
-        ledger: Ledger,
+        ledger: RequestCounters,
         ready: Callable[[], bool],
         scratch: memoryview,
     ) -> None:
@@ -39,7 +43,7 @@
         self.connections: set[ClientConnection] = set()  # until their descriptors are closed
         self.draining = False  # each answer is the last on its connection
         self.reads_until = math.inf  # when requests that come behind one that waits are no longer read
-        self.watchers: tuple[Watcher[Asked], ...] = ()
+        self.watchers: tuple[RequestObserver[Asked], ...] = ()
         self.router: Router | None = None
         self.entrance = Entrance(
             lambda peer, came: ClientConnection(self, peer, came),
@@ -63,7 +67,7 @@
     @property
     def last(self) -> bool:
         """Whether an answer is the last on its connection, for this side's reasons."""
-        return self.draining or len(self.connections) >= PRESSED * self.most_open
+        return self.draining or len(self.connections) >= CLOSE_AFTER_RESPONSE_FRACTION * self.most_open
 
     @property
     def crowded(self) -> bool:
@@ -73,7 +77,7 @@
     @property
     def owes(self) -> bool:
         """Whether a request that was read has not got its answer."""
-        return any(connection.stage is Stage.OWED for connection in self.connections)
+        return any(connection.stage is ConnectionStage.PENDING for connection in self.connections)
 
     @property
     def full(self) -> bool:
@@ -81,7 +85,9 @@
         served = self.entrance.served
         if len(self.connections) <= served:
             return False
-        return sum(1 for connection in self.connections if connection.stage is Stage.OWED) > served
+        return (
+            sum(1 for connection in self.connections if connection.stage is ConnectionStage.PENDING) > served
+        )
 
     def gone(self, connection: ClientConnection) -> None:
         self.connections.discard(connection)
@@ -89,14 +95,18 @@
             self.loop.call_soon(self.entrance.resume)  # its descriptor is closed right after this
 
     def _evict(self, count: int) -> None:
-        for connection in gives_way(self.connections, time.monotonic(), count, self.entrance.press.patience):
-            if connection.stage is Stage.ENDING or not connection.unread:
+        for connection in connections_to_evict(
+            self.connections, time.monotonic(), count, self.entrance.press.silence_timeout
+        ):
+            if connection.stage is ConnectionStage.CLOSING or not connection.unread:
                 connection.end()
 
     def close_idle(self, unused_since: float = math.inf, partial: bool = False) -> None:
         for connection in list(self.connections):
             stage = connection.stage
-            unused = stage is Stage.IDLE or (stage is Stage.COMING and (partial or not connection.inside))
+            unused = stage is ConnectionStage.IDLE or (
+                stage is ConnectionStage.RECEIVING and (partial or not connection.inside)
+            )
             if unused and connection.changed_at <= unused_since and not connection.unread:
                 connection.close()
 
--- a/gladegw/net/drain.py
+++ b/gladegw/net/drain.py
@@ -29,7 +29,7 @@
         self.server.loop.call_soon_threadsafe(self.follow, state)
 
     def follow(self, state: State) -> None:
-        if state is State.LAME and self.lame is None:
+        if state is State.DRAINING and self.lame is None:
             self.lame = self.server.loop.create_task(self._lame())
         elif state is State.READY or state is State.STARTING:
             self._stop()
--- a/gladegw/net/driver.py
+++ b/gladegw/net/driver.py
@@ -26,7 +26,7 @@
 from gladegw.net.request import Request
 from gladegw.net.shared_resources import Desk, OpenCall
 from gladegw.net.upstream.exchange import LATE, ONE_TURN, Exchange
-from gladegw.operators.commands import Backends
+from gladegw.operators.commands import BackendCounts
 
 log = logging.getLogger(__name__)
 
@@ -203,7 +203,7 @@
     def ready(self) -> bool:
         return self.upstreams.ready
 
-    def listed_backends(self) -> Backends:
+    def listed_backends(self) -> BackendCounts:
         return self.desk.backends({server.id for server in self.balancer.servers.avoided()})
 
     def opened(self, request: Request, reply: Reply) -> OpenCall | None:
@@ -351,7 +351,7 @@
             return self._answer_begins(call, number, action.server, exchange, length)
 
         exchange = Exchange(
-            upstream, message, max(0.0, timeout), may_start, done, self.desk.ledger.tried, begun
+            upstream, message, max(0.0, timeout), may_start, done, self.desk.ledger.on_attempt, begun
         )
         if request.upload is not None:
             exchange.upload = request.upload
--- a/gladegw/net/routes.py
+++ b/gladegw/net/routes.py
@@ -26,7 +26,7 @@
 from gladegw.net.route_actions import edit, fixed, redirected, rewritten
 from gladegw.net.route_tables import prepared, read_file
 from gladegw.net.shared_resources import Desk, OpenCall
-from gladegw.operators.commands import Backends
+from gladegw.operators.commands import BackendCounts
 from gladegw.routing.findings import RoutingError
 from gladegw.routing.matcher import Table
 from gladegw.routing.model import (
@@ -395,7 +395,7 @@
         open_ones = sum(len(one.driver.calls) for one in self._every())
         return open_ones - sum(call.open for call in self.mirrored)
 
-    def listed_backends(self) -> Backends:
+    def listed_backends(self) -> BackendCounts:
         """A backend that any pool avoids counts as skipped."""
         drivers = [one.driver for one in list(self.now.served.values())]
         avoided = {server.id for driver in drivers for server in driver.balancer.servers.avoided()}
--- a/gladegw/net/serve.py
+++ b/gladegw/net/serve.py
@@ -13,7 +13,7 @@
 
 import uvloop
 
-from gladegw.limits.descriptor_budget import AGENT_OWN
+from gladegw.limits.descriptor_budget import FLEET_MEMBER_DESCRIPTORS
 from gladegw.net import discovery, listener
 from gladegw.net import driver as decisions
 from gladegw.net import features as settings_file
@@ -31,12 +31,12 @@
 from gladegw.net.metrics import Figures
 from gladegw.net.request import Router
 from gladegw.net.tls import Tls
-from gladegw.operators.commands import Operators
+from gladegw.operators.commands import CommandHandler
 from gladegw.operators.lifecycle import Event, Lifecycle, State
-from gladegw.operators.request_counters import Watcher
+from gladegw.operators.request_counters import RequestObserver
 
 if TYPE_CHECKING:
-    from gladegw.control.member import Agent
+    from gladegw.control.member import FleetMember
     from gladegw.net.routes import Pools
     from gladegw.net.timing import Timing
 
@@ -83,27 +83,29 @@
 
 def joined(
     features: Features, config: Config, driver: Driver | Pools, timing: Timing | None
-) -> tuple[Agent | None, Router | None]:
+) -> tuple[FleetMember | None, Router | None]:
     """This process as a member, and what routes its requests where there are routes."""
     router = None if isinstance(driver, Driver) else driver.route
     settings = features.coordination
     if settings is None:
         return None, router
-    from gladegw.control.startup import carrier, joined
+    from gladegw.control.startup import join_fleet, serving_host
 
     def routes() -> str:
         return "" if isinstance(driver, Driver) else driver.digest
 
     carried = None
     if features.policy is not None and not isinstance(driver, Driver):
-        from gladegw.control.clock import boot
+        from gladegw.control.clock import boot_time
         from gladegw.coordination.serving_lease import ServingLease
         from gladegw.net.policy_router import Stamped
 
-        router = Stamped(driver, ServingLease(boot), features.policy, config.settings.may_send_retry_after)
-        carried = carrier(router, asyncio.get_running_loop())
+        router = Stamped(
+            driver, ServingLease(boot_time), features.policy, config.settings.may_send_retry_after
+        )
+        carried = serving_host(router, asyncio.get_running_loop())
     desk = driver.desk
-    return joined(settings, config, desk.ledger, desk.listed, routes, carried, timing), router
+    return join_fleet(settings, config, desk.ledger, desk.listed, routes, carried, timing), router
 
 
 def timed(features: Features, config: Config) -> Timing | None:
@@ -133,7 +135,7 @@
 async def serve(config: Config, features: Features) -> None:
     loop = asyncio.get_running_loop()
     if features.coordination is not None:  # its descriptors are not there to be shared out
-        config = dataclasses.replace(config, sockets=config.sockets - AGENT_OWN)
+        config = dataclasses.replace(config, sockets=config.sockets - FLEET_MEMBER_DESCRIPTORS)
     term = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, term.set)
@@ -167,10 +169,10 @@
     def changed(state: State) -> None:
         draining.told(state)
         if agent is not None:
-            agent.tell_state(state.value)
+            agent.set_lifecycle_state(state.value)
 
-    life.changed = changed
-    watchers: list[Watcher[Asked]] = []
+    life.on_change = changed
+    watchers: list[RequestObserver[Asked]] = []
     figures = Figures(features.figures, config.settings) if features.figures is not None else None
     if figures is not None:
         watchers.append(figures)
@@ -185,7 +187,9 @@
     driver.start()
     if admin is not None:
         admin.start(
-            Operators(life, ledger, able, driver.listed_backends, agent.info if agent is not None else tuple),
+            CommandHandler(
+                life, ledger, able, driver.listed_backends, agent.info if agent is not None else tuple
+            ),
             driver.desk.shares.operators,
         )
     if replaces:
@@ -210,7 +214,7 @@
     life.on(Event.TERMINATE)
     await draining.leave()
     if agent is not None:
-        await loop.run_in_executor(None, agent.leave)
+        await loop.run_in_executor(None, agent.shut_down)
     driver.stop()
     if admin is not None:
         admin.close()
--- a/gladegw/net/shared_resources.py
+++ b/gladegw/net/shared_resources.py
@@ -7,15 +7,15 @@
 from collections.abc import Set as AbstractSet
 from typing import TYPE_CHECKING
 
-from gladegw.limits.buffer_budget import piece
-from gladegw.limits.descriptor_budget import shares
+from gladegw.limits.buffer_budget import chunk_bytes
+from gladegw.limits.descriptor_budget import split_descriptors
 from gladegw.net.config import Config
 from gladegw.net.interfaces import Reply
 from gladegw.net.request import Request
 from gladegw.net.upstream.connections import Upstreams
 from gladegw.net.upstream.exchange import Exchange
-from gladegw.operators.commands import Backends
-from gladegw.operators.request_counters import Ledger
+from gladegw.operators.commands import BackendCounts
+from gladegw.operators.request_counters import RequestCounters
 
 if TYPE_CHECKING:
     from gladegw.net.driver import Driver
@@ -62,10 +62,10 @@
 
     def __init__(self, config: Config) -> None:
         settings = config.settings
-        self.shares = shares(config.sockets, held_descriptors(), config.admin is not None)
+        self.shares = split_descriptors(config.sockets, held_descriptors(), config.admin is not None)
         self.upstreams = Upstreams(settings.connect_timeout, settings.conn_idle, self.shares.upstreams)
-        self.ledger = Ledger(cls.name for cls in settings.classes)
-        self.scratch = memoryview(bytearray(piece(config.memory, self.shares.clients)))
+        self.ledger = RequestCounters(cls.name for cls in settings.classes)
+        self.scratch = memoryview(bytearray(chunk_bytes(config.memory, self.shares.clients)))
         self.upstreams.scratch = self.scratch
         self.ids: set[bytes] = set()  # of the calls in the tables, and of attempts still out
         self.calls_taken = 0
@@ -74,8 +74,8 @@
         """Backends by number, and whether each is sent to; asked from the agent's thread."""
         return [(server, upstream.serving) for server, upstream in list(self.upstreams.by_id.items())]
 
-    def backends(self, avoided: AbstractSet[int]) -> Backends:
+    def backends(self, avoided: AbstractSet[int]) -> BackendCounts:
         """For operators; asked from their thread."""
         listed = list(self.upstreams.by_id.items())
         skipped = sum(1 for server, upstream in listed if not upstream.serving or server in avoided)
-        return Backends(len(listed), skipped)
+        return BackendCounts(len(listed), skipped)
--- a/gladegw/net/timing.py
+++ b/gladegw/net/timing.py
@@ -8,7 +8,7 @@
 
 from gladegw.balancing.events import RequestClass
 from gladegw.net.interfaces import Asked
-from gladegw.operators.request_counters import Handled
+from gladegw.operators.request_counters import OutcomeCounts
 
 
 class Timing:
@@ -19,7 +19,7 @@
         self.took = dict.fromkeys(self.aims, 0.0)  # s, of those that were answered with 200
         self.late = dict.fromkeys(self.aims, 0)  # of these, not within their class's aim
         self.count = dict.fromkeys(self.took, 0)
-        self.ends = {cls: Handled() for cls in self.took}
+        self.ends = {cls: OutcomeCounts() for cls in self.took}
 
     def begun(self, asked: Asked) -> None:
         pass
@@ -44,6 +44,6 @@
                 f"ended.{cls}.passed": ends.passed,
                 f"ended.{cls}.refused": ends.dropped,
                 f"ended.{cls}.failed": ends.bad_gateway,
-                f"ended.{cls}.gone": ends.gone,
+                f"ended.{cls}.gone": ends.disconnected,
             }
         return told
--- a/gladegw/net/upstream/connections.py
+++ b/gladegw/net/upstream/connections.py
@@ -14,7 +14,7 @@
 import httptools
 
 from gladegw.balancing.events import ServerState, Status
-from gladegw.limits.buffer_budget import WHOLE
+from gladegw.limits.buffer_budget import MAX_BUFFERED_BYTES
 from gladegw.net.config import Address
 from gladegw.net.endpoint_lists import Listed, Listing
 from gladegw.net.sockets import has_unread
@@ -172,7 +172,7 @@
             if self.length is None:
                 self.length = CHUNKED_BEGUN
                 self.flush_at = self.upstream.owner.loop.call_later(FLUSH, self._pass_on, code)
-            elif self.length > WHOLE:
+            elif self.length > MAX_BUFFERED_BYTES:
                 self._pass_on(code)
 
     def on_body(self, chunk: bytes) -> None:
@@ -185,7 +185,7 @@
             return
         self.size += len(chunk)
         self.body.append(chunk)
-        if self.size > WHOLE:
+        if self.size > MAX_BUFFERED_BYTES:
             code = self.parser.get_status_code()
             self._pass_on(code)
             if exchange.sink is None:
@@ -353,7 +353,7 @@
         self.idle_for = IDLE_SHARE * conn_idle
         self.most_open = most_open
         self.made = 0  # connections that are up
-        self.scratch = memoryview(bytearray(WHOLE))  # into which all connections read
+        self.scratch = memoryview(bytearray(MAX_BUFFERED_BYTES))  # into which all connections read
         self.by_id: dict[int, Upstream] = {}
         self.with_idle: set[Upstream] = set()  # a few of thousands
         self._connects: set[asyncio.Task[None]] = set()
--- a/gladegw/net/upstream/exchange.py
+++ b/gladegw/net/upstream/exchange.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from gladegw.balancing.events import Status
-from gladegw.limits.buffer_budget import WHOLE
+from gladegw.limits.buffer_budget import MAX_BUFFERED_BYTES
 from gladegw.net.upload import Upload
 
 if TYPE_CHECKING:
@@ -182,7 +182,7 @@
     @property
     def large(self) -> bool:
         """Whether its answer is larger than what is held whole."""
-        return max(self.length or 0, self.passed_on) > WHOLE
+        return max(self.length or 0, self.passed_on) > MAX_BUFFERED_BYTES
 
     def pass_on(self, chunk: bytes) -> None:
         """The next bytes of an answer that is passed on as it comes."""
--- a/gladegw/operators/lifecycle.py
+++ b/gladegw/operators/lifecycle.py
@@ -10,8 +10,8 @@
 class State(Enum):
     STARTING = "starting"  # not able to serve yet
     READY = "ready"
-    LAME = "lame"  # asked to drain: says no, ends what it has, may come back
-    LEAVING = "leaving"  # told to end: says no, and the process exits when nothing is owed
+    DRAINING = "lame"  # asked to drain: says no, ends what it has, may come back
+    TERMINATING = "leaving"  # told to end: says no, and the process exits when nothing is owed
 
 
 class Event(Enum):
@@ -22,35 +22,35 @@
 
 
 # What each event leads to. A state that is its own successor: the event is true already. None: refused.
-TABLE: dict[State, dict[Event, State | None]] = {
+TRANSITIONS: dict[State, dict[Event, State | None]] = {
     State.STARTING: {
         Event.ABLE: State.READY,
-        Event.LAMEDUCK: State.LAME,
+        Event.LAMEDUCK: State.DRAINING,
         Event.REJOIN: None,
-        Event.TERMINATE: State.LEAVING,
+        Event.TERMINATE: State.TERMINATING,
     },
     State.READY: {
         Event.ABLE: State.READY,
-        Event.LAMEDUCK: State.LAME,
+        Event.LAMEDUCK: State.DRAINING,
         Event.REJOIN: State.READY,
-        Event.TERMINATE: State.LEAVING,
+        Event.TERMINATE: State.TERMINATING,
     },
-    State.LAME: {
-        Event.ABLE: State.LAME,
-        Event.LAMEDUCK: State.LAME,
+    State.DRAINING: {
+        Event.ABLE: State.DRAINING,
+        Event.LAMEDUCK: State.DRAINING,
         Event.REJOIN: State.READY,
-        Event.TERMINATE: State.LEAVING,
+        Event.TERMINATE: State.TERMINATING,
     },
-    State.LEAVING: {
-        Event.ABLE: State.LEAVING,
-        Event.LAMEDUCK: State.LEAVING,
+    State.TERMINATING: {
+        Event.ABLE: State.TERMINATING,
+        Event.LAMEDUCK: State.TERMINATING,
         Event.REJOIN: None,
-        Event.TERMINATE: State.LEAVING,
+        Event.TERMINATE: State.TERMINATING,
     },
 }
 
 
-class Refused(Exception):
+class InvalidTransitionError(Exception):
     """The event makes no sense in this state; the message is the reason."""
 
 
@@ -58,10 +58,10 @@
     """Events may come from the operators' thread and from the serving loop; a change is told to `changed`,
     in the thread that it came from."""
 
-    def __init__(self, changed: Callable[[State], None] | None = None) -> None:
+    def __init__(self, on_change: Callable[[State], None] | None = None) -> None:
         self.state = State.STARTING
         self.able = False  # has ABLE come
-        self.changed = changed
+        self.on_change = on_change
         self._lock = threading.Lock()
 
     def on(self, event: Event) -> State:
@@ -70,12 +70,12 @@
             before = self.state
             if event is Event.ABLE:
                 self.able = True
-            after = TABLE[before][event]
+            after = TRANSITIONS[before][event]
             if after is None:
-                raise Refused(f"{event.value}: the proxy is {before.value}")
+                raise InvalidTransitionError(f"{event.value}: the proxy is {before.value}")
             if after is State.READY and not self.able:
                 after = State.STARTING
             self.state = after
-        if after is not before and self.changed is not None:
-            self.changed(after)
+        if after is not before and self.on_change is not None:
+            self.on_change(after)
         return after
--- a/gladegw/rig/faults/coordinated.py
+++ b/gladegw/rig/faults/coordinated.py
@@ -7,9 +7,9 @@
 import time
 from pathlib import Path
 
-from gladegw.control.errors import StoreFault
-from gladegw.control.policy_proposals import Operator
-from gladegw.control.store_client import Client, addresses
+from gladegw.control.errors import StoreClientError
+from gladegw.control.policy_proposals import PolicyOperator
+from gladegw.control.store_client import StoreClient, addresses
 from gladegw.rig import process
 from gladegw.rig.errors import RigError
 from gladegw.rig.faults.links import Link
@@ -76,19 +76,19 @@
     async def changing(self, book: ledger.Ledger) -> None:
         """A band in the ledger for each change; its target is what came of it."""
         assert self.stand is not None
-        client = Client(addresses(self.stand.endpoints), OPERATOR)
-        operator, number = Operator(client, self.settings.prefix), 0
+        client = StoreClient(addresses(self.stand.endpoints), OPERATOR)
+        operator, number = PolicyOperator(client, self.settings.prefix), 0
         try:
             while True:
                 await asyncio.sleep(self.settings.changes_every_s)
                 number += 1
                 began = time.monotonic()
                 try:
-                    digest = await operator.send({"site.routes.hcl": routes(number)})
+                    digest = await operator.upload({"site.routes.hcl": routes(number)})
                     everyone = self.settings.policy == "serve"
                     change = await operator.propose(digest, DEADLINE, everyone, "rig", "", False)
                     outcome = (await operator.outcome(change, DEADLINE)).outcome
-                except (StoreFault, ValueError):
+                except (StoreClientError, ValueError):
                     outcome = "unknown"
                 book.put(ledger.FaultBand("policy", began, time.monotonic(), outcome))
         finally:
--- a/gladegw/rig/faulty_versions.py
+++ b/gladegw/rig/faulty_versions.py
@@ -192,8 +192,8 @@
     """The clock by which holding is proven runs at another pace."""
     from gladegw.control import clock as clocks
 
-    real = clocks.boot
-    clocks.boot = lambda: real() * rate
+    real = clocks.boot_time
+    clocks.boot_time = lambda: real() * rate
 
 
 def compiles(seconds: float) -> None:
--- a/gladegw/rig/measures/changes.py
+++ b/gladegw/rig/measures/changes.py
@@ -21,11 +21,11 @@
 from typing import Any
 
 from gladegw.control.duties.policy_coordinator import votes
-from gladegw.control.errors import StoreFault
-from gladegw.control.policy_participant import SURE, TICK
-from gladegw.control.policy_proposals import Operator, Result, status
-from gladegw.control.store_cache import View
-from gladegw.control.store_client import Client, addresses
+from gladegw.control.errors import StoreClientError
+from gladegw.control.policy_participant import EXTEND_INTERVAL_S, PROBATION_S
+from gladegw.control.policy_proposals import PolicyOperator, ProposalResult, status
+from gladegw.control.store_cache import StoreCache
+from gladegw.control.store_client import StoreClient, addresses
 from gladegw.coordination.lease import MAX_CLOCK_DRIFT
 from gladegw.coordination.records import PolicyChangeRecord, PolicyRecord
 from gladegw.rig import process
@@ -89,7 +89,7 @@
 def bound(ttl: float, cut: bool) -> float:
     """S for which the older policy may still answer. Where links are cut, one that has agreed and hears
     nothing serves for as long as it knows the store's word (docs/design/policy.md)."""
-    return max(BOUND, ttl * (1 - MAX_CLOCK_DRIFT) + TICK) if cut else BOUND
+    return max(BOUND, ttl * (1 - MAX_CLOCK_DRIFT) + EXTEND_INTERVAL_S) if cut else BOUND
 
 
 def judge(
@@ -115,9 +115,9 @@
     return found
 
 
-def cast(view: View) -> set[str]:
+def cast(view: StoreCache) -> set[str]:
     """Who has voted on the change that is open: votes on those before stand for a while."""
-    change = view.keys.get(view.at.change)
+    change = view.entries.get(view.keys.open_change)
     if change is None:
         return set()
     return {who for who, vote in votes(view).items() if vote.change == change.create_revision}
@@ -129,8 +129,8 @@
     ) -> None:
         self.store, self.running = store, running
         self.draws = Random(seed)
-        self.client = Client(addresses(store.endpoints), 1.0)
-        self.operator = Operator(self.client, scale.PREFIX, patience=PATIENCE)
+        self.client = StoreClient(addresses(store.endpoints), 1.0)
+        self.operator = PolicyOperator(self.client, scale.PREFIX, timeout=PATIENCE)
         self.lives = dict.fromkeys((proxy.name for proxy in running), 0)
         self.answers: list[Answer] = []
         self.asked = 0
@@ -192,8 +192,8 @@
         """Waits for a step of the change to this epoch, or for its end; who decides."""
         while True:
             view = await self.operator.view()
-            change = view.read(view.at.change, PolicyChangeRecord)
-            given, force = cast(view), view.read(view.at.force, PolicyRecord)
+            change = view.read(view.keys.open_change, PolicyChangeRecord)
+            given, force = cast(view), view.read(view.keys.committed_policy, PolicyRecord)
             there = {
                 "before": True,
                 "proposed": change is not None,
@@ -202,7 +202,8 @@
                 "decided": force is not None and force.epoch >= epoch,
             }[step]
             decider = next(
-                (holder.holder for kv, holder in view.holders() if kv.key == view.at.duty("policy")), ""
+                (holder.holder for kv, holder in view.duty_holders() if kv.key == view.keys.duty("policy")),
+                "",
             )
             if there or self.over:
                 return decider
@@ -244,7 +245,7 @@
         proxy = self.draws.choice(self.running)
         if self.draws.random() < OF_DECIDER:
             proxy = next((one for one in self.running if one.name == decider), proxy)
-        if kind in ("kill", "term") and now < self.killed.get(proxy.name, 0.0) + SURE + 1.0:
+        if kind in ("kill", "term") and now < self.killed.get(proxy.name, 0.0) + PROBATION_S + 1.0:
             return  # a second death so soon would count against the bundle
         if kind in ("kill", "term"):
             self.lives[proxy.name] += 1
@@ -288,8 +289,8 @@
                 raise RigError(f"not all serve by epoch {epoch} after {PATIENCE:g} s: {found}; {logs}")
             await asyncio.sleep(0.005)
 
-    async def change(self, number: int, deadline: int) -> Result:
-        digest = await self.operator.send({"site.routes.hcl": policy(number)})
+    async def change(self, number: int, deadline: int) -> ProposalResult:
+        digest = await self.operator.upload({"site.routes.hcl": policy(number)})
         change = await self.operator.propose(digest, deadline, True, "rig", f"change {number}", False)
         return await self.operator.outcome(change, deadline)
 
@@ -358,8 +359,8 @@
             began = time.monotonic()
             try:
                 result = await course.change(number, deadline)
-            except (StoreFault, ValueError) as problem:
-                result = Result("unknown", 0, "", str(problem))
+            except (StoreClientError, ValueError) as problem:
+                result = ProposalResult("unknown", 0, "", str(problem))
             now = time.monotonic()
             spans.append((began, now))
             course.over = True
--- a/gladegw/rig/measures/cost.py
+++ b/gladegw/rig/measures/cost.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from gladegw.control import fleet_status
-from gladegw.control.store_client import Client, addresses
+from gladegw.control.store_client import StoreClient, addresses
 from gladegw.rig import process
 from gladegw.rig.measures.capacity import WARM_RATE, CapacitySettings, bench
 from gladegw.rig.measures.scale import CALL, PREFIX, block, stand
@@ -32,7 +32,7 @@
 
 
 async def tokens(endpoints: tuple[str, ...]) -> dict[str, int]:
-    client = Client(addresses(endpoints), CALL)
+    client = StoreClient(addresses(endpoints), CALL)
     try:
         return {
             duty["name"]: duty["token"]
--- a/gladegw/rig/measures/crowd.py
+++ b/gladegw/rig/measures/crowd.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from gladegw.control.clock import boot
-from gladegw.control.duties.base import Holding, Work
-from gladegw.control.duties.policy_coordinator import Decide
-from gladegw.control.member import Agent, Options
-from gladegw.control.policy_participant import Carrier
+from gladegw.control.clock import boot_time
+from gladegw.control.duties.base import DutyContext, DutyWork
+from gladegw.control.duties.policy_coordinator import PolicyCoordinator
+from gladegw.control.member import FleetMember, StoreOptions
+from gladegw.control.policy_participant import ServingHost
 from gladegw.control.store_client import addresses
 from gladegw.coordination.records import MemberMetricsRecord, MemberRecord
 from gladegw.coordination.serving_lease import ServingLease
@@ -34,36 +34,38 @@
     policy: bool = False  # they take part in changes of policy, and serve nothing by them
 
 
-def still(duty: str) -> type[Work]:
-    class Still(Work):
+def still(duty: str) -> type[DutyWork]:
+    class Still(DutyWork):
         """Is held, and does nothing."""
 
         name = duty
         period = 3600.0
 
-        async def step(self, holding: Holding) -> None:
+        async def step(self, holding: DutyContext) -> None:
             pass
 
     return Still
 
 
-def carrier() -> Carrier:
+def carrier() -> ServingHost:
     """Whatever is decided is taken, at once."""
-    return Carrier(lambda files: files, lambda epoch, digest, ready, done: done(), ServingLease(boot))
+    return ServingHost(
+        lambda files: files, lambda epoch, digest, ready, done: done(), ServingLease(boot_time)
+    )
 
 
-def agents(plan: Plan) -> list[Agent]:
-    options = Options(addresses(plan.endpoints), plan.prefix, plan.ttl, timeout=float(plan.ttl))
-    works: list[type[Work]] = [still(f"duty-{number}") for number in range(plan.duties)]
+def agents(plan: Plan) -> list[FleetMember]:
+    options = StoreOptions(addresses(plan.endpoints), plan.prefix, plan.ttl, timeout=float(plan.ttl))
+    works: list[type[DutyWork]] = [still(f"duty-{number}") for number in range(plan.duties)]
     if plan.policy:
-        works.append(Decide)
+        works.append(PolicyCoordinator)
     return [
-        Agent(
+        FleetMember(
             options,
             MemberRecord(name=f"m{number}", incarnation="", state="ready"),
             works,
             lambda name=f"m{number}": MemberMetricsRecord(name=name),  # type: ignore[misc]
-            carrier=carrier() if plan.policy else None,
+            host=carrier() if plan.policy else None,
         )
         for number in range(plan.first, plan.first + plan.count)
     ]
@@ -74,7 +76,7 @@
     running: list[asyncio.Task[None]] = []
     for first in range(0, len(crowd), AT_ONCE):  # one loop serves them all: each has its lease to renew
         running += [asyncio.create_task(agent.run()) for agent in crowd[first : first + AT_ONCE]]
-        while not all(agent.able for agent in crowd[: first + AT_ONCE]):
+        while not all(agent.may_claim for agent in crowd[: first + AT_ONCE]):
             await asyncio.sleep(LOOK)
     print("ready", flush=True)
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)
--- a/gladegw/rig/measures/failover.py
+++ b/gladegw/rig/measures/failover.py
@@ -15,10 +15,10 @@
 
 import msgspec
 
-from gladegw.control.clock import boot
-from gladegw.control.errors import StoreFault
+from gladegw.control.clock import boot_time
+from gladegw.control.errors import StoreClientError
 from gladegw.control.keys import Keys
-from gladegw.control.store_client import Client, addresses
+from gladegw.control.store_client import StoreClient, addresses
 from gladegw.coordination.store import Get
 from gladegw.rig import process
 from gladegw.rig.errors import RigError
@@ -147,8 +147,8 @@
     """What the store has taken, in its own order: each effect writes its token to one key."""
 
     def __init__(self, endpoints: Sequence[str], prefix: str) -> None:
-        self.client = Client(addresses(endpoints), PATIENCE)
-        self.key = Keys(prefix).fleet("one")
+        self.client = StoreClient(addresses(endpoints), PATIENCE)
+        self.key = Keys(prefix).fleet_record("one")
         self.seen: list[str] = []
         self.newest = self.known_to = 0
         self.following: asyncio.Task[None] | None = None
@@ -165,7 +165,7 @@
     async def _follow(self) -> None:
         """From the first revision on: nothing is compacted in this measure."""
         while True:
-            with contextlib.suppress(StoreFault):
+            with contextlib.suppress(StoreClientError):
                 async for now, events in self.client.watch(self.key, b"", self.known_to + 1, PATIENCE):
                     for event in events:
                         self.taken(int(event.kv.value))
@@ -181,7 +181,7 @@
         """Once all that was written by now is known."""
         async with asyncio.timeout(PATIENCE):
             while True:
-                with contextlib.suppress(StoreFault):
+                with contextlib.suppress(StoreClientError):
                     _, found = await self.client.get(Get(self.key))
                     if not found or self.known_to >= found[0].mod_revision:
                         return self.seen
@@ -302,7 +302,7 @@
         if self.kind == "stale":
             return await self._late_effect(store, holder)
         child = self.children[holder.member]
-        at = boot()
+        at = boot_time()
         if self.kind in ("kill", "slow clock", "versions"):
             child.kill()
             await child.wait()
@@ -324,7 +324,7 @@
             return 0.0
         begun = await self.until(self.kind, holder.token)
         if self.kind == "stop":
-            await asyncio.sleep(max(0.0, at + STOPPED * self.ttl - boot()))
+            await asyncio.sleep(max(0.0, at + STOPPED * self.ttl - boot_time()))
             child.send_signal(signal.SIGCONT)
             await asyncio.sleep(0.2 * self.ttl)
         elif self.kind in CUTS:
@@ -342,7 +342,7 @@
     async def _late_effect(self, store: Stand, holder: Line) -> float:
         """The holder's next effect is on its way, and it stands still, until another has had an effect."""
         links, child = self.links[holder.member], self.children[holder.member]
-        at, fenced, seen = boot(), await store.fenced(), len(self.tokens.seen)
+        at, fenced, seen = boot_time(), await store.fenced(), len(self.tokens.seen)
         for link in links:
             link.there.hold()
         async with asyncio.timeout(PATIENCE):
@@ -371,12 +371,12 @@
         await asyncio.sleep(max(self.away, 1.5 * self.ttl))
         for member in lost:
             await store.order("start", member)
-        at = boot()
+        at = boot_time()
         return (await self.until(self.kind, holder.token)).at - at
 
     async def _hand_over_twice(self, holder: Line) -> float:
         """All but one are told to end, one after another, at any step of their hand-overs."""
-        at = boot()
+        at = boot_time()
         leaving = [holder.member, *(name for name in self.names if name != holder.member)][:-1]
         ended = {name: self.children[name] for name in leaving}
         for child in ended.values():
--- a/gladegw/rig/measures/member.py
+++ b/gladegw/rig/measures/member.py
@@ -16,10 +16,10 @@
 
 from gladegw.control import leader_election as keepers
 from gladegw.control import member as agents
-from gladegw.control.clock import boot
-from gladegw.control.duties.base import Holding, NotHeld, Work
-from gladegw.control.member import Agent, Options
-from gladegw.control.store_cache import View
+from gladegw.control.clock import boot_time
+from gladegw.control.duties.base import DutyContext, DutyWork, NotHolderError
+from gladegw.control.member import FleetMember, StoreOptions
+from gladegw.control.store_cache import StoreCache
 from gladegw.control.store_client import addresses
 from gladegw.coordination import duty as duties
 from gladegw.coordination.records import VERSION, MemberRecord, Record, encode
@@ -72,20 +72,20 @@
     return Txn(compares, effects, (Get(key),))
 
 
-def _work(duty: str, plan: Plan, note: Callable[[Line], None], bound: Callable[[], float]) -> type[Work]:
-    class Counted(Work):
+def _work(duty: str, plan: Plan, note: Callable[[Line], None], bound: Callable[[], float]) -> type[DutyWork]:
+    class Counted(DutyWork):
         """Writes its token again and again, so that the store's history tells who acted when."""
 
         name = duty
         period = plan.period
 
-        async def step(self, holding: Holding) -> None:
-            view: View = holding.view
-            line = Line("effect", boot(), plan.name, duty, holding.token, bound())
+        async def step(self, holding: DutyContext) -> None:
+            view: StoreCache = holding.cache
+            line = Line("effect", boot_time(), plan.name, duty, holding.token, bound())
             try:
-                await holding.effect(Put(view.at.fleet(duty), str(line.token).encode()))
-            except NotHeld as fault:
-                if fault.begun:
+                await holding.effect(Put(view.keys.fleet_record(duty), str(line.token).encode()))
+            except NotHolderError as fault:
+                if fault.started:
                     note(msgspec.structs.replace(line, what="refused"))
                 raise
             note(line)
@@ -110,21 +110,21 @@
         return agent.lease.until / plan.rate if agent.lease.id else 0.0  # no lease: long ago
 
     def told(duty: str, token: int, begun: bool) -> None:
-        note(Line("begin" if begun else "end", boot(), plan.name, duty, token, bound()))
+        note(Line("begin" if begun else "end", boot_time(), plan.name, duty, token, bound()))
 
-    options = Options(addresses(plan.endpoints), plan.prefix, plan.ttl, timeout=0.5)
+    options = StoreOptions(addresses(plan.endpoints), plan.prefix, plan.ttl, timeout=0.5)
     works = [_work(duty, plan, note, bound) for duty in plan.duties]
     member = MemberRecord(name=plan.name, incarnation="", state="ready")
-    agent = Agent(options, member, works, clock=lambda: boot() * plan.rate, told=told)
+    agent = FleetMember(options, member, works, clock=lambda: boot_time() * plan.rate, on_duty_change=told)
     agent.start()
     stop = threading.Event()
     signal.signal(signal.SIGTERM, lambda *_: stop.set())
     while not stop.wait(0.01):
-        if agent.able:
-            note(Line("ready", boot(), plan.name))
+        if agent.may_claim:
+            note(Line("ready", boot_time(), plan.name))
             break
     stop.wait()
-    agent.leave()
+    agent.shut_down()
     return 0
 
 
--- a/gladegw/rig/measures/rollouts.py
+++ b/gladegw/rig/measures/rollouts.py
@@ -14,10 +14,10 @@
 from random import Random
 from typing import Any
 
-from gladegw.control.policy_proposals import Operator
+from gladegw.control.policy_proposals import PolicyOperator
 from gladegw.control.rollout_plan import Plan
-from gladegw.control.rollouts import Rollouts, last, status
-from gladegw.control.store_client import Client, addresses
+from gladegw.control.rollouts import RolloutOperator, latest, status
+from gladegw.control.store_client import StoreClient, addresses
 from gladegw.rig import process
 from gladegw.rig.errors import RigError
 from gladegw.rig.faulty_versions import HARMS as OF_PROGRAM
@@ -119,19 +119,19 @@
         await asyncio.gather(*self.running, return_exceptions=True)
 
 
-async def one(rollouts: Rollouts, plan: Plan, harm: str, number: int, callers: Callers) -> Play:
+async def one(rollouts: RolloutOperator, plan: Plan, harm: str, number: int, callers: Callers) -> Play:
     files = {} if plan.program else {"site.routes.hcl": table(f"w{number}", harm)}
     began, asked, harmed = time.monotonic(), callers.requests, callers.harmed
     record = await rollouts.start(plan, files, CONFIRM, DEADLINE, True, "rig", harm)
     baking, stopped = math.nan, math.nan
     while True:
         view = await rollouts.operator.view()
-        now = last(view)
+        now = latest(view)
         if now is not None and now.phase == "baking" and math.isnan(baking):
             baking = time.monotonic()
         if now is not None and now.phase in ("going back", "back", "stopped") and math.isnan(stopped):
             stopped = time.monotonic()
-        if view.read(view.at.rolled(record.id), type(record)) is not None:
+        if view.read(view.keys.finished_rollout(record.id), type(record)) is not None:
             break
         await asyncio.sleep(LOOK)
     over = await rollouts.outcome(record.id)
@@ -172,8 +172,8 @@
             )
             file = folder / "site.hcl"
             file.write_text(scale.block(endpoints, ttl) + blocks, encoding="utf-8")
-            client = Client(addresses(endpoints), 2.0)
-            rollouts = Rollouts(Operator(client, scale.PREFIX, patience=PATIENCE))
+            client = StoreClient(addresses(endpoints), 2.0)
+            rollouts = RolloutOperator(PolicyOperator(client, scale.PREFIX, timeout=PATIENCE))
             started: contextlib.AbstractAsyncContextManager[Sequence[Proxy]]
             troubles = seed if troubled else None
             if program:
@@ -184,7 +184,7 @@
             async with started as running:
                 callers = Callers(running, rate / proxies, seed, troubled)
                 operator = rollouts.operator
-                digest = await operator.send({"site.routes.hcl": table("old", "none")})
+                digest = await operator.upload({"site.routes.hcl": table("old", "none")})
                 change = await operator.propose(digest, DEADLINE, True, "rig", "", False)
                 result = await operator.outcome(change, DEADLINE)
                 if result.outcome != "everywhere":
--- a/gladegw/rig/measures/scale.py
+++ b/gladegw/rig/measures/scale.py
@@ -15,10 +15,10 @@
 
 from gladegw.control import fleet_status
 from gladegw.control.duties import ALL
-from gladegw.control.errors import StoreFault
+from gladegw.control.errors import StoreClientError
 from gladegw.control.keys import Keys
-from gladegw.control.policy_proposals import Operator
-from gladegw.control.store_client import Client, addresses
+from gladegw.control.policy_proposals import PolicyOperator
+from gladegw.control.store_client import StoreClient, addresses
 from gladegw.coordination.store import Get
 from gladegw.rig import process
 from gladegw.rig.errors import RigError
@@ -84,7 +84,7 @@
 class Scale:
     def __init__(self, store: Stand, members: int, ttl: int) -> None:
         self.store, self.members, self.ttl = store, members, ttl
-        self.client = Client(addresses(store.endpoints), CALL)
+        self.client = StoreClient(addresses(store.endpoints), CALL)
         self.fleet = Members()
 
     async def calls(self) -> int:
@@ -95,7 +95,7 @@
         found: dict[str, str | None] = {}
         async with asyncio.timeout(PATIENCE):
             while not found:
-                with contextlib.suppress(StoreFault):
+                with contextlib.suppress(StoreClientError):
                     view = await fleet_status.read(self.client, PREFIX)
                     holders = {duty["name"]: duty["holder"] for duty in fleet_status.duties(view)}
                     if wanted(holders, len(view.members())):
@@ -111,7 +111,7 @@
         found: dict[str, tuple[float, float]] = {}
         async with asyncio.timeout(PATIENCE):
             while found.keys() < wanted:
-                with contextlib.suppress(StoreFault):
+                with contextlib.suppress(StoreClientError):
                     if not known:
                         known, there = await self.client.get(Get(*keys.claims))
                         missing = wanted - {keys.split(kv.key)[-1] for kv in there}
@@ -137,8 +137,8 @@
 
     async def change(self, number: int, row: Row) -> None:
         """One change of policy over all of them. Raises RigError where it came to nothing."""
-        operator = Operator(self.client, PREFIX, patience=PATIENCE)
-        digest = await operator.send({"site.routes.hcl": f"{number}"})
+        operator = PolicyOperator(self.client, PREFIX, timeout=PATIENCE)
+        digest = await operator.upload({"site.routes.hcl": f"{number}"})
         began = time.monotonic()
         change = await operator.propose(digest, int(PATIENCE), True, "rig", "", False)
         result = await operator.outcome(change, int(PATIENCE))
--- a/gladegw/rig/measures/stall.py
+++ b/gladegw/rig/measures/stall.py
@@ -17,9 +17,9 @@
 
 import msgspec
 
-from gladegw.control.clock import boot
-from gladegw.control.duties.base import Holding, Work
-from gladegw.control.member import Agent, Options
+from gladegw.control.clock import boot_time
+from gladegw.control.duties.base import DutyContext, DutyWork
+from gladegw.control.member import FleetMember, StoreOptions
 from gladegw.control.store_client import addresses
 from gladegw.coordination.records import MemberRecord
 from gladegw.coordination.store import Put
@@ -54,7 +54,7 @@
     cpu: float  # share of a core
 
 
-class Beats(Work):
+class Beats(DutyWork):
     """Writes as often as it may."""
 
     name = "beat"
@@ -64,8 +64,8 @@
         self.at: list[float] = []
         self.ends = 0
 
-    async def step(self, holding: Holding) -> None:
-        await holding.effect(Put(holding.view.at.fleet(self.name), b"1"))
+    async def step(self, holding: DutyContext) -> None:
+        await holding.effect(Put(holding.cache.keys.fleet_record(self.name), b"1"))
         self.at.append(time.monotonic())
 
     def end(self) -> None:
@@ -74,8 +74,10 @@
 
 async def stalled(plan: Plan) -> Row:
     """Raises TimeoutError where it never held the duty."""
-    options = Options(addresses(plan.endpoints), PREFIX, plan.ttl, timeout=1.0)
-    agent = Agent(options, MemberRecord(name="m", incarnation="", state="ready"), [Beats], clock=boot)
+    options = StoreOptions(addresses(plan.endpoints), PREFIX, plan.ttl, timeout=1.0)
+    agent = FleetMember(
+        options, MemberRecord(name="m", incarnation="", state="ready"), [Beats], clock=boot_time
+    )
     work = agent.works[0]
     assert isinstance(work, Beats)
     if plan.thread:
@@ -111,7 +113,7 @@
         cpu=used / took,
     )
     if plan.thread:
-        agent.leave()
+        agent.shut_down()
     else:
         agent.stopping.set()
         with contextlib.suppress(asyncio.CancelledError):
--- a/gladegw/rig/simulate/judge.py
+++ b/gladegw/rig/simulate/judge.py
@@ -7,8 +7,8 @@
 from gladegw.control import policy_bundle
 from gladegw.control.duties.policy_coordinator import registered
 from gladegw.control.fleet_status import duties
-from gladegw.control.policy_participant import TICK, own
-from gladegw.control.store_cache import View
+from gladegw.control.policy_participant import EXTEND_INTERVAL_S, own_digests
+from gladegw.control.store_cache import StoreCache
 from gladegw.coordination.lease import MAX_CLOCK_DRIFT
 from gladegw.coordination.records import (
     EvidenceRecord,
@@ -26,7 +26,7 @@
 
 
 def digest_of(word: str) -> str:
-    return policy_bundle.digest_of(policy_bundle.packed(files(word))) if word else ""
+    return policy_bundle.digest_of(policy_bundle.pack(files(word))) if word else ""
 
 
 class Judge:
@@ -37,8 +37,10 @@
         self.words: dict[str, str] = {"": ""}  # by digest
         self.broken: list[str] = []
         self.looks = 0
-        stops = TTL * (1 - MAX_CLOCK_DRIFT) / min(RATES) + TICK  # of one that has agreed, or of `refuse`
-        self.bound = max(1.0 + TICK, stops) + SLACK
+        stops = (
+            TTL * (1 - MAX_CLOCK_DRIFT) / min(RATES) + EXTEND_INTERVAL_S
+        )  # of one that has agreed, or of `refuse`
+        self.bound = max(1.0 + EXTEND_INTERVAL_S, stops) + SLACK
 
     def knows(self, word: str) -> str:
         self.words[digest_of(word)] = word
@@ -51,7 +53,7 @@
     # while it runs
     def look(self) -> None:
         world, self.looks = self.world, self.looks + 1
-        held = world.cluster.model.keys.get(world.operator.keys.force)
+        held = world.cluster.model.keys.get(world.operator.keys.committed_policy)
         if held is not None and held.mod_revision != self.seen:
             self.seen = held.mod_revision
             force = decode(held.value, PolicyRecord)
@@ -76,7 +78,7 @@
 
     def right(self, force: PolicyRecord, name: str) -> set[str | None]:
         """Words that a member may serve by under it: its own part, or the others' if it went back."""
-        mine, common = own(force, name)
+        mine, common = own_digests(force, name)
         return {self.words.get(mine), self.words.get(common if common else mine)}
 
     def bound_of(self, force: PolicyRecord, later: PolicyRecord) -> float:
@@ -102,21 +104,21 @@
                 (there.discard if event.deleted else there.add)(who)
             if event.deleted:
                 continue
-            if key == keys.change:
+            if key == keys.open_change:
                 change = decode(value, PolicyChangeRecord)
-            elif key.startswith(keys.known("")):
+            elif key.startswith(keys.known_member("")):
                 known = decode(value, KnownMemberRecord)
                 (left.add if known.left else left.discard)(known.name)
-            if key == keys.fleet("counted"):
+            if key == keys.fleet_record("counted"):
                 if int(value) < token:
                     self.add(f"an effect of token {int(value)} was taken after one of {token}")
                 token = max(token, int(value))
-            elif key == keys.weighed:
+            elif key == keys.rollout_evidence:
                 told = decode(value, EvidenceRecord)
                 weighed[told.rollout] = told
-            elif key == keys.rollout or key.startswith(keys.rolled("")):
+            elif key == keys.rollout or key.startswith(keys.finished_rollout("")):
                 self._rollout(decode(value, RolloutRecord), weighed, stages, over)
-            elif key == keys.force:
+            elif key == keys.committed_policy:
                 force = decode(value, PolicyRecord)
                 if force.epoch != epoch + 1:
                     self.add(f"epoch {force.epoch} stands after {epoch}")
@@ -165,16 +167,16 @@
     def settled(self, wanted: Iterable[str]) -> list[str]:
         """What has not come about, though nothing fails any more."""
         world, keys, missing = self.world, self.world.operator.keys, []
-        view = View(keys)
-        for part in (keys.live, keys.told):
-            view.whole(part, world.cluster.model.revision, world.cluster.model.get(Get(*part)))
+        view = StoreCache(keys)
+        for part in (keys.live, keys.reported):
+            view.load_snapshot(part, world.cluster.model.revision, world.cluster.model.get(Get(*part)))
         live = {f"{one.name}#i{one.life}": one for one in world.processes.values()}
         if registered(view) != live.keys():
             missing.append(f"registered: {sorted(registered(view))}")
         held = {duty["name"]: duty["holder"] for duty in duties(view)}
         missing += [f"nobody holds {duty}" for duty in wanted if not held.get(duty)]
-        for key, what in ((keys.change, "a change is open"), (keys.rollout, "a rollout is under way")):
-            if key in view.keys:
+        for key, what in ((keys.open_change, "a change is open"), (keys.rollout, "a rollout is under way")):
+            if key in view.entries:
                 missing.append(what)
         newest = max(self.decided)
         for process in world.processes.values():
--- a/gladegw/rig/simulate/outages.py
+++ b/gladegw/rig/simulate/outages.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from gladegw.control.errors import StoreFault
+from gladegw.control.errors import StoreClientError
 from gladegw.coordination.store import within
 from gladegw.rig.simulate.judge import Judge
 from gladegw.rig.simulate.parallel_runs import WITHIN, child, in_turn
@@ -67,8 +67,8 @@
     """Whether the change is at this point, by what stands in the store."""
     keys, model = world.operator.keys, world.cluster.model
     if phase == "decided":
-        return model.keys[keys.force].version > 1
-    change = model.keys.get(keys.change)
+        return model.keys[keys.committed_policy].version > 1
+    change = model.keys.get(keys.open_change)
     if change is None:
         return False
     cast = sum(
@@ -102,7 +102,7 @@
         cluster.up(member)
     back = loop.now
     if changing is not None:
-        with contextlib.suppress(StoreFault):
+        with contextlib.suppress(StoreClientError):
             found.outcome = await changing
     await asyncio.sleep(max(0.0, back + SETTLE - loop.now))
     found.wrong = judge.settled(DUTIES)
--- a/gladegw/rig/simulate/scenario_run.py
+++ b/gladegw/rig/simulate/scenario_run.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from gladegw.control.errors import StoreFault
+from gladegw.control.errors import StoreClientError
 from gladegw.control.rollout_plan import Plan
 from gladegw.coordination.records import RolloutRecord
 from gladegw.rig.simulate.judge import Judge
@@ -55,10 +55,10 @@
     async def changed(self, word: str, dry: bool = False) -> str:
         operator, everyone = self.world.operator, self.world.when_cut_off == "serve"
         try:
-            digest = await operator.send(files(self.judge.knows(word)))
+            digest = await operator.upload(files(self.judge.knows(word)))
             change = await operator.propose(digest, DEADLINE, everyone, "rig", word, dry)
             outcome = (await operator.outcome(change, DEADLINE)).outcome
-        except (StoreFault, ValueError) as fault:
+        except (StoreClientError, ValueError) as fault:
             outcome = "refused" if isinstance(fault, ValueError) else "unknown"
         self.found.changes[outcome] = self.found.changes.get(outcome, 0) + 1
         return outcome
@@ -75,8 +75,8 @@
             elif what == "call off":
                 calling = asyncio.ensure_future(self.changed(word))
                 await asyncio.sleep(self.draws.uniform(0.0, 0.3))
-                with contextlib.suppress(StoreFault):
-                    await self.world.operator.call_off("rig")
+                with contextlib.suppress(StoreClientError):
+                    await self.world.operator.cancel("rig")
                 await calling
             else:
                 await self.changed(word + (BROKEN if what == "broken" else ""), what == "dry")
@@ -87,7 +87,7 @@
         try:
             bundle = files(self.judge.knows(word))
             record = await rollouts.start(PLAN, bundle, CONFIRM, DEADLINE, everyone, "rig", word)
-        except (StoreFault, ValueError):
+        except (StoreClientError, ValueError):
             return
         course: list[Callable[[], Awaitable[RolloutRecord]]] = []
         if self.draws.random() < 0.3:
@@ -99,15 +99,15 @@
             course = self.draws.choice(courses)
         for ask in course:
             await asyncio.sleep(self.draws.uniform(0.0, 30.0))
-            with contextlib.suppress(StoreFault, ValueError):
+            with contextlib.suppress(StoreClientError, ValueError):
                 await ask()
         state = "unknown"
-        with contextlib.suppress(StoreFault, TimeoutError):
+        with contextlib.suppress(StoreClientError, TimeoutError):
             async with asyncio.timeout(ROLLOUT):
                 state = (await rollouts.outcome(record.id)).phase
         if state == "stopped":  # what it has left in force
             await asyncio.sleep(self.draws.uniform(0.0, 3 * CONFIRM))
-            with contextlib.suppress(StoreFault, ValueError):
+            with contextlib.suppress(StoreClientError, ValueError):
                 await rollouts.stop("rig", True)
         kind = f"{'bad' if BAD in word else 'good'}: {state}"
         self.found.rollouts[kind] = self.found.rollouts.get(kind, 0) + 1
@@ -168,10 +168,10 @@
         other = self.draws.choice([one for one in world.names if one != name])
 
         def opened() -> bool:
-            return keys.change in model.keys
+            return keys.open_change in model.keys
 
         def voted() -> bool:
-            change = model.keys.get(keys.change)
+            change = model.keys.get(keys.open_change)
             vote = model.keys.get(keys.vote(name, f"i{victim.life}"))
             return change is not None and vote is not None and vote.mod_revision > change.create_revision
 
@@ -274,7 +274,7 @@
 
     async def taken_back(self) -> None:
         """A stage that a stop has left in force: members have gone back by themselves."""
-        with contextlib.suppress(StoreFault, ValueError):
+        with contextlib.suppress(StoreClientError, ValueError):
             await self.world.rollouts.stop("rig", True)
         await asyncio.sleep(10.0)
 
--- a/gladegw/rig/simulate/seeded_defects.py
+++ b/gladegw/rig/simulate/seeded_defects.py
@@ -12,7 +12,7 @@
 
 from gladegw.control import policy_participant as members
 from gladegw.control.duties import policy_coordinator as deciding
-from gladegw.control.leader_election import Keeper
+from gladegw.control.leader_election import LeaderElection
 from gladegw.coordination import canary_analysis
 from gladegw.coordination import duty as duties
 from gladegw.coordination import lease as leases
@@ -49,12 +49,12 @@
 
 
 def _no_compares(put: Put) -> None:
-    real = Keeper.effect
+    real = LeaderElection.effect
 
-    async def effect(self: Keeper, *operations: Operation, compares: Any = ()) -> TxnResult:
+    async def effect(self: LeaderElection, *operations: Operation, compares: Any = ()) -> TxnResult:
         return await real(self, *operations)
 
-    put(Keeper, "effect", effect)
+    put(LeaderElection, "effect", effect)
 
 
 def _no_bound(put: Put) -> None:
@@ -62,13 +62,13 @@
 
 
 def _early(put: Put) -> None:
-    real = members.Policies._word
+    real = members.PolicyParticipant._apply_store_state
 
-    def word(self: members.Policies, *told: Any) -> None:
-        self.member = dataclasses.replace(self.member, joined=True)
+    def apply(self: members.PolicyParticipant, *told: Any) -> None:
+        self.state = dataclasses.replace(self.state, joined=True)
         real(self, *told)
 
-    put(members.Policies, "_word", word)
+    put(members.PolicyParticipant, "_apply_store_state", apply)
 
 
 def _no_doubt(put: Put) -> None:
@@ -89,7 +89,7 @@
 
 
 def _any_votes(put: Put) -> None:
-    put(deciding, "as_cast", lambda view, cast: ())
+    put(deciding, "votes_unchanged", lambda view, cast: ())
 
 
 DEFECTS: dict[str, Defect] = {
--- a/gladegw/rig/simulate/wire.py
+++ b/gladegw/rig/simulate/wire.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Any, TypeVar
 
-from gladegw.control.errors import RefusedByStore, Unreachable, WatchLost
+from gladegw.control.errors import StoreRejectedError, StoreUnreachableError, WatchLostError
 from gladegw.coordination.store import (
     CompactedError,
     Get,
@@ -102,9 +102,9 @@
                 await self.cluster.heard()
                 result = await ask(member)
             except NotNow as problem:
-                fault = Unreachable(str(problem))
+                fault = StoreUnreachableError(str(problem))
             except StoreError as problem:
-                fault = RefusedByStore(str(problem))
+                fault = StoreRejectedError(str(problem))
             await self.net.passed(self.name, "back")
             if not answer.done():
                 answer.set_result((result, fault))
@@ -116,8 +116,8 @@
             async with asyncio.timeout(self.timeout):
                 result, fault = await answer
         except TimeoutError:
-            result, fault = None, Unreachable("no answer in time")
-        if isinstance(fault, Unreachable) and at == self.at:
+            result, fault = None, StoreUnreachableError("no answer in time")
+        if isinstance(fault, StoreUnreachableError) and at == self.at:
             self.elsewhere()
         if fault is not None:
             raise fault
@@ -180,14 +180,14 @@
         try:
             while True:
                 if bell not in machine.watches or not machine.up:
-                    raise WatchLost("it ended")
+                    raise WatchLostError("it ended")
                 bell.clear()
                 until = self.cluster.seen(member)
                 if watch.next <= until:
                     try:
                         found = self.cluster.model.since(watch.next, key, end)
                     except CompactedError as fault:
-                        raise WatchLost(str(fault), True) from None
+                        raise WatchLostError(str(fault), True) from None
                     watch.next = until + 1
                     told = [event for event in found if event.kv.mod_revision <= until]
                     if told:
@@ -196,7 +196,7 @@
                                 await self.net.passed(self.name, "back")
                         except TimeoutError:
                             self.elsewhere()
-                            raise WatchLost("it fell silent") from None
+                            raise WatchLostError("it fell silent") from None
                         quiet = 0.0
                         yield until, told
                     continue
@@ -209,6 +209,6 @@
                         quiet = 0.0  # it was asked, and has answered
                     elif quiet >= silence:
                         self.elsewhere()
-                        raise WatchLost("it fell silent") from None
+                        raise WatchLostError("it fell silent") from None
         finally:
             machine.watches.pop(bell, None)
--- a/gladegw/rig/simulate/world.py
+++ b/gladegw/rig/simulate/world.py
@@ -15,15 +15,15 @@
 import msgspec
 
 from gladegw.control.duties import ALL
-from gladegw.control.duties.base import Holding, NotHeld, Work
-from gladegw.control.duties.bundle_collection import Bundles
-from gladegw.control.duties.policy_coordinator import Decide
-from gladegw.control.duties.rollout_controller import Conduct
-from gladegw.control.errors import StoreFault
-from gladegw.control.member import Agent, Options
-from gladegw.control.policy_participant import Carrier
-from gladegw.control.policy_proposals import Operator
-from gladegw.control.rollouts import Rollouts
+from gladegw.control.duties.base import DutyContext, DutyWork, NotHolderError
+from gladegw.control.duties.bundle_collection import BundleCollection
+from gladegw.control.duties.policy_coordinator import PolicyCoordinator
+from gladegw.control.duties.rollout_controller import RolloutController
+from gladegw.control.errors import StoreClientError
+from gladegw.control.member import FleetMember, StoreOptions
+from gladegw.control.policy_participant import ServingHost
+from gladegw.control.policy_proposals import PolicyOperator
+from gladegw.control.rollouts import RolloutOperator
 from gladegw.coordination.records import MemberMetricsRecord, MemberRecord
 from gladegw.coordination.serving_lease import ServingLease
 from gladegw.coordination.store import Put
@@ -66,7 +66,7 @@
     life: int
     rate: float
     loop: VirtualLoop
-    agent: Agent = field(init=False)
+    agent: FleetMember = field(init=False)
     gate: ServingLease = field(init=False)
     task: asyncio.Task[None] = field(init=False)
     epoch: int = -1
@@ -121,8 +121,8 @@
         self.taken: list[Taken] = []
         self.holders: dict[str, Holders] = {}  # by duty
         self.told: list[tuple[float, str]] = []  # what happened, for people
-        self.operator = Operator(self.wire("operator", 2.0), PREFIX, patience=5.0)  # type: ignore[arg-type]
-        self.rollouts = Rollouts(self.operator)
+        self.operator = PolicyOperator(self.wire("operator", 2.0), PREFIX, timeout=5.0)  # type: ignore[arg-type]
+        self.rollouts = RolloutOperator(self.operator)
 
     def note(self, what: str) -> None:
         self.told.append((self.loop.now, what))
@@ -145,18 +145,24 @@
 
     def _made(self, process: Process, zone: str) -> None:
         process.gate = ServingLease(process.clock)
-        options = Options((("store", 1),), PREFIX, TTL, TIMEOUT)
+        options = StoreOptions((("store", 1),), PREFIX, TTL, TIMEOUT)
         member = MemberRecord(name=process.name, incarnation=f"i{process.life}", zone=zone, state="ready")
-        works: list[type[Work]] = [*ALL, Decide, Bundles, Conduct, self._counted(process)]
+        works: list[type[DutyWork]] = [
+            *ALL,
+            PolicyCoordinator,
+            BundleCollection,
+            RolloutController,
+            self._counted(process),
+        ]
 
         def told(duty: str, token: int, begun: bool) -> None:
             self.judged(self.line(process, "begin" if begun else "end", duty, token))
 
-        agent = process.agent = Agent(
+        agent = process.agent = FleetMember(
             options, member, works, process.figures, process.clock, told, self._carrier(process)
         )
-        agent.draws = Random(f"{process.id}")
-        agent.client, agent.watcher = self.wire(process.name), self.wire(process.name)  # type: ignore[assignment]
+        agent.random = Random(f"{process.id}")
+        agent.client, agent.watch_client = self.wire(process.name), self.wire(process.name)  # type: ignore[assignment]
 
     def line(self, process: Process, what: str, duty: str, token: int) -> Line:
         """By true time: the process's bound is one of its own clock."""
@@ -167,30 +173,30 @@
     def judged(self, line: Line) -> None:
         self.holders.setdefault(line.duty, Holders()).line(line)
 
-    def _counted(self, process: Process) -> type[Work]:
+    def _counted(self, process: Process) -> type[DutyWork]:
         world = self
 
-        class Counted(Work):
+        class Counted(DutyWork):
             name = "counted"
             period = EFFECTS
 
-            async def step(self, holding: Holding) -> None:
+            async def step(self, holding: DutyContext) -> None:
                 token = holding.token
                 line = world.line(process, "effect", "counted", token)
                 try:
-                    await holding.effect(Put(holding.view.at.fleet("counted"), str(token).encode()))
-                except NotHeld as fault:
-                    if fault.begun:
+                    await holding.effect(Put(holding.cache.keys.fleet_record("counted"), str(token).encode()))
+                except NotHolderError as fault:
+                    if fault.started:
                         world.judged(msgspec.structs.replace(line, what="refused"))
                     raise
-                except (StoreFault, asyncio.CancelledError):  # it was sent, and may have been taken
+                except (StoreClientError, asyncio.CancelledError):  # it was sent, and may have been taken
                     world.judged(line)
                     raise
                 world.judged(line)
 
         return Counted
 
-    def _carrier(self, process: Process) -> Carrier:
+    def _carrier(self, process: Process) -> ServingHost:
         def prepare(found: Mapping[str, str]) -> str:
             word = found["site.routes.hcl"]
             if BROKEN in word and self.names.index(process.name) == 0:
@@ -204,7 +210,7 @@
             self.taken.append(Taken(self.loop.now, process.id, epoch, process.word))
             done()
 
-        return Carrier(prepare, take, process.gate, self.when_cut_off)
+        return ServingHost(prepare, take, process.gate, self.when_cut_off)
 
     def serving(self) -> list[Process]:
         """Who would answer a request now."""
--- a/gladegw/rig/store/server.py
+++ b/gladegw/rig/store/server.py
@@ -125,7 +125,7 @@
 def range_answer(asked: Any, header: Any, found: tuple[KeyValue, ...]) -> Any:
     pairs = sorted_pairs(asked, found)
     count, shown = len(pairs), pairs[: asked.limit] if asked.limit else pairs
-    told = [] if asked.count_only else [store_messages.pair_message(kv, asked.keys_only) for kv in shown]
+    told = [] if asked.count_only else [store_messages.key_value_message(kv, asked.keys_only) for kv in shown]
     return pb.RangeResponse(header=header, kvs=told, more=len(shown) < count, count=count)
 
 
@@ -152,7 +152,7 @@
             before = self.front.cluster.model.keys.get(asked.key)
             put = Put(asked.key, asked.value, asked.lease)
             done = await self.front.write(Txn((), (put,)))
-        prev = store_messages.pair_message(before) if asked.prev_kv and before is not None else None
+        prev = store_messages.key_value_message(before) if asked.prev_kv and before is not None else None
         await stream.send_message(pb.PutResponse(header=self.front.header(done.revision), prev_kv=prev))
 
     async def DeleteRange(self, stream: Any) -> None:
@@ -160,7 +160,7 @@
         with answered():
             delete = Delete(asked.key, asked.range_end)
             done = await self.front.write(Txn((), (delete,)))
-        prev = [store_messages.pair_message(kv) for kv in done.found[0]] if asked.prev_kv else []
+        prev = [store_messages.key_value_message(kv) for kv in done.found[0]] if asked.prev_kv else []
         header = self.front.header(done.revision)
         answer = pb.DeleteRangeResponse(header=header, deleted=len(done.found[0]), prev_kvs=prev)
         await stream.send_message(answer)
@@ -183,7 +183,7 @@
         if kind == "request_put":
             return pb.ResponseOp(response_put=pb.PutResponse(header=header))
         prev = operation.request_delete_range.prev_kv
-        told = [store_messages.pair_message(kv) for kv in found] if prev else []
+        told = [store_messages.key_value_message(kv) for kv in found] if prev else []
         answer = pb.DeleteRangeResponse(header=header, deleted=len(found), prev_kvs=told)
         return pb.ResponseOp(response_delete_range=answer)
 
@@ -283,8 +283,8 @@
         before = event.before if self.create.prev_kv else None
         return pb.Event(
             type=pb.Event.DELETE if event.deleted else pb.Event.PUT,
-            kv=store_messages.pair_message(event.kv),
-            prev_kv=store_messages.pair_message(before) if before is not None else None,
+            kv=store_messages.key_value_message(event.kv),
+            prev_kv=store_messages.key_value_message(before) if before is not None else None,
         )
 
 
--- a/gladegw/supervisor/processes.py
+++ b/gladegw/supervisor/processes.py
@@ -17,14 +17,14 @@
 
 from gladegw.coordination.supervision import ProcessStatus
 
-PATIENCE = 1.0  # s for an answer
-LEAST_ENDED = 20  # requests, below which the share that failed says nothing
-FULL = 0.95  # of the memory that the proxy may use
-AGAIN = 0.05  # s until a call that was not answered is made again
-SILENT = 3.0  # s without any answer, after which a new process does badly
+COMMAND_TIMEOUT_S = 1.0  # s for an answer
+MIN_ENDED_REQUESTS = 20  # requests, below which the share that failed says nothing
+MAX_MEMORY_FRACTION = 0.95  # of the memory that the proxy may use
+RETRY_INTERVAL_S = 0.05  # s until a call that was not answered is made again
+MAX_SILENCE_S = 3.0  # s without any answer, after which a new process does badly
 
 
-class Kept(msgspec.Struct, frozen=True):
+class ProcessHandle(msgspec.Struct, frozen=True):
     """What the next supervisor needs to find a process again; `ticks`: its start, as the system tells it."""
 
     version: str
@@ -33,7 +33,7 @@
     admin: str
 
 
-def started(pid: int) -> int:
+def start_ticks(pid: int) -> int:
     """The time of a process's start, in the system's ticks; 0: there is none, or it is a zombie."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text(errors="replace").rsplit(")", 1)[1].split()
@@ -49,8 +49,8 @@
 
 
 class Process:
-    def __init__(self, kept: Kept, pidfd: int, child: subprocess.Popen[bytes] | None) -> None:
-        self.kept, self.pidfd, self.child = kept, pidfd, child
+    def __init__(self, handle: ProcessHandle, pidfd: int, child: subprocess.Popen[bytes] | None) -> None:
+        self.handle, self.pidfd, self.child = handle, pidfd, child
         self.ready = False
         self.answered = 0.0  # when it last said anything, s
         self.first: dict[str, int] | None = None  # its counts when it was ready first
@@ -65,17 +65,19 @@
         child = subprocess.Popen(
             ["/bin/sh", "-c", run], cwd=folder, env=told, stdin=subprocess.DEVNULL, start_new_session=True
         )
-        made = cls(Kept(version, child.pid, started(child.pid), admin), os.pidfd_open(child.pid), child)
+        made = cls(
+            ProcessHandle(version, child.pid, start_ticks(child.pid), admin), os.pidfd_open(child.pid), child
+        )
         made.answered = now
         return made
 
     @classmethod
-    def found(cls, kept: Kept, now: float) -> Process | None:
+    def attach(cls, handle: ProcessHandle, now: float) -> Process | None:
         """One that another supervisor has begun, if it is still there."""
         with contextlib.suppress(OSError):
-            pidfd = os.pidfd_open(kept.pid)
-            if kept.ticks and started(kept.pid) == kept.ticks:
-                made = cls(kept, pidfd, None)
+            pidfd = os.pidfd_open(handle.pid)
+            if handle.ticks and start_ticks(handle.pid) == handle.ticks:
+                made = cls(handle, pidfd, None)
                 made.answered = now
                 return made
             os.close(pidfd)
@@ -105,25 +107,25 @@
             return f"it was ended by signal {-self.code}"
         return f"it ended with exit code {self.code}"
 
-    async def told(self, call: bytes) -> None:
+    async def send_command(self, call: bytes) -> None:
         """An operators' call, until it is answered or the process is gone."""
-        while self.alive and not (await asked(self.kept.admin, call)).startswith(b"SUCCESS"):
-            await asyncio.sleep(AGAIN)
+        while self.alive and not (await send_commands(self.handle.admin, call)).startswith(b"SUCCESS"):
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
     # what it says
-    async def look(self, listen: tuple[str, int] | None, now: float) -> None:
+    async def poll(self, listen: tuple[str, int] | None, now: float) -> None:
         """`listen`: the clients' address, where it is this one that answers there."""
-        said = await asked(self.kept.admin, b"PING\n")
+        said = await send_commands(self.handle.admin, b"PING\n")
         ready = said.startswith(b"SUCCESS")
         if said:
             self.answered = now
         if listen is not None and ready:
-            answer = await asked(
+            answer = await send_commands(
                 "{}:{}".format(*listen), b"GET /healthz HTTP/1.1\r\nHost: x\r\n" b"Connection: close\r\n\r\n"
             )
             ready = b" 200 " in answer.partition(b"\r\n")[0]
         self.ready = ready
-        told = (await asked(self.kept.admin, b"INFO\n")).decode("ascii", "replace")
+        told = (await send_commands(self.handle.admin, b"INFO\n")).decode("ascii", "replace")
         counts: dict[str, int] = {}
         for line in told.splitlines():
             name, _, value = line.partition("=")
@@ -145,29 +147,31 @@
         first = self.first or {} if since_ready else {}
         return sum(self.last.get(end, 0) - first.get(end, 0) for end in ("passed", "bad_gateway"))
 
-    def bad(self, before: Process | None, most_failed: float, silent: float, memory: int, now: float) -> str:
+    def failure(
+        self, before: Process | None, most_failed: float, silent: float, memory: int, now: float
+    ) -> str:
         """Why it must not go on; `before`: who serves beside it, `silent`: s without an answer."""
         if now > self.answered + silent:
             return f"no answer to operators for {silent:g} s"
-        used = resident(self.kept.pid)
+        used = resident_bytes(self.handle.pid)
         if before is None:
             return ""
-        if used > FULL * memory > 0:
+        if used > MAX_MEMORY_FRACTION * memory > 0:
             return f"{used >> 20} of {memory >> 20} MiB are in use"
         failed, ended = self.failed(True)
         usual = before.failed(False)
         share = usual[0] / usual[1] if usual[1] else 0.0
-        if ended >= LEAST_ENDED and failed / ended > share + most_failed:
+        if ended >= MIN_ENDED_REQUESTS and failed / ended > share + most_failed:
             return f"{failed} of {ended} requests failed, {100 * share:.1f}% before it"
         return ""
 
-    def thin(self, before: Process | None) -> bool:
+    def has_too_few_requests(self, before: Process | None) -> bool:
         """Whether too few requests came to an answer here to tell how many fail, where the one before had
         enough. Those that were refused tell nothing of that."""
-        asked = before is not None and before.answered_by(False) >= LEAST_ENDED
-        return asked and self.answered_by(True) < LEAST_ENDED
+        asked = before is not None and before.answered_by(False) >= MIN_ENDED_REQUESTS
+        return asked and self.answered_by(True) < MIN_ENDED_REQUESTS
 
-    def seen(self, bad: str = "", thin: bool = False) -> ProcessStatus:
+    def status(self, bad: str = "", thin: bool = False) -> ProcessStatus:
         return (
             ProcessStatus(True, self.ready, bad, insufficient_traffic=thin)
             if self.alive
@@ -175,7 +179,7 @@
         )
 
 
-def resident(pid: int) -> int:
+def resident_bytes(pid: int) -> int:
     """Bytes in memory; 0 where the system does not tell."""
     try:
         pages = int(Path(f"/proc/{pid}/statm").read_text(encoding="ascii").split()[1])
@@ -184,12 +188,12 @@
         return 0
 
 
-async def asked(address: str, words: bytes) -> bytes:
+async def send_commands(address: str, words: bytes) -> bytes:
     """Whatever comes until the other side closes, in PATIENCE s; empty where nothing does."""
     host, _, port = address.rpartition(":")
     writer = None
     try:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(COMMAND_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(words)
             return await reader.read()
--- a/gladegw/supervisor/settings.py
+++ b/gladegw/supervisor/settings.py
@@ -35,7 +35,7 @@
     programs: dict[str, Program] = {}
 
     @property
-    def bounds(self) -> Timeouts:
+    def timeouts(self) -> Timeouts:
         return Timeouts(self.ready_s, self.prove_s, self.drain_s)
 
 
@@ -46,7 +46,7 @@
     "hang_s": (1, 3600),
     "most_failed": (0, 1),
 }
-SHAPE = re.compile(r"[A-Za-z0-9][A-Za-z0-9._+-]{0,63}")
+VERSION_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._+-]{0,63}")
 
 
 def read(path: str) -> Settings:
@@ -66,7 +66,7 @@
     for block in blocks:
         at = f"{path}:{block.line}"
         if block.name == "program":
-            if not SHAPE.fullmatch(block.label or ""):
+            if not VERSION_PATTERN.fullmatch(block.label or ""):
                 raise ConfigError(f"{at}: a program is named by its version: letters, digits, . _ + -")
             if block.label in programs:
                 raise ConfigError(f"{at}: program {block.label} stands twice")
