--- a/tests/control/test_bundles.py
+++ b/tests/control/test_bundles.py
@@ -9,9 +9,9 @@
 
 from gladegw.control.duties import bundle_collection
 from gladegw.control.duties import policy_coordinator as deciding
-from gladegw.control.duties.bundle_collection import OUTCOMES, UNNAMED, Bundles
+from gladegw.control.duties.bundle_collection import MAX_OUTCOMES, UNREFERENCED_GRACE_S, BundleCollection
 from gladegw.control.keys import Keys
-from gladegw.control.store_cache import View
+from gladegw.control.store_cache import StoreCache
 from gladegw.coordination.records import (
     ChangeOutcomeRecord,
     MemberRecord,
@@ -50,9 +50,9 @@
         self.model, self.at = InMemoryStore(), Keys("/x")
 
     @property
-    def view(self) -> View:
-        view = View(self.at)
-        view.whole(self.at.all, self.model.revision, self.model.get(Get(*self.at.all)))
+    def view(self) -> StoreCache:
+        view = StoreCache(self.at)
+        view.load_snapshot(self.at.all, self.model.revision, self.model.get(Get(*self.at.all)))
         return view
 
     def put(self, key: bytes, record: Record | bytes) -> None:
@@ -73,21 +73,21 @@
 
 def test_a_bundle_goes_once_nothing_has_named_it_for_an_hour(monkeypatch: pytest.MonkeyPatch) -> None:
     now = 1000.0
-    monkeypatch.setattr(bundle_collection, "boot", lambda: now)
-    held, duty = Held(), Bundles()
+    monkeypatch.setattr(bundle_collection, "boot_time", lambda: now)
+    held, duty = Held(), BundleCollection()
     for digest in ("force", "stage", "past", "change", "o", "n", "old", "fresh"):
-        held.put(held.at.piece(digest, 0), b"1")
-        held.put(held.at.piece(digest, 1), b"2")
-    held.put(held.at.force, PolicyRecord(epoch=2, digest="force", new="stage", named=("a",)))
+        held.put(held.at.bundle_chunk(digest, 0), b"1")
+        held.put(held.at.bundle_chunk(digest, 1), b"2")
+    held.put(held.at.committed_policy, PolicyRecord(epoch=2, digest="force", new="stage", named=("a",)))
     held.put(held.at.history(1), PolicyRecord(epoch=1, digest="past"))
-    held.put(held.at.change, PolicyChangeRecord(id="c", epoch=3, digest="change"))
+    held.put(held.at.open_change, PolicyChangeRecord(id="c", epoch=3, digest="change"))
     held.put(held.at.rollout, ROLLOUT)
     asyncio.run(duty.step(held))
-    now += UNNAMED - 1
-    held.put(held.at.force, PolicyRecord(epoch=3, digest="fresh"))  # named meanwhile, and no more
+    now += UNREFERENCED_GRACE_S - 1
+    held.put(held.at.committed_policy, PolicyRecord(epoch=3, digest="fresh"))  # named meanwhile, and no more
     asyncio.run(duty.step(held))
     assert held.there() == {"force", "stage", "past", "change", "o", "n", "old", "fresh"}
-    held.put(held.at.force, PolicyRecord(epoch=4, digest="force", new="stage"))
+    held.put(held.at.committed_policy, PolicyRecord(epoch=4, digest="force", new="stage"))
     now += 1
     asyncio.run(duty.step(held))
     assert held.there() == {"force", "stage", "past", "change", "o", "n", "fresh"}
@@ -95,56 +95,57 @@
 
 def test_nothing_goes_where_a_change_was_opened_since(monkeypatch: pytest.MonkeyPatch) -> None:
     now = 1000.0
-    monkeypatch.setattr(bundle_collection, "boot", lambda: now)
-    held, duty = Held(), Bundles()
-    held.put(held.at.piece("old", 0), b"1")
+    monkeypatch.setattr(bundle_collection, "boot_time", lambda: now)
+    held, duty = Held(), BundleCollection()
+    held.put(held.at.bundle_chunk("old", 0), b"1")
     asyncio.run(duty.step(held))
-    now += UNNAMED
+    now += UNREFERENCED_GRACE_S
     real = held.names
 
     async def names(first: bytes, end: bytes) -> list[bytes]:
         found = await real(first, end)
         view = held.view
-        monkeypatch.setattr(Held, "view", property(lambda self: view))  # what is known of the store is older
-        held.put(held.at.change, PolicyChangeRecord(id="c", epoch=1, digest="old"))
+        monkeypatch.setattr(Held, "cache", property(lambda self: view))  # what is known of the store is older
+        held.put(held.at.open_change, PolicyChangeRecord(id="c", epoch=1, digest="old"))
         return found
 
     held.names = names  # type: ignore[method-assign]
     view = held.view
-    monkeypatch.setattr(Held, "view", property(lambda self: view))
+    monkeypatch.setattr(Held, "cache", property(lambda self: view))
     asyncio.run(duty.step(held))
     assert held.there() == {"old"}
 
 
 def test_outcomes_are_bounded() -> None:
     held: Any = Held()
-    for number in range(OUTCOMES + 5):
+    for number in range(MAX_OUTCOMES + 5):
         ended = ChangeOutcomeRecord(id=f"{number}", epoch=1, digest="d", outcome="nowhere", at=float(number))
         held.put(held.at.ended(f"{number}"), ended)
-    asyncio.run(Bundles().step(held))
+    asyncio.run(BundleCollection().step(held))
     left = [ended.id for _, ended in held.view.records("policy", "ended", form=ChangeOutcomeRecord)]
-    assert len(left) == OUTCOMES and "4" not in left and "5" in left
+    assert len(left) == MAX_OUTCOMES and "4" not in left and "5" in left
 
 
 @pytest.mark.parametrize("planted", [False, True])
 def test_a_vote_that_ended_meanwhile_decides_nothing(planted: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     """Found by a simulated outage: the voter's lease was given back while the decision was on its way."""
     if planted:
-        monkeypatch.setattr(deciding, "as_cast", lambda view, cast: ())
+        monkeypatch.setattr(deciding, "votes_unchanged", lambda view, cast: ())
     held, at = Held(), Keys("/x")
-    held.put(at.force, PolicyRecord(epoch=1, digest="old"))
+    held.put(at.committed_policy, PolicyRecord(epoch=1, digest="old"))
     for name in ("a", "b"):
         held.put(at.member(name, "i"), MemberRecord(name=name, incarnation="i"))
     held.put(
-        at.change, PolicyChangeRecord(id="c", epoch=2, digest="new", members=("a#i", "b#i"), everyone=False)
+        at.open_change,
+        PolicyChangeRecord(id="c", epoch=2, digest="new", members=("a#i", "b#i"), everyone=False),
     )
-    change = held.model.keys[at.change].create_revision
+    change = held.model.keys[at.open_change].create_revision
     for name in ("a", "b"):
         held.put(at.vote(name, "i"), VoteRecord(change=change, digest="new", yes=True))
     view = held.view
     held.model.txn(Txn((), (Delete(at.vote("b", "i")), Delete(at.member("b", "i")))))
-    monkeypatch.setattr(Held, "view", property(lambda self: view))  # what is known of the store is older
-    monkeypatch.setattr(deciding, "LOOK", 0.0)
-    asyncio.run(deciding.Decide().step(held))
-    assert (at.change in held.model.keys) is not planted
-    assert decode(held.model.keys[at.force].value, PolicyRecord).epoch == (2 if planted else 1)
+    monkeypatch.setattr(Held, "cache", property(lambda self: view))  # what is known of the store is older
+    monkeypatch.setattr(deciding, "POLL_INTERVAL_S", 0.0)
+    asyncio.run(deciding.PolicyCoordinator().step(held))
+    assert (at.open_change in held.model.keys) is not planted
+    assert decode(held.model.keys[at.committed_policy].value, PolicyRecord).epoch == (2 if planted else 1)
--- a/tests/control/test_fleet.py
+++ b/tests/control/test_fleet.py
@@ -16,7 +16,7 @@
 from support.fleet import TTL, all_held, config_file, held_by, served, store
 from support.loopback import ROOT, Backend, free_address, proxy, run
 
-from gladegw.limits.descriptor_budget import AGENT_OWN
+from gladegw.limits.descriptor_budget import FLEET_MEMBER_DESCRIPTORS
 from gladegw.rig.faults.links import Link
 
 
@@ -195,7 +195,7 @@
         ):
             await at.duties(held_by("p1"))
             held = [len(list(Path(f"/proc/{one.process.pid}/fd").iterdir())) for one in (alone, node)]
-            assert 0 < held[1] - held[0] <= AGENT_OWN
+            assert 0 < held[1] - held[0] <= FLEET_MEMBER_DESCRIPTORS
 
     run(test())
 
--- a/tests/control/test_leader_election.py
+++ b/tests/control/test_leader_election.py
@@ -8,25 +8,27 @@
 
 import pytest
 
-from gladegw.control.duties.base import Holding, NotHeld, Work
-from gladegw.control.errors import Unreachable
+from gladegw.control.duties.base import DutyContext, DutyWork, NotHolderError
+from gladegw.control.errors import StoreUnreachableError
 from gladegw.control.keys import Keys
-from gladegw.control.leader_election import AGAIN, Keeper
-from gladegw.control.store_cache import View
+from gladegw.control.leader_election import RETRY_INTERVAL_S, LeaderElection
+from gladegw.control.store_cache import StoreCache
 from gladegw.coordination.duty import Duty, Phase
 from gladegw.rig.simulate.loop import virtual
 
 
-@pytest.mark.parametrize("fault", [Unreachable("gone"), NotHeld("fails"), ValueError("planted")])
+@pytest.mark.parametrize(
+    "fault", [StoreUnreachableError("gone"), NotHolderError("fails"), ValueError("planted")]
+)
 def test_a_step_that_fails_at_once_is_not_made_again_at_once(fault: Exception) -> None:
     """Found by a simulated course: a holder at the very end of its bound asked on, and no time passed."""
     steps: list[float] = []
 
-    class Fails(Work):
+    class Fails(DutyWork):
         name = "fails"
         period = 0.0
 
-        async def step(self, holding: Holding) -> None:
+        async def step(self, holding: DutyContext) -> None:
             steps.append(asyncio.get_running_loop().time())
             if len(steps) > 100:
                 raise asyncio.CancelledError
@@ -36,13 +38,13 @@
         whole = asyncio.Event()
         whole.set()
         keys, live = Keys("/x"), SimpleNamespace(whole=whole)
-        agent = SimpleNamespace(keys=keys, view=View(keys), trouble=lambda what: None, live=live)
-        keeper = Keeper(cast(Any, agent), Fails(), lambda name, token, begun: None)
+        agent = SimpleNamespace(keys=keys, view=StoreCache(keys), trouble=lambda what: None, live=live)
+        keeper = LeaderElection(cast(Any, agent), Fails(), lambda name, token, begun: None)
         keeper.duty = Duty(Phase.HELD, 7)
-        working = asyncio.create_task(keeper._work(7))
-        await asyncio.sleep(1.0 + AGAIN / 2)
+        working = asyncio.create_task(keeper._run_work(7))
+        await asyncio.sleep(1.0 + RETRY_INTERVAL_S / 2)
         working.cancel()
 
     with virtual(1) as loop:
         loop.run_until_complete(run())
-    assert len(steps) == 1 + round(1.0 / AGAIN)
+    assert len(steps) == 1 + round(1.0 / RETRY_INTERVAL_S)
--- a/tests/control/test_policy_sockets.py
+++ b/tests/control/test_policy_sockets.py
@@ -19,7 +19,7 @@
 
 from gladegw.control import policy_bundle
 from gladegw.control.keys import Keys
-from gladegw.control.policy_proposals import Operator
+from gladegw.control.policy_proposals import PolicyOperator
 from gladegw.coordination.records import BundleAttemptsRecord, PolicyRecord, decode
 from gladegw.coordination.store import Get, Put, prefix_end
 from gladegw.rig.faults.links import Link
@@ -381,7 +381,7 @@
             witness = await here.proxy("p0")
             here.ttl = TTL
             keys = Keys(PREFIX)
-            tries = keys.tries("", "").rstrip(b"/")
+            tries = keys.bundle_attempts("", "").rstrip(b"/")
             for number in range(2):
                 victim = await here.proxy("p1")
                 witness.process.send_signal(signal.SIGSTOP)
@@ -416,14 +416,14 @@
     async def test() -> None:
         async with site(tmp_path) as here:
             node = await here.proxy("p0")
-            raw = policy_bundle.packed({"second.routes.hcl": routes("second")})
-            key = Keys(PREFIX).piece(policy_bundle.digest_of(raw), 0)
-            operator = Operator(here.at.client, PREFIX)
+            raw = policy_bundle.pack({"second.routes.hcl": routes("second")})
+            key = Keys(PREFIX).bundle_chunk(policy_bundle.digest_of(raw), 0)
+            operator = PolicyOperator(here.at.client, PREFIX)
             await here.at.client.do(Put(key, b"" if what == "a piece is missing" else raw[:-4]))
             code, told = await here.propose("second")
             assert code == 1 and policy_bundle.digest_of(raw) in told["reason"]
             assert await answer(node) == (404, "first")
-            assert (await operator.view()).read(Keys(PREFIX).force, PolicyRecord) is None
+            assert (await operator.view()).read(Keys(PREFIX).committed_policy, PolicyRecord) is None
 
     run(test())
 
--- a/tests/control/test_program_rollouts.py
+++ b/tests/control/test_program_rollouts.py
@@ -17,7 +17,7 @@
 from support.loopback import PATIENCE, run
 
 from gladegw.control import fleet_status
-from gladegw.control.rollouts import last
+from gladegw.control.rollouts import latest
 from gladegw.rig import process
 from gladegw.rig.judging import ledger
 from gladegw.rig.measures.capacity import SCENARIO
@@ -224,13 +224,13 @@
 
             async def heard() -> bool:
                 view = await fleet_status.read(here.at.client, PREFIX)
-                return view.at.supervisor("p3") in view.keys
+                return view.keys.supervisor("p3") in view.entries
 
             end = time.monotonic() + PATIENCE
             while await heard():
                 assert time.monotonic() < end
             code, told = await here.rollout("start", here.plan("1.1"))
             assert code == 1 and told["refused"] == "no supervisor is heard of: p3", told
-            assert last(await here.at.view()) is None
+            assert latest(await here.at.view()) is None
 
     run(test())
--- a/tests/control/test_rollout_sockets.py
+++ b/tests/control/test_rollout_sockets.py
@@ -17,7 +17,7 @@
 from support.loopback import PATIENCE, ROOT, Proxy, run
 from test_policy_sockets import Site
 
-from gladegw.control.rollouts import last
+from gladegw.control.rollouts import latest
 
 PROXIES = 6
 CONFIRM = 4  # s
@@ -202,7 +202,7 @@
             assert (await here.rollout("start", plan))[0] == 0
             end = time.monotonic() + 3 * PATIENCE
             while True:  # the step may be over between two looks: then it dies right after it
-                record = last(await here.at.view())
+                record = latest(await here.at.view())
                 assert record is not None and time.monotonic() < end
                 if record.phase in (step, "done"):
                     break
--- a/tests/control/test_stored_data.py
+++ b/tests/control/test_stored_data.py
@@ -23,25 +23,25 @@
 # Each key of the store, with the form of its record, in the order of the file.
 FORMS: list[tuple[bytes, type[Record]]] = [
     (KEYS.member("p1", INCARNATION), records.MemberRecord),
-    (KEYS.known("p1"), records.KnownMemberRecord),
+    (KEYS.known_member("p1"), records.KnownMemberRecord),
     (KEYS.duty("policy"), records.DutyHolderRecord),
-    (KEYS.heir("policy"), records.SuccessorRecord),
-    (KEYS.figures("p1"), records.MemberMetricsRecord),
-    (KEYS.fleet("digest"), records.FleetSummaryRecord),
-    (KEYS.fleet("compare"), records.ConfigDriftRecord),
-    (KEYS.force, records.PolicyRecord),
+    (KEYS.successor("policy"), records.SuccessorRecord),
+    (KEYS.member_metrics("p1"), records.MemberMetricsRecord),
+    (KEYS.fleet_record("digest"), records.FleetSummaryRecord),
+    (KEYS.fleet_record("compare"), records.ConfigDriftRecord),
+    (KEYS.committed_policy, records.PolicyRecord),
     (KEYS.history(6), records.PolicyRecord),
-    (KEYS.change, records.PolicyChangeRecord),
+    (KEYS.open_change, records.PolicyChangeRecord),
     (KEYS.vote("p1", INCARNATION), records.VoteRecord),
-    (KEYS.ended("c-9"), records.ChangeOutcomeRecord),
-    (KEYS.tries(DIGEST, "p1"), records.BundleAttemptsRecord),
+    (KEYS.change_outcome("c-9"), records.ChangeOutcomeRecord),
+    (KEYS.bundle_attempts(DIGEST, "p1"), records.BundleAttemptsRecord),
     (KEYS.rollout, records.RolloutRecord),
-    (KEYS.rolled("r-0"), records.RolloutRecord),
+    (KEYS.finished_rollout("r-0"), records.RolloutRecord),
     (KEYS.program, records.ProgramRecord),
     (KEYS.supervisor("p1"), records.SupervisorRecord),
-    (KEYS.sign, records.HeartbeatRecord),
-    (KEYS.weighed, records.EvidenceRecord),
-    (KEYS.point("r-1", 1, 6), records.TimelinePointRecord),
+    (KEYS.rollout_heartbeat, records.HeartbeatRecord),
+    (KEYS.rollout_evidence, records.EvidenceRecord),
+    (KEYS.timeline_point("r-1", 1, 6), records.TimelinePointRecord),
 ]
 
 
@@ -83,8 +83,8 @@
 def test_a_stored_bundle_keeps_its_bytes_and_its_digest() -> None:
     raw = (STORED / "bundle.json").read_bytes()
     digest = (STORED / "bundle.digest").read_text(encoding="utf-8").strip()
-    files = policy_bundle.whole(digest, [raw[:40], raw[40:]])
+    files = policy_bundle.assemble(digest, [raw[:40], raw[40:]])
     assert sorted(files) == ["north.routes.hcl", "routes.hcl"]
-    assert policy_bundle.packed(files) == raw
+    assert policy_bundle.pack(files) == raw
     assert policy_bundle.digest_of(raw) == digest
-    assert policy_bundle.chosen(files, "deploy/routes.hcl") == ("routes.hcl", files["routes.hcl"])
+    assert policy_bundle.select_file(files, "deploy/routes.hcl") == ("routes.hcl", files["routes.hcl"])
--- a/tests/coordination/test_rollout.py
+++ b/tests/coordination/test_rollout.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gladegw.control.sample_windows import Windows
+from gladegw.control.sample_windows import SampleWindows
 from gladegw.coordination import canary_analysis, fleet_regression, policy_commit
 from gladegw.coordination.canary_analysis import Evidence, Limits, Sample, Verdict
 from gladegw.coordination.policy_commit import Action, CommittedPolicy, OpenChange, Participant
@@ -401,7 +401,7 @@
 
 
 def test_a_member_that_is_asked_little_has_longer_windows() -> None:
-    windows = Windows()
+    windows = SampleWindows()
     assert windows.next({"p0": told_of(0, 0)}) == {}
     assert windows.next({"p0": told_of(2, 4)}) == {}
     found = windows.next({"p0": told_of(4, 9)})
--- a/tests/limits/test_connection_limits.py
+++ b/tests/limits/test_connection_limits.py
@@ -13,17 +13,30 @@
 from hypothesis import strategies as st
 from support.loopback import Backend, Caller, Proxy, proxy, run
 
-from gladegw.limits.connection_eviction import FIRST as SILENT
-from gladegw.limits.connection_eviction import PATIENCE, YOUNG, Press, Stage, gives_way, late
-from gladegw.limits.descriptor_budget import LEAST_START, REST, shares
-from gladegw.limits.request_timeouts import FIRST, HEAD, SLOWEST, STALL, Pace
+from gladegw.limits.connection_eviction import MIN_SILENCE_S as SILENT
+from gladegw.limits.connection_eviction import (
+    NEW_CONNECTION_GRACE_S,
+    SLOW_REQUEST_GRACE_S,
+    ConnectionFlood,
+    ConnectionStage,
+    connections_to_evict,
+    is_lagging,
+)
+from gladegw.limits.descriptor_budget import MIN_STARTUP_DESCRIPTORS, OTHER_DESCRIPTORS, split_descriptors
+from gladegw.limits.request_timeouts import (
+    BODY_STALL_TIMEOUT_S,
+    FIRST_BODY_TIMEOUT_S,
+    HEAD_TIMEOUT_S,
+    MIN_BODY_BYTES_PER_S,
+    RequestDeadline,
+)
 
 TRUE_RATE = 64_000  # bytes a second at which a slow true client writes
 
 
 @dataclass
 class Guest:
-    stage: Stage
+    stage: ConnectionStage
     begun: float
     changed_at: float
     received: int = 0
@@ -34,7 +47,7 @@
 guests = st.lists(
     st.builds(
         lambda stage, begun, after, size: Guest(stage, begun, min(10.0, begun + after), size),
-        st.sampled_from(Stage),
+        st.sampled_from(ConnectionStage),
         times,
         times,
         st.integers(0, 1000),
@@ -44,139 +57,157 @@
 
 @given(guests)
 def test_who_is_owed_an_answer_never_gives_way_and_the_idle_do_first(present: list[Guest]) -> None:
-    found = next(iter(gives_way(present, 10.0)), None)
-    idle = [guest for guest in present if guest.stage is Stage.IDLE]
+    found = next(iter(connections_to_evict(present, 10.0)), None)
+    idle = [guest for guest in present if guest.stage is ConnectionStage.IDLE]
     if idle:
-        assert found is not None and found.stage is Stage.IDLE
+        assert found is not None and found.stage is ConnectionStage.IDLE
         assert found.changed_at == min(guest.changed_at for guest in idle)
     elif found is None:
-        coming = [guest for guest in present if guest.stage is Stage.COMING]
-        assert all(10.0 - guest.begun <= (PATIENCE if guest.received else YOUNG) for guest in coming)
+        coming = [guest for guest in present if guest.stage is ConnectionStage.RECEIVING]
+        assert all(
+            10.0 - guest.begun <= (SLOW_REQUEST_GRACE_S if guest.received else NEW_CONNECTION_GRACE_S)
+            for guest in coming
+        )
     else:
-        assert found.stage is not Stage.OWED
+        assert found.stage is not ConnectionStage.PENDING
 
 
 def test_a_slow_writer_outlives_the_silent_and_the_dripping() -> None:
-    slow = Guest(Stage.COMING, 8.3, 9.8, 100)  # has written for 1.7 s, and lately
-    half = Guest(Stage.COMING, 9.4, 9.4, 100)
-    silent = Guest(Stage.COMING, 9.5, 9.5)
-    dripping = Guest(Stage.COMING, 9.1, 9.99, 12)
-    fresh = Guest(Stage.COMING, 9.9, 9.9)
+    slow = Guest(ConnectionStage.RECEIVING, 8.3, 9.8, 100)  # has written for 1.7 s, and lately
+    half = Guest(ConnectionStage.RECEIVING, 9.4, 9.4, 100)
+    silent = Guest(ConnectionStage.RECEIVING, 9.5, 9.5)
+    dripping = Guest(ConnectionStage.RECEIVING, 9.1, 9.99, 12)
+    fresh = Guest(ConnectionStage.RECEIVING, 9.9, 9.9)
     for other in (half, silent, dripping):
-        assert gives_way([slow, other, fresh], 10.0) == [other]
-    assert gives_way([slow, fresh], 10.0) == [slow]
-    assert gives_way([Guest(Stage.COMING, 9.3, 9.8, 60), fresh], 10.0) == []
+        assert connections_to_evict([slow, other, fresh], 10.0) == [other]
+    assert connections_to_evict([slow, fresh], 10.0) == [slow]
+    assert connections_to_evict([Guest(ConnectionStage.RECEIVING, 9.3, 9.8, 60), fresh], 10.0) == []
 
 
 def test_an_ending_connection_gives_way_when_its_answer_has_arrived() -> None:
-    arriving, arrived = (Guest(Stage.ENDING, 9.0, 9.95, delivered=at) for at in (False, True))
-    assert gives_way([arriving, arrived], 10.0, 2) == [arrived]
-    assert gives_way([arriving], 10.1) == [arriving]  # its peer takes too long
+    arriving, arrived = (Guest(ConnectionStage.CLOSING, 9.0, 9.95, delivered=at) for at in (False, True))
+    assert connections_to_evict([arriving, arrived], 10.0, 2) == [arrived]
+    assert connections_to_evict([arriving], 10.1) == [arriving]  # its peer takes too long
 
 
 def test_of_the_young_those_give_way_that_lag_most_behind_a_true_client() -> None:
     """None is old enough to be suspected by its silence alone, and places are wanted all the same."""
-    writing = Guest(Stage.COMING, 9.8, 9.8, 25)  # a quarter of a head at once: a slow true writer
-    dripping = Guest(Stage.COMING, 9.85, 9.99, 1)
-    silent = Guest(Stage.COMING, 9.9, 9.9)
-    fresh = Guest(Stage.COMING, 9.99, 9.99)
-    assert gives_way([writing, silent, fresh, dripping], 10.0, 4, SILENT) == [dripping, silent]
-    assert gives_way([writing, silent, fresh, dripping], 10.0, 4, 0.12) == [dripping]
-    assert late(0, 0.03, SILENT) and not late(0, 0.01, SILENT) and not late(100, 1.9, SILENT)
+    writing = Guest(
+        ConnectionStage.RECEIVING, 9.8, 9.8, 25
+    )  # a quarter of a head at once: a slow true writer
+    dripping = Guest(ConnectionStage.RECEIVING, 9.85, 9.99, 1)
+    silent = Guest(ConnectionStage.RECEIVING, 9.9, 9.9)
+    fresh = Guest(ConnectionStage.RECEIVING, 9.99, 9.99)
+    assert connections_to_evict([writing, silent, fresh, dripping], 10.0, 4, SILENT) == [dripping, silent]
+    assert connections_to_evict([writing, silent, fresh, dripping], 10.0, 4, 0.12) == [dripping]
+    assert (
+        is_lagging(0, 0.03, SILENT) and not is_lagging(0, 0.01, SILENT) and not is_lagging(100, 1.9, SILENT)
+    )
 
 
 @given(st.floats(1, 20_000), st.integers(1, 200))
 def test_patience_follows_the_pace_so_that_each_who_comes_finds_a_place(rate: float, places: int) -> None:
-    press = Press(places)
-    assert press.patience == YOUNG
+    press = ConnectionFlood(places)
+    assert press.silence_timeout == NEW_CONNECTION_GRACE_S
     for number in range(1000):
-        press.came(10, number * 10 / rate)
-    if number * 10 / rate > 5 * YOUNG:
-        held = rate * press.patience  # so many are inside at a time, if nobody says anything
-        assert press.patience == SILENT or held <= places * 1.1 + 10
-        assert press.patience == YOUNG or held >= places * 0.6 - 10 or press.patience == SILENT
-    press.came(0, 1000 / rate * 10 + 60)
-    assert press.patience == YOUNG
+        press.on_accepted(10, number * 10 / rate)
+    if number * 10 / rate > 5 * NEW_CONNECTION_GRACE_S:
+        held = rate * press.silence_timeout  # so many are inside at a time, if nobody says anything
+        assert press.silence_timeout == SILENT or held <= places * 1.1 + 10
+        assert (
+            press.silence_timeout == NEW_CONNECTION_GRACE_S
+            or held >= places * 0.6 - 10
+            or press.silence_timeout == SILENT
+        )
+    press.on_accepted(0, 1000 / rate * 10 + 60)
+    assert press.silence_timeout == NEW_CONNECTION_GRACE_S
 
 
 @given(guests, st.integers(0, 5))
 def test_no_more_give_way_than_are_asked_for_and_none_twice(present: list[Guest], count: int) -> None:
-    found = gives_way(present, 10.0, count)
+    found = connections_to_evict(present, 10.0, count)
     assert len({id(guest) for guest in found}) == len(found) <= count
-    assert found == gives_way(present, 10.0, len(present))[:count]
+    assert found == connections_to_evict(present, 10.0, len(present))[:count]
 
 
 @given(st.integers(64, 1024), st.integers(0, 30), st.booleans())
 def test_the_shares_stay_within_the_limit(limit: int, held: int, operators: bool) -> None:
-    found = shares(limit, held, operators)
+    found = split_descriptors(limit, held, operators)
     assert found.clients >= 1 and found.upstreams >= 1 and bool(found.operators) is operators
-    assert found.clients + found.upstreams + found.operators + max(held, LEAST_START) + REST <= limit
+    assert (
+        found.clients
+        + found.upstreams
+        + found.operators
+        + max(held, MIN_STARTUP_DESCRIPTORS)
+        + OTHER_DESCRIPTORS
+        <= limit
+    )
     if limit >= 192:  # clients may use a third for requests
         assert found.clients >= limit / 3
 
 
 @given(st.floats(0, 2.0), st.lists(st.integers(1, 32_000), min_size=1, max_size=60))
 def test_a_body_at_the_slowest_true_rate_is_sound(head: float, pieces: list[int]) -> None:
-    pace = Pace(100.0)
+    pace = RequestDeadline(100.0)
     now = 100.0 + head
-    pace.head_begins(now)
-    assert pace.due >= now
-    pace.body_begins(now)
+    pace.on_head_start(now)
+    assert pace.due_at >= now
+    pace.on_body_start(now)
     for size in pieces:
         now += size / TRUE_RATE
-        assert pace.due > now
-        pace.body(size, now)
+        assert pace.due_at > now
+        pace.on_body(size, now)
 
 
 @given(st.lists(st.tuples(st.floats(0, 3), st.integers(0, 400)), max_size=30))
 def test_silence_and_drips_end_within_three_seconds(drips: list[tuple[float, int]]) -> None:
     """What is too little for a true client gains no time to speak of, whenever the head was whole."""
-    pace = Pace(100.0)
+    pace = RequestDeadline(100.0)
     now = 100.0
     begun = False
     for after, size in drips:
-        if now + after > pace.due:
+        if now + after > pace.due_at:
             break
         now += after
         if not begun:
-            pace.body_begins(now)
+            pace.on_body_start(now)
             begun = True
-        pace.body(size, now)
-    gained = sum(size for _, size in drips) / SLOWEST
-    assert pace.due <= 100.0 + max(HEAD, FIRST) + gained + 1e-9
-    pace.whole()
-    assert pace.due == math.inf
+        pace.on_body(size, now)
+    gained = sum(size for _, size in drips) / MIN_BODY_BYTES_PER_S
+    assert pace.due_at <= 100.0 + max(HEAD_TIMEOUT_S, FIRST_BODY_TIMEOUT_S) + gained + 1e-9
+    pace.on_complete()
+    assert pace.due_at == math.inf
 
 
 def test_a_body_on_a_kept_connection_has_the_same_time() -> None:
-    pace = Pace(0.0)
-    pace.whole()
-    pace.head_begins(100.0)
-    assert pace.due == 100.0 + HEAD
-    pace.body_begins(101.5)
-    assert pace.due == 101.5 + STALL
+    pace = RequestDeadline(0.0)
+    pace.on_complete()
+    pace.on_head_start(100.0)
+    assert pace.due_at == 100.0 + HEAD_TIMEOUT_S
+    pace.on_body_start(101.5)
+    assert pace.due_at == 101.5 + BODY_STALL_TIMEOUT_S
 
 
 def test_a_short_request_written_over_two_seconds_is_sound() -> None:
     for kept in (False, True):
-        pace = Pace(100.0)
+        pace = RequestDeadline(100.0)
         if kept:
-            pace.whole()
-        pace.head_begins(100.0)
-        pace.body_begins(100.1)
+            pace.on_complete()
+        pace.on_head_start(100.0)
+        pace.on_body_start(100.1)
         for tenth in range(2, 21):
-            assert pace.due > 100.0 + tenth / 10
-            pace.body(20, 100.0 + tenth / 10)
+            assert pace.due_at > 100.0 + tenth / 10
+            pace.on_body(20, 100.0 + tenth / 10)
 
 
 def test_a_side_that_does_not_read_blames_nobody() -> None:
-    pace = Pace(0.0)
-    pace.body_begins(1.0)
-    pace.held_up()
-    pace.body(10, 50.0)
-    assert pace.due == math.inf
-    pace.resumed(60.0)
-    assert pace.due == 60.0 + STALL
+    pace = RequestDeadline(0.0)
+    pace.on_body_start(1.0)
+    pace.suspend()
+    pace.on_body(10, 50.0)
+    assert pace.due_at == math.inf
+    pace.resume(60.0)
+    assert pace.due_at == 60.0 + BODY_STALL_TIMEOUT_S
 
 
 def descriptors(node: Proxy) -> int:
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -16,7 +16,7 @@
 from gladegw.net.downstream.server import Server
 from gladegw.net.interfaces import Reply
 from gladegw.net.request import Request
-from gladegw.operators.request_counters import Ledger
+from gladegw.operators.request_counters import RequestCounters
 
 LARGE = 4 << 20  # bytes of an answer that no socket's buffers hold
 
@@ -52,7 +52,7 @@
         {"stock": Effect.IDEMPOTENT},
         handler,
         100,
-        Ledger(["stock"]),
+        RequestCounters(["stock"]),
         lambda: True,
         memoryview(bytearray(65536)),
     )
@@ -89,7 +89,7 @@
                 await until(lambda: connection.inside)
             connection.changed_at -= 10.0  # its last answer, if there was one, is long ago
             connection.begun -= 10.0
-            connection.pace.due = time.monotonic() - 1.0 if ending == "overdue" else connection.pace.due
+            connection.pace.due_at = time.monotonic() - 1.0 if ending == "overdue" else connection.pace.due_at
             client.send(rest if ending in ("partial", "overdue") else first + rest)
             close: dict[str, Callable[[], None]] = {
                 "idle": server.close_idle,
--- a/tests/net/test_streams.py
+++ b/tests/net/test_streams.py
@@ -16,17 +16,23 @@
 from hypothesis import strategies as st
 from support.loopback import PATIENCE, Backend, Proxy, proxy, response, run
 
-from gladegw.limits.buffer_budget import LEAST_PIECE, MOST_PIECE, PIECES, STREAMS_SHARE, piece
+from gladegw.limits.buffer_budget import (
+    CHUNKS_PER_STREAM,
+    MAX_CHUNK_BYTES,
+    MIN_CHUNK_BYTES,
+    STREAMS_MEMORY_FRACTION,
+    chunk_bytes,
+)
 
 MB = 1 << 20
 
 
 @given(st.integers(1 << 20, 1 << 30), st.integers(1, 2000))
 def test_all_streams_hold_their_share_of_the_memory_at_most(memory: int, streams: int) -> None:
-    found = piece(memory, streams)
-    assert LEAST_PIECE <= found <= MOST_PIECE
-    if found > LEAST_PIECE:
-        assert found * PIECES * streams <= memory * STREAMS_SHARE
+    found = chunk_bytes(memory, streams)
+    assert MIN_CHUNK_BYTES <= found <= MAX_CHUNK_BYTES
+    if found > MIN_CHUNK_BYTES:
+        assert found * CHUNKS_PER_STREAM * streams <= memory * STREAMS_MEMORY_FRACTION
 
 
 Act = Callable[[bytes, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
--- a/tests/operators/test_commands.py
+++ b/tests/operators/test_commands.py
@@ -8,13 +8,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gladegw.operators.commands import LONGEST, Backends, Line, Operators
-from gladegw.operators.lifecycle import TABLE, Event, Lifecycle, Refused, State
-from gladegw.operators.request_counters import Ledger
+from gladegw.operators.commands import MAX_COMMAND_BYTES, BackendCounts, CommandHandler, LineReader
+from gladegw.operators.lifecycle import TRANSITIONS, Event, InvalidTransitionError, Lifecycle, State
+from gladegw.operators.request_counters import RequestCounters
 
 
-def operators(life: Lifecycle | None = None, able: bool = True) -> Operators:
-    return Operators(life or Lifecycle(), Ledger(["a", "b"]), lambda: able, lambda: Backends(5, 2))
+def operators(life: Lifecycle | None = None, able: bool = True) -> CommandHandler:
+    return CommandHandler(
+        life or Lifecycle(), RequestCounters(["a", "b"]), lambda: able, lambda: BackendCounts(5, 2)
+    )
 
 
 def ready() -> Lifecycle:
@@ -24,7 +26,7 @@
 
 
 def test_the_table_knows_every_event_in_every_state() -> None:
-    assert all(set(TABLE[state]) == set(Event) for state in State)
+    assert all(set(TRANSITIONS[state]) == set(Event) for state in State)
 
 
 @given(st.lists(st.sampled_from(Event)))
@@ -35,7 +37,7 @@
     for event in events:
         try:
             after = life.on(event)
-        except Refused as fault:
+        except InvalidTransitionError as fault:
             assert event is Event.REJOIN and event.value in str(fault)
             assert leaving or not (able or lame)
             continue
@@ -43,7 +45,7 @@
         leaving |= event is Event.TERMINATE
         lame = event is Event.LAMEDUCK or (lame and event is not Event.REJOIN)
         calm = State.READY if able else State.STARTING
-        assert after is life.state is (State.LEAVING if leaving else State.LAME if lame else calm)
+        assert after is life.state is (State.TERMINATING if leaving else State.DRAINING if lame else calm)
     assert all(one is not other for one, other in pairwise(told))
     assert not told or told[-1] is life.state
 
@@ -80,10 +82,10 @@
 
 def test_info_shows_every_class_from_the_start() -> None:
     desk = operators(ready())
-    desk.ledger.taken()
-    desk.ledger.taken()
-    desk.ledger.ended("b", 200)
-    desk.ledger.tried()
+    desk.counters.on_received()
+    desk.counters.on_received()
+    desk.counters.on_ended("b", 200)
+    desk.counters.on_attempt()
     assert desk.answer(b"INFO").decode().splitlines() == [
         "SUCCESS",
         "app.handled.a.passed=0",
@@ -102,16 +104,16 @@
 
 @given(st.lists(st.tuples(st.sampled_from("ab"), st.sampled_from([200, 429, 503, 502, 504, 409, None]))))
 def test_every_request_taken_ends_in_one_count(ends: list[tuple[str, int | None]]) -> None:
-    ledger = Ledger("ab")
+    ledger = RequestCounters("ab")
     for _ in ends:
-        ledger.taken()
+        ledger.on_received()
     for done, (cls, code) in enumerate(ends, 1):
-        ledger.ended(cls, code)
+        ledger.on_ended(cls, code)
         assert ledger.in_progress == len(ends) - done
         assert sum(handled.total for handled in ledger.handled.values()) == done
     for cls, handled in ledger.handled.items():
         codes = [code for name, code in ends if name == cls]
-        assert handled.passed == codes.count(200) and handled.gone == codes.count(None)
+        assert handled.passed == codes.count(200) and handled.disconnected == codes.count(None)
         assert handled.dropped == codes.count(429) + codes.count(503)
 
 
@@ -119,7 +121,7 @@
 def test_a_line_in_any_pieces_is_the_same_line(text: bytes, more: bytes, data: st.DataObject) -> None:
     whole = text + b"\n" + more
     cuts = sorted(data.draw(st.lists(st.integers(0, len(whole)), max_size=6)))
-    line = Line()
+    line = LineReader()
     for start, end in zip([0, *cuts], [*cuts, len(whole)], strict=True):
         found = line.feed(whole[start:end])
         if found is not None:
@@ -128,9 +130,9 @@
 
 
 def test_a_line_without_an_end_is_cut_off() -> None:
-    line = Line()
-    assert line.feed(b"x" * LONGEST) is None
+    line = LineReader()
+    assert line.feed(b"x" * MAX_COMMAND_BYTES) is None
     assert line.feed(b"x") is not None and line.too_long
-    half = Line()
+    half = LineReader()
     half.feed(b"PIN")
-    assert half.ended() == b"PIN" and Line().ended() is None
+    assert half.ended() == b"PIN" and LineReader().ended() is None
--- a/tests/rig/test_linearizability.py
+++ b/tests/rig/test_linearizability.py
@@ -15,8 +15,8 @@
 from support.fleet import Store, store
 from support.loopback import PATIENCE, run
 
-from gladegw.control.errors import RefusedByStore, StoreFault
-from gladegw.control.store_client import Client
+from gladegw.control.errors import StoreClientError, StoreRejectedError
+from gladegw.control.store_client import StoreClient
 from gladegw.coordination.store import Compare, Get, Put, Target, Txn
 from gladegw.rig.store.linearizability import Seen, violations
 from gladegw.rig.store.record import read as recorded
@@ -73,7 +73,7 @@
 
 async def client(at: Store, seed: int, end: float, record: list[Seen]) -> None:
     draws = Random(seed)
-    own = Client(at.client.endpoints[seed % 3 :] + at.client.endpoints[: seed % 3], 0.4)
+    own = StoreClient(at.client.endpoints[seed % 3 :] + at.client.endpoints[: seed % 3], 0.4)
     value = 0
     while time.monotonic() < end:
         key = draws.choice("xy")
@@ -83,7 +83,7 @@
             _, found = await own.get(Get(key.encode()))
             known = found[0].value.decode() if found else None
             record.append(Seen(key=key, kind="read", begin=begin, end=time.monotonic(), result=known))
-        except StoreFault:
+        except StoreClientError:
             continue
         value += 1
         told = f"{seed}.{value}"
@@ -96,9 +96,9 @@
         try:
             done = await own.txn(Txn((compare,), (Put(key.encode(), told.encode()),)))
             result, ended = "yes" if done.succeeded else "no", time.monotonic()
-        except RefusedByStore:
+        except StoreRejectedError:
             continue  # it was not done
-        except StoreFault:
+        except StoreClientError:
             result, ended = "", math.inf
         record.append(
             Seen(
--- a/tests/rig/test_rolled.py
+++ b/tests/rig/test_rolled.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from gladegw.control.duties.rollout_controller import POINTS, THINNED, point_of
+from gladegw.control.duties.rollout_controller import MAX_DENSE_POINTS, SPARSE_POINT_STRIDE, timeline_point
 from gladegw.coordination.canary_analysis import Evidence, Sample
 from gladegw.coordination.fleet_regression import FleetWindow
 from gladegw.coordination.records import (
@@ -74,6 +74,6 @@
 def test_a_point_parts_the_stage_from_the_others_and_few_are_kept_for_ever() -> None:
     window = {name: Sample({"status": 10}, {"status": bad}) for name, bad in (("a", 5), ("b", 0), ("c", 1))}
     first = msgspec.structs.replace(RECORD, stage=0)
-    told = point_of(first, Evidence(wagers={"failed status": (0.0, 1.0)}), window, 4.0)
+    told = timeline_point(first, Evidence(wagers={"failed status": (0.0, 1.0)}), window, 4.0)
     assert told.new.rates["failed status"] == (5, 10) and told.others.rates["failed status"] == (1, 20)
-    assert told.log_e["failed status"] > 0.5 and POINTS + 24 * 3600 / 2 / THINNED < 5000
+    assert told.log_e["failed status"] > 0.5 and MAX_DENSE_POINTS + 24 * 3600 / 2 / SPARSE_POINT_STRIDE < 5000
--- a/tests/supervisor/test_supervise.py
+++ b/tests/supervisor/test_supervise.py
@@ -23,7 +23,7 @@
 from gladegw.rig.ports import free_port
 from gladegw.rig.supervised import Supervised
 from gladegw.rig.traffic.steady import Steady
-from gladegw.supervisor.processes import started
+from gladegw.supervisor.processes import start_ticks
 
 VERSIONS = {
     "1.0": "none",
@@ -60,7 +60,7 @@
 
 
 def gone(pid: int) -> bool:
-    return not started(pid)  # nobody may have asked yet how it ended
+    return not start_ticks(pid)  # nobody may have asked yet how it ended
 
 
 def test_versions_follow_each_other_under_load_and_nothing_is_lost(tmp_path: Path) -> None:
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -15,8 +15,8 @@
 import msgspec
 
 from gladegw.control import fleet_status
-from gladegw.control.errors import StoreFault
-from gladegw.control.store_client import Client
+from gladegw.control.errors import StoreClientError
+from gladegw.control.store_client import StoreClient
 from gladegw.coordination.records import FleetSummaryRecord, RecordError, decode
 from gladegw.coordination.store import Get
 from gladegw.rig import process
@@ -30,7 +30,7 @@
 class Store:
     def __init__(self, child: asyncio.subprocess.Process, endpoints: list[str]) -> None:
         self.child, self.endpoints = child, endpoints
-        self.client = Client([("127.0.0.1", int(at.rpartition(":")[2])) for at in endpoints], 1.0)
+        self.client = StoreClient([("127.0.0.1", int(at.rpartition(":")[2])) for at in endpoints], 1.0)
 
     def block(self, endpoints: list[str] | None = None, **more: Any) -> str:
         """The settings file's."""
@@ -51,7 +51,7 @@
     async def view(self) -> Any:
         async with asyncio.timeout(PATIENCE):
             while True:
-                with contextlib.suppress(StoreFault):
+                with contextlib.suppress(StoreClientError):
                     return await fleet_status.read(self.client, PREFIX)
                 await asyncio.sleep(0.02)
 
