--- a/gladegw/net/upstream/connections.py
+++ b/gladegw/net/upstream/connections.py
@@ -16,18 +16,22 @@
 from gladegw.balancing.events import ServerState, Status
 from gladegw.limits.buffer_budget import MAX_BUFFERED_BYTES
 from gladegw.net.config import Address
-from gladegw.net.endpoint_lists import Listed, Listing
+from gladegw.net.endpoint_lists import ListedBackend, Listing
 from gladegw.net.sockets import has_unread
 from gladegw.net.upstream.exchange import Exchange
 
 log = logging.getLogger(__name__)
 
-MOST_HEAD = 32 * 1024  # bytes of an answer's headers
-IDLE_SHARE = 0.9  # of the settings' idle time after which this side closes first
-SWEEP = 1.0  # s between looks for idle connections
-REST = 0.01  # s for which a connection is not used after an answer: a faulty backend may send a second one
-REFUSED_FOR = 5.0  # s after a refused connection in which connections are used without a rest
-FLUSH = 0.05  # s after its head for which an answer of unknown length is held, so that it may be tried again
+MAX_HEAD_BYTES = 32 * 1024  # bytes of an answer's headers
+IDLE_FRACTION = 0.9  # of the settings' idle time after which this side closes first
+SWEEP_INTERVAL_S = 1.0  # s between looks for idle connections
+MIN_REST_S = (
+    0.01  # s for which a connection is not used after an answer: a faulty backend may send a second one
+)
+REFUSED_FOR_S = 5.0  # s after a refused connection in which connections are used without a rest
+FLUSH_TIMEOUT_S = (
+    0.05  # s after its head for which an answer of unknown length is held, so that it may be tried again
+)
 IDLE_SINCE = attrgetter("idle_since")
 # A connect that fails so has not left this machine: the backend is not at fault, and the next try may
 # succeed.
@@ -41,7 +45,7 @@
         errno.ENOMEM,
     )
 )
-CONNECT_AGAIN = 0.01  # s until it is tried again, within the time of a connect
+CONNECT_RETRY_INTERVAL_S = 0.01  # s until it is tried again, within the time of a connect
 CHUNKED_BEGUN = -1  # stands for the length of an answer that tells none
 
 
@@ -49,12 +53,13 @@
     """This machine could make no connection in time."""
 
 
-class Connection(asyncio.BufferedProtocol):
+class UpstreamConnection(asyncio.BufferedProtocol):
     """One connection to a backend; carries one exchange at a time."""
 
     __slots__ = (
         "answer",
         "body",
+        "broken",
         "exchange",
         "flush_at",
         "head_size",
@@ -63,7 +68,6 @@
         "length",
         "parser",
         "size",
-        "spoilt",
         "stopped",
         "transport",
         "until_close",
@@ -82,7 +86,7 @@
         self.until_close = False  # the answer's body ends with the connection
         self.flush_at: asyncio.TimerHandle | None = None  # when a slow answer is passed on as far as it came
         self.answer: tuple[Exchange, int, bytes, bool] | None = None  # whole, not handed on yet
-        self.spoilt = False
+        self.broken = False
         self.stopped = False  # the backend takes no more for now
         self.idle_since = 0.0
 
@@ -105,7 +109,7 @@
     def eof_received(self) -> bool | None:
         if self.until_close and self.exchange is not None:
             self._complete(False)
-            self._hand_on()
+            self._deliver()
         return None
 
     def pause_writing(self) -> None:
@@ -113,15 +117,15 @@
 
     def resume_writing(self) -> None:
         self.stopped = False
-        if self.exchange is not None and self.exchange.coming:
-            self.exchange.moved_at = time.monotonic()
+        if self.exchange is not None and self.exchange.uploading:
+            self.exchange.progressed_at = time.monotonic()
             self.more()
 
     def get_buffer(self, sizehint: int) -> memoryview:
         return self.upstream.owner.scratch
 
     def buffer_updated(self, size: int) -> None:
-        self.upstream.heard_at = time.monotonic()
+        self.upstream.last_received_at = time.monotonic()
         if self.exchange is None:
             self.abandon()  # nothing was asked: an answer to nobody
             return
@@ -130,23 +134,23 @@
         except Exception as fault:  # garbage; it may still have run
             if self.exchange is not None:
                 log.warning("backend %s: malformed answer: %s", self.upstream.address, fault)
-            self.spoilt = True
-        self._hand_on()
+            self.broken = True
+        self._deliver()
 
-    def _hand_on(self) -> None:
+    def _deliver(self) -> None:
         """A whole answer to its exchange; a connection on which anything was odd is not used again."""
         if self.answer is not None:
             (exchange, code, body, keep), self.answer = self.answer, None
             headers, self.headers = self.headers, []
             self._no_flush()
-            if keep and not self.spoilt and exchange.whole:
+            if keep and not self.broken and exchange.request_complete:
                 self.exchange = None
                 self.hold(False)
-                self.upstream.keep(self)
+                self.upstream.return_idle(self)
             else:
                 self.abandon()
-            exchange.answered(code, headers, body)
-        elif self.spoilt:
+            exchange.on_answer(code, headers, body)
+        elif self.broken:
             self._break()
 
     # parser callbacks
@@ -157,7 +161,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self.head_size += len(name) + len(value)
-        if self.head_size > MOST_HEAD:
+        if self.head_size > MAX_HEAD_BYTES:
             raise ValueError("headers too large")
         if not self.until_close and self.length != CHUNKED_BEGUN:
             self.headers.append((name.lower(), value.strip(b" \t")))
@@ -171,7 +175,7 @@
             self.until_close = self.length is None and b"transfer-encoding" not in named
             if self.length is None:
                 self.length = CHUNKED_BEGUN
-                self.flush_at = self.upstream.owner.loop.call_later(FLUSH, self._pass_on, code)
+                self.flush_at = self.upstream.owner.loop.call_later(FLUSH_TIMEOUT_S, self._pass_on, code)
             elif self.length > MAX_BUFFERED_BYTES:
                 self._pass_on(code)
 
@@ -180,8 +184,8 @@
         if exchange is None:
             return
         if exchange.sink is not None:
-            exchange.moved_at = self.upstream.heard_at
-            exchange.pass_on(chunk)
+            exchange.progressed_at = self.upstream.last_received_at
+            exchange.forward(chunk)
             return
         self.size += len(chunk)
         self.body.append(chunk)
@@ -201,7 +205,7 @@
         if exchange.begin_answer(code, self.headers, length) and exchange.sink is not None:
             body, self.body = self.body, []
             for chunk in body:
-                exchange.pass_on(chunk)
+                exchange.forward(chunk)
 
     def _no_flush(self) -> None:
         if self.flush_at is not None:
@@ -225,7 +229,7 @@
         self.exchange = exchange
         self.transport.write(exchange.request())
         if exchange.upload is None:
-            exchange.went_out()
+            exchange.on_request_sent()
         else:
             exchange.upload.reader = self.more
             self.more()
@@ -233,7 +237,7 @@
     def more(self) -> None:
         """Passes on what has come of the request's body, as far as the backend takes it."""
         exchange = self.exchange
-        if exchange is None or exchange.upload is None or exchange.whole:
+        if exchange is None or exchange.upload is None or exchange.request_complete:
             return
         upload = exchange.upload
         chunked = upload.length is None
@@ -241,12 +245,12 @@
             chunk = upload.take()
             if chunk is None:
                 break
-            exchange.moved_at = time.monotonic()
+            exchange.progressed_at = time.monotonic()
             self.transport.write(b"%x\r\n%b\r\n" % (len(chunk), chunk) if chunked else chunk)
-        if upload.whole and not upload.waiting and self.transport is not None:
+        if upload.complete and not upload.waiting and self.transport is not None:
             if chunked:
                 self.transport.write(b"0\r\n\r\n")
-            exchange.went_out()
+            exchange.on_request_sent()
 
     @property
     def silent(self) -> bool:
@@ -283,28 +287,37 @@
 class Upstream:
     """One backend as discovery last listed it, with its connections."""
 
-    __slots__ = ("address", "connections", "heard_at", "idle", "owner", "refused_at", "started_at", "state")
+    __slots__ = (
+        "address",
+        "connections",
+        "idle",
+        "last_received_at",
+        "owner",
+        "refused_at",
+        "started_at",
+        "state",
+    )
 
-    def __init__(self, owner: Upstreams, address: Address, started_at: float, state: ServerState) -> None:
+    def __init__(self, owner: UpstreamPool, address: Address, started_at: float, state: ServerState) -> None:
         self.owner, self.address, self.started_at, self.state = owner, address, started_at, state
-        self.connections: set[Connection] = set()
-        self.heard_at = 0.0  # when it last sent anything
+        self.connections: set[UpstreamConnection] = set()
+        self.last_received_at = 0.0  # when it last sent anything
         self.refused_at = -math.inf  # when a connection to it last did not come up
-        self.idle: list[Connection] = []
+        self.idle: list[UpstreamConnection] = []
 
     @property
     def refuses(self) -> bool:
         """Whether it has lately let no further connection come up."""
-        return time.monotonic() < self.refused_at + REFUSED_FOR
+        return time.monotonic() < self.refused_at + REFUSED_FOR_S
 
     @property
     def serving(self) -> bool:
         return self.state is ServerState.SERVING
 
-    def take_idle(self, rested: bool = True) -> Connection | None:
+    def take_idle(self, rested: bool = True) -> UpstreamConnection | None:
         """The connection used last, of those that have `rested`: the others grow old and are closed."""
         now = time.monotonic()
-        latest = now - REST if rested else now
+        latest = now - MIN_REST_S if rested else now
         place = bisect_right(self.idle, latest, key=IDLE_SINCE)  # they were put there one after another
         while place:
             place -= 1
@@ -315,7 +328,7 @@
             connection.abandon()  # and is no longer at that place
         return None
 
-    def keep(self, connection: Connection) -> None:
+    def return_idle(self, connection: UpstreamConnection) -> None:
         if connection not in self.connections or not self.serving:
             connection.abandon()
             return
@@ -323,13 +336,13 @@
         self.idle.append(connection)
         self.owner.with_idle.add(self)
 
-    def forget(self, connection: Connection) -> None:
+    def forget(self, connection: UpstreamConnection) -> None:
         if connection in self.idle:
             self.idle.remove(connection)
             if not self.idle:
                 self.owner.with_idle.discard(self)
 
-    def lost(self, connection: Connection) -> None:
+    def lost(self, connection: UpstreamConnection) -> None:
         self.forget(connection)
         self.connections.discard(connection)
         self.owner.made -= 1
@@ -344,20 +357,20 @@
         self.connections.clear()  # those in use end with their exchange, in keep()
 
 
-class Upstreams:
+class UpstreamPool:
     """All backends, and the bound on connections to them."""
 
-    def __init__(self, connect_timeout: float, conn_idle: float, most_open: int) -> None:
+    def __init__(self, connect_timeout: float, conn_idle: float, max_connections: int) -> None:
         self.loop = asyncio.get_running_loop()
         self.connect_timeout = connect_timeout
-        self.idle_for = IDLE_SHARE * conn_idle
-        self.most_open = most_open
+        self.idle_for = IDLE_FRACTION * conn_idle
+        self.max_connections = max_connections
         self.made = 0  # connections that are up
         self.scratch = memoryview(bytearray(MAX_BUFFERED_BYTES))  # into which all connections read
         self.by_id: dict[int, Upstream] = {}
         self.with_idle: set[Upstream] = set()  # a few of thousands
         self._connects: set[asyncio.Task[None]] = set()
-        self.loop.call_later(SWEEP, self._sweep)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     @property
     def open(self) -> int:
@@ -365,8 +378,8 @@
         return self.made + len(self._connects)
 
     @property
-    def heard(self) -> bool:
-        return any(upstream.heard_at for upstream in self.by_id.values())
+    def list_received(self) -> bool:
+        return any(upstream.last_received_at for upstream in self.by_id.values())
 
     @property
     def ready(self) -> bool:
@@ -377,12 +390,12 @@
         named = set()
         for listed in listing.backends:
             named.add(listed.entry.server)
-            self._told(listed)
-        if listing.whole:
+            self._add_backend(listed)
+        if listing.complete:
             for server in [server for server in self.by_id if server not in named]:
-                self._ended(server, ServerState.REMOVED)
+                self._drain_backend(server, ServerState.REMOVED)
 
-    def _told(self, listed: Listed) -> None:
+    def _add_backend(self, listed: ListedBackend) -> None:
         entry = listed.entry
         upstream = self.by_id.get(entry.server)
         if upstream is None:
@@ -394,9 +407,9 @@
         upstream.address, upstream.started_at = listed.address, entry.started_at
         upstream.state = entry.state
         if entry.state is not ServerState.SERVING:
-            self._ended(entry.server, entry.state)
+            self._drain_backend(entry.server, entry.state)
 
-    def _ended(self, server: int, state: ServerState) -> None:
+    def _drain_backend(self, server: int, state: ServerState) -> None:
         """Nothing new goes there; what is out on it ends by itself."""
         upstream = self.by_id[server]
         upstream.state = state
@@ -407,11 +420,11 @@
     def start(self, exchange: Exchange) -> None:
         upstream = exchange.upstream
         connection = upstream.take_idle()
-        if connection is None and (self.open >= self.most_open or upstream.refuses):
+        if connection is None and (self.open >= self.max_connections or upstream.refuses):
             connection = upstream.take_idle(rested=False)  # there will be no other
         if connection is not None:
-            exchange.run_on(connection)
-        elif self.open >= self.most_open and not self._spare_one():
+            exchange.start_on(connection)
+        elif self.open >= self.max_connections and not self._close_idlest():
             exchange.end(Status.NOT_SENT)  # this proxy's own bound: no fault of the backend's
         else:
             task = self.loop.create_task(self._connect(exchange, upstream))
@@ -419,7 +432,7 @@
             task.add_done_callback(self._connects.discard)
 
     async def _connect(self, exchange: Exchange, upstream: Upstream) -> None:
-        connection = Connection(upstream)
+        connection = UpstreamConnection(upstream)
         at, since = upstream.address, upstream.started_at
         try:
             async with asyncio.timeout(self.connect_timeout):
@@ -429,7 +442,7 @@
             if connection.transport is None:
                 raise ConnectionError("lost as soon as made")
             upstream.connections.add(connection)
-            exchange.run_on(connection)
+            exchange.start_on(connection)
         except LocalFaultError as fault:
             log.warning("backend %s: no connection could be made here: %s", at, fault)
             connection.abandon()
@@ -443,7 +456,7 @@
             connection.abandon()
             exchange.end(Status.RESET)
 
-    async def _connected(self, connection: Connection, at: Address) -> None:
+    async def _connected(self, connection: UpstreamConnection, at: Address) -> None:
         """Raises OSError, LocalFaultError where this machine still could not when time ran out."""
         local: OSError | None = None
         try:
@@ -455,13 +468,13 @@
                     if fault.errno not in LOCAL_FAULTS:
                         raise
                     local = fault
-                    await asyncio.sleep(CONNECT_AGAIN)
+                    await asyncio.sleep(CONNECT_RETRY_INTERVAL_S)
         except asyncio.CancelledError:
             if local is not None and local.errno != errno.ENETUNREACH:  # which may tell of the backend, too
                 raise LocalFaultError(str(local)) from None
             raise
 
-    def _spare_one(self) -> bool:
+    def _close_idlest(self) -> bool:
         """At the bound, the connection that is idle the longest makes room."""
         idle = [connection for upstream in self.with_idle for connection in upstream.idle[:1]]
         if not idle:
@@ -473,4 +486,4 @@
         oldest = time.monotonic() - self.idle_for
         for upstream in list(self.with_idle):
             upstream.close_idle(oldest)
-        self.loop.call_later(SWEEP, self._sweep)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
--- a/gladegw/net/upstream/exchange.py
+++ b/gladegw/net/upstream/exchange.py
@@ -10,16 +10,16 @@
 
 from gladegw.balancing.events import Status
 from gladegw.limits.buffer_budget import MAX_BUFFERED_BYTES
-from gladegw.net.upload import Upload
+from gladegw.net.upload import RequestBody
 
 if TYPE_CHECKING:
-    from gladegw.net.upstream.connections import Connection, Upstream
+    from gladegw.net.upstream.connections import Upstream, UpstreamConnection
 
 log = logging.getLogger(__name__)
 
-LATE = 0.01  # s of delay of a timer after which the sockets are looked at first
-ONE_TURN = 0.001  # s; the loop reads its sockets before such a timer
-STREAM_STALL = 20.0  # s in which some bytes of a streamed message must move
+TIMER_LAG_S = 0.01  # s of delay of a timer after which the sockets are looked at first
+ONE_LOOP_TURN_S = 0.001  # s; the loop reads its sockets before such a timer
+STREAM_STALL_S = 20.0  # s in which some bytes of a streamed message must move
 
 
 class Exchange:
@@ -40,14 +40,15 @@
         "done",
         "due",
         "elapsed",
+        "forwarded_bytes",
         "headers",
-        "held",
         "length",
         "loop",
         "may_start",
-        "moved_at",
-        "passed_on",
+        "paused",
+        "progressed_at",
         "request",
+        "request_complete",
         "sent",
         "sink",
         "started_at",
@@ -56,7 +57,6 @@
         "timer",
         "upload",
         "upstream",
-        "whole",
         "written",
     )
 
@@ -77,14 +77,14 @@
         self.status: Status | None = None
         self.elapsed = 0.0  # s: from the last byte of the request to the first of a large answer, or the end
         self.sent = False  # some of the request has gone out
-        self.whole = False  # all of it has
-        self.upload: Upload | None = None  # the body that follows `request` while it comes
+        self.request_complete = False  # all of it has
+        self.upload: RequestBody | None = None  # the body that follows `request` while it comes
         self.sink: Callable[[bytes], None] | None = None  # where the answer goes as it comes
-        self.moved_at = 0.0  # when bytes of a streamed message last moved
+        self.progressed_at = 0.0  # when bytes of a streamed message last moved
         self.length: int | None = None  # of its answer's body, where that is told
-        self.passed_on = 0  # bytes of that body that have gone to the sink
-        self.held = False  # the caller takes nothing for now
-        self.connection: Connection | None = None
+        self.forwarded_bytes = 0  # bytes of that body that have gone to the sink
+        self.paused = False  # the caller takes nothing for now
+        self.connection: UpstreamConnection | None = None
         self.code = 0
         self.headers: list[tuple[bytes, bytes]] = []
         self.body = b""
@@ -92,15 +92,15 @@
         self.timer = self.loop.call_later(timeout, self._out_of_time)
 
     @property
-    def coming(self) -> bool:
+    def uploading(self) -> bool:
         """Whether some of the request's body is still to be passed on."""
-        return self.upload is not None and not self.whole
+        return self.upload is not None and not self.request_complete
 
     def end(self, status: Status) -> None:
         """Any end but a whole answer gives up the connection, so that a late answer reaches nobody."""
         if self.status is not None:
             return
-        if status in (Status.RESET, Status.TIMEOUT) and self.coming:
+        if status in (Status.RESET, Status.TIMEOUT) and self.uploading:
             status = Status.CONNECT_FAILED  # no backend starts a request whose last byte it has not got
         self.status = status
         if self.sink is None:
@@ -121,42 +121,42 @@
 
     def _out_of_time(self) -> None:
         now = time.monotonic()
-        if self.sent and (self.sink is not None or self.coming):
-            self._look_at_stream(now)
+        if self.sent and (self.sink is not None or self.uploading):
+            self._check_stream(now)
             return
-        if now > self.due + LATE:
+        if now > self.due + TIMER_LAG_S:
             # This process stood still, and timers come before sockets: the answer may have come long ago.
             self.due = math.inf
-            self.timer = self.loop.call_later(ONE_TURN, self._out_of_time)
+            self.timer = self.loop.call_later(ONE_LOOP_TURN_S, self._out_of_time)
             return
-        if self.sent and self.upstream.heard_at < self.started_at:
+        if self.sent and self.upstream.last_received_at < self.started_at:
             # The backend said nothing to anyone meanwhile. A machine that vanished leaves its connections
             # open and silent; when it is back, each would cost one more call or probe to find out.
             self.upstream.close_idle(self.started_at)
         self.end(Status.TIMEOUT if self.sent else Status.NOT_SENT)
 
-    def _look_at_stream(self, now: float) -> None:
+    def _check_stream(self, now: float) -> None:
         """What flows has no time limit, as long as it flows; how long a caller may take is for the callers'
         side to say."""
         upload = self.upload
-        waits_for_caller = self.coming and upload is not None and not upload.waiting
-        if waits_for_caller or now < self.moved_at + STREAM_STALL:
-            self.timer = self.loop.call_later(STREAM_STALL / 4, self._out_of_time)
+        waits_for_caller = self.uploading and upload is not None and not upload.waiting
+        if waits_for_caller or now < self.progressed_at + STREAM_STALL_S:
+            self.timer = self.loop.call_later(STREAM_STALL_S / 4, self._out_of_time)
         else:
             self.end(Status.TIMEOUT)
 
-    def run_on(self, connection: Connection) -> None:
+    def start_on(self, connection: UpstreamConnection) -> None:
         """Writes the request, unless it has ended or must not start any more."""
         if self.status is not None or not self.may_start():
-            connection.upstream.keep(connection)
+            connection.upstream.return_idle(connection)
             self.end(Status.NOT_SENT)
             return
         self.connection = connection
         self.sent = True
-        self.moved_at = time.monotonic()
+        self.progressed_at = time.monotonic()
         connection.begin(self)
 
-    def went_out(self) -> None:
+    def on_request_sent(self) -> None:
         """The last byte of the request is on its way."""
         if self.upload is not None:  # its time begins here
             self.upload.reader = None
@@ -164,7 +164,7 @@
             self.due = self.started_at + self.timeout
             self.timer.cancel()
             self.timer = self.loop.call_later(self.timeout, self._out_of_time)
-        self.whole = True
+        self.request_complete = True
         if self.written is not None:
             self.written()
 
@@ -175,33 +175,33 @@
         self.code, self.headers, self.length = code, headers, length
         self.elapsed = time.monotonic() - self.started_at
         self.timer.cancel()
-        self.moved_at = time.monotonic()
-        self.timer = self.loop.call_later(STREAM_STALL, self._out_of_time)
+        self.progressed_at = time.monotonic()
+        self.timer = self.loop.call_later(STREAM_STALL_S, self._out_of_time)
         return self.begun(self, length)
 
     @property
     def large(self) -> bool:
         """Whether its answer is larger than what is held whole."""
-        return max(self.length or 0, self.passed_on) > MAX_BUFFERED_BYTES
+        return max(self.length or 0, self.forwarded_bytes) > MAX_BUFFERED_BYTES
 
-    def pass_on(self, chunk: bytes) -> None:
+    def forward(self, chunk: bytes) -> None:
         """The next bytes of an answer that is passed on as it comes."""
         if self.sink is not None:
-            self.passed_on += len(chunk)
+            self.forwarded_bytes += len(chunk)
             self.sink(chunk)
 
     def pause(self) -> None:
-        self.held = True
+        self.paused = True
         if self.connection is not None:
             self.connection.hold(True)
 
     def resume(self) -> None:
-        self.held = False
-        self.moved_at = time.monotonic()
+        self.paused = False
+        self.progressed_at = time.monotonic()
         if self.connection is not None:
             self.connection.hold(False)
 
-    def answered(self, code: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+    def on_answer(self, code: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         self.connection = None
         self.code, self.headers, self.body = code, headers, body
         if code == 200:
--- a/gladegw/net/wallclock.py
+++ b/gladegw/net/wallclock.py
@@ -6,7 +6,7 @@
 import time
 
 STEP = 0.02  # s by which the wall clock has to move against the monotonic one to count as stepped
-MOST_STEPS = 8  # that are remembered
+MAX_STEPS = 8  # that are remembered
 
 
 class StartTimes:
@@ -19,12 +19,12 @@
     def monotonic(self, since_ms: float) -> float:
         """Seconds of the monotonic clock, above 0, at a told Unix time in milliseconds."""
         now = time.monotonic()
-        self._look(now)
+        self._check_step(now)
         readings = [since_ms / 1000 - offset for offset in self.offsets]
         past = [reading for reading in readings if reading <= now + STEP]
         return max(max(past, default=now), 1e-3)
 
-    def _look(self, now: float) -> None:
+    def _check_step(self, now: float) -> None:
         offset = time.time() - now
         if all(abs(offset - known) > STEP for known in self.offsets):
-            self.offsets = [*self.offsets[-MOST_STEPS + 1 :], offset]
+            self.offsets = [*self.offsets[-MAX_STEPS + 1 :], offset]
--- a/gladegw/operators/request_counters.py
+++ b/gladegw/operators/request_counters.py
@@ -21,7 +21,7 @@
 class OutcomeCounts:
     """How the requests of one class ended."""
 
-    __slots__ = ("bad_gateway", "dropped", "disconnected", "passed")
+    __slots__ = ("bad_gateway", "disconnected", "dropped", "passed")
 
     def __init__(self) -> None:
         self.passed = self.dropped = self.bad_gateway = self.disconnected = 0
--- a/gladegw/replay.py
+++ b/gladegw/replay.py
@@ -15,10 +15,10 @@
 from typing import Any
 
 from gladegw.balancing.admission import Admission, Mean
-from gladegw.balancing.balancer import CUT, HELD, LATE, TRIES, Balancer
+from gladegw.balancing.balancer import ATTEMPTS_EXHAUSTED, QUEUED, SHED, TOO_LATE, Balancer
 from gladegw.balancing.events import Arrival, ServerEntry, Settings
 from gladegw.balancing.requests import Attempt, Call
-from gladegw.balancing.server_selection import USED_OF_SERVER, Server, Servers
+from gladegw.balancing.server_selection import USED_OF_SERVER, Server, ServerSelector
 from gladegw.net.capture import VERSION
 from gladegw.net.config import flatten
 from gladegw.net.endpoint_lists import STATES, server_id
@@ -26,30 +26,30 @@
 from gladegw.simulator_adapter import read_settings
 
 PLAIN = re.compile(r"[\w.:-]+", re.ASCII)
-UNDRAWN = 0.5  # for a draw that the changed inputs need and the recorded ones did not
+DEFAULT_DRAW = 0.5  # for a draw that the changed inputs need and the recorded ones did not
 
 Difference = tuple[str, str]
 Tables = dict[int, tuple[Any, Any]]  # epoch and table, by generation; None: there was none, no text recorded
 
 
-class Unusable(Exception):
+class CaptureError(Exception):
     """What was read is no capture that this program can replay; the message is one line."""
 
 
-class ToldServers(Servers):
+class RecordedServers(ServerSelector):
     def draw(self, server: Server) -> float:
-        return server.drawn
+        return server.tie_break
 
 
-class ToldAdmission(Admission):
-    told: float | None = None
+class RecordedAdmission(Admission):
+    recorded: float | None = None
 
     def draw(self) -> float:
-        return UNDRAWN if self.told is None else self.told
+        return DEFAULT_DRAW if self.recorded is None else self.recorded
 
 
-def word(verdict: str) -> str:
-    return verdict if verdict == HELD else f"refused-{verdict}"
+def verdict_text(verdict: str) -> str:
+    return verdict if verdict == QUEUED else f"refused-{verdict}"
 
 
 def plain(text: str) -> str:
@@ -57,15 +57,15 @@
     return text if PLAIN.fullmatch(text) else json.dumps(text)
 
 
-class Again:
+class ReplayedRequest:
     """One request's decisions, made again."""
 
     def __init__(self, settings: Settings, lists: dict[int, dict[str, Any]], record: dict[str, Any]) -> None:
         self.settings, self.lists, self.record = settings, lists, record
         self.balancer = Balancer(settings, 0)
-        self.admission = self.balancer.admission = ToldAdmission(settings.stage, Random(0))
-        self.servers = self.balancer.servers = ToldServers(settings, Random(0))
-        self.cls = self.balancer.kinds.get(record["class"])
+        self.admission = self.balancer.admission = RecordedAdmission(settings.stage, Random(0))
+        self.servers = self.balancer.servers = RecordedServers(settings, Random(0))
+        self.cls = self.balancer.classes.get(record["class"])
         self.call: Call | None = None
         self.sent: list[Server] = []  # by attempt
 
@@ -78,65 +78,68 @@
                 told = self.record if place == last else step
                 recorded, replayed = str(told["server"]), self.pick(step, told)
             else:
-                recorded, replayed = word(step["said"]), word(self.ask(step))
+                recorded, replayed = verdict_text(step["said"]), verdict_text(self.replay_step(step))
             if recorded != replayed:
                 return recorded, replayed
         return None
 
-    def ask(self, step: dict[str, Any]) -> str:
+    def replay_step(self, step: dict[str, Any]) -> str:
         self.balancer.now = step["at"]
         if step["step"] == "admit":
             return self.admit(step)
         call = self.resume(step)
         if step["step"] == "hold":
-            call.place, call.asked_until = step["before"], step["asked_until"]
-            return self.balancer.holds(call, step["place"], step["wait"])
+            call.queue_position, call.probe_wait_until = step["before"], step["asked_until"]
+            return self.balancer.queue_verdict(call, step["place"], step["wait"])
         if step["step"] == "start":
-            self.balancer.busy = step["busy"]
-            return LATE if self.balancer.too_late(call) else HELD
+            self.balancer.window_in_use = step["busy"]
+            return TOO_LATE if self.balancer.is_too_late(call) else QUEUED
         if step["step"] == "repeat":
             self.balancer.retry_tokens = step["tokens"]
-            return HELD if self.balancer.repeats(call) else TRIES
-        raise Unusable(f"unknown step {step['step']!r}")
+            return QUEUED if self.balancer.may_retry(call) else ATTEMPTS_EXHAUSTED
+        raise CaptureError(f"unknown step {step['step']!r}")
 
     def admit(self, step: dict[str, Any]) -> str:
         record, balancer = self.record, self.balancer
         budget = step.get("budget", record["budget_ms"] / 1000 - step["spent"])
         if self.cls is None or not 0 < budget < math.inf:
-            return CUT
+            return SHED
         quota = None
         if self.settings.stage == 0 and record["tenant"] in balancer.quota:
             quota = balancer.quota[record["tenant"]] if step.get("quota") is None else step["quota"]
         event = Arrival(1, record["class"], budget, record["tenant"], step.get("work", 0.0))
         event.route_timeout = step.get("limit", math.inf)
-        self.call = balancer.call(event, self.cls, quota, step.get("usual", 0.0))
-        self.call.most = step.get("most", 0)
+        self.call = balancer.make_call(event, self.cls, quota, step.get("usual", 0.0))
+        self.call.max_attempts = step.get("most", 0)
         cut = step.get("cut")
-        self.admission.cut, self.admission.tie = -math.inf if cut is None else cut, step.get("tie", 0.0)
-        self.admission.told = step.get("draw")
-        return HELD if balancer.admits(self.call) else CUT
+        self.admission.threshold, self.admission.tie_reject_fraction = (
+            -math.inf if cut is None else cut,
+            step.get("tie", 0.0),
+        )
+        self.admission.recorded = step.get("draw")
+        return QUEUED if balancer.is_admitted(self.call) else SHED
 
     def resume(self, step: dict[str, Any]) -> Call:
         """The call as it stood at this step."""
         call = self.call
         if call is None:
-            raise Unusable("the request was never admitted")
+            raise CaptureError("the request was never admitted")
         call.cls.mean.value = step["mean"]
         call.attempts = []
         for number, (status, sent_at) in enumerate(step["tries"]):
             attempt = Attempt(call, number, self.sent[number], sent_at, 0.0)
             attempt.status = status
             call.attempts.append(attempt)
-        call.out = sum(1 for attempt in call.attempts if attempt.status < 0)
+        call.in_flight = sum(1 for attempt in call.attempts if attempt.status < 0)
         return call
 
     def pick(self, step: dict[str, Any], told: dict[str, Any]) -> str:
         servers, balancer = self.servers, self.balancer
-        balancer.now, balancer.busy = step["at"], step["busy"]
+        balancer.now, balancer.window_in_use = step["at"], step["busy"]
         call = self.resume(step)
         listed = self.lists.get(told["list"])
         if listed is None or listed["index"] != told["index"]:
-            raise Unusable(f"list {told['list']} with index {told['index']} is missing")
+            raise CaptureError(f"list {told['list']} with index {told['index']} is missing")
         names = {}
         entries = {endpoint["name"]: endpoint for endpoint in listed["endpoints"]}
         servers.pool = []
@@ -144,16 +147,19 @@
             server = self.server(entries[name], known, told["inflight"][name], told["load"].get(name))
             servers.pool.append(server)
             names[server.id] = name
-        servers.unit, servers.idle_safe = step["unit"], step["idle_safe"]
+        servers.mean_latency, servers.trusted_idle = step["unit"], step["idle_safe"]
         servers.mean_load.value = step["mean_load"]
-        servers.on_new.value, servers.on_open.value = step["on_new"], step["on_open"]
+        servers.new_connection_cost.value, servers.open_connection_cost.value = (
+            step["on_new"],
+            step["on_open"],
+        )
         servers.zone_load = {zone: Mean(value) for zone, value in step["zones"].items()}
         if told["server"] not in entries:
             return "none"  # the recorded one is no server of this list
         self.sent.append(self.server(entries[told["server"]], {}, 0, None))
-        if balancer.too_late(call):
-            return word(LATE)
-        choice = servers.pick(call, balancer.gate, balancer.now)
+        if balancer.is_too_late(call):
+            return verdict_text(TOO_LATE)
+        choice = servers.pick(call, balancer.lifecycle, balancer.now)
         return "none" if choice is None else names[choice[0].id]
 
     @staticmethod
@@ -168,7 +174,7 @@
         server = Server(entry, 0.0)
         for name, nothing in USED_OF_SERVER.items():
             setattr(server, name, known.get(name, nothing))
-        server.out = inflight
+        server.in_flight = inflight
         if load is not None:
             server.last_report = (read_report(load.encode()) or {}).get("busy_reqs", 0.0)
         return server
@@ -185,7 +191,7 @@
     try:
         return Table(read_text(record["text"], record["file"], ("expect",)))
     except RoutingError as fault:
-        raise Unusable(f"the recorded routes can't be used: {fault}") from None
+        raise CaptureError(f"the recorded routes can't be used: {fault}") from None
 
 
 def _rerouted(tables: Tables, record: dict[str, Any]) -> Difference | None:
@@ -194,10 +200,10 @@
     if route is None:
         return None
     if route["generation"] not in tables:
-        raise Unusable(f"generation {route['generation']} of the routes is missing")
+        raise CaptureError(f"generation {route['generation']} of the routes is missing")
     epoch, table = tables[route["generation"]]
     if epoch != route.get("epoch"):
-        raise Unusable(f"generation {route['generation']} is of epoch {epoch}, not {route.get('epoch')}")
+        raise CaptureError(f"generation {route['generation']} is of epoch {epoch}, not {route.get('epoch')}")
     if table is None:
         return None
     from gladegw.routing.model import Ask
@@ -234,31 +240,31 @@
                     continue  # of the log that a dump stands in
                 record = json.loads(line)
                 if record.get("v") != VERSION:
-                    raise Unusable(f"version {record.get('v')!r} is not known, only {VERSION}")
+                    raise CaptureError(f"version {record.get('v')!r} is not known, only {VERSION}")
                 kind = record.get("kind")
                 if kind == "start":
                     settings, lists, tables = read_settings(flatten(record["settings"])), {}, {}
                 elif settings is None:
-                    raise Unusable("there is no start record before it")
+                    raise CaptureError("there is no start record before it")
                 elif kind == "list":
                     lists[record["list"]] = record
                 elif kind == "routes":
                     tables[record["generation"]] = record.get("epoch"), _table(record)
                 elif kind == "req":
-                    found = _rerouted(tables, record) or Again(settings, lists, record).difference()
+                    found = _rerouted(tables, record) or ReplayedRequest(settings, lists, record).difference()
                     if found is not None:
                         yield str(record["id"]), found
                 else:
-                    raise Unusable(f"unknown kind {kind!r}")
-    except Unusable as fault:
-        raise Unusable(f"{path}:{number}: {fault}") from None
+                    raise CaptureError(f"unknown kind {kind!r}")
+    except CaptureError as fault:
+        raise CaptureError(f"{path}:{number}: {fault}") from None
     except OSError as fault:
-        raise Unusable(f"{path}: {fault.strerror or fault}") from None
+        raise CaptureError(f"{path}: {fault.strerror or fault}") from None
     except (ValueError, KeyError, IndexError, TypeError, AttributeError) as fault:
         text = " ".join(f"malformed record: {fault!r}".split())
-        raise Unusable(f"{path}:{number}: {text}") from None
+        raise CaptureError(f"{path}:{number}: {text}") from None
     if settings is None:
-        raise Unusable(f"{path}:{number}: no start record")
+        raise CaptureError(f"{path}:{number}: no start record")
 
 
 def replay(path: str) -> int:
--- a/gladegw/rig/faulty_versions.py
+++ b/gladegw/rig/faulty_versions.py
@@ -19,13 +19,13 @@
 
 from gladegw.balancing import endpoint_freshness
 from gladegw.balancing.events import ServerState, Status
-from gladegw.balancing.server_selection import Servers
+from gladegw.balancing.server_selection import ServerSelector
 from gladegw.net import endpoint_lists, listener
-from gladegw.net.acceptor import Entrance
+from gladegw.net.acceptor import Acceptor
 from gladegw.net.downstream.connection import ClientConnection
 from gladegw.net.driver import Driver
 from gladegw.net.request import Request
-from gladegw.net.routes import Pools
+from gladegw.net.routes import PoolRouter
 
 CRASH_AFTER = 20.0  # s
 SLOWER = 0.03  # s
@@ -37,10 +37,10 @@
 
 
 def _of_class(connection: ClientConnection, cls: str) -> bool:
-    turn = connection.turn
-    if turn is None or not isinstance(turn.what, Request):
+    turn = connection.current
+    if turn is None or not isinstance(turn.request, Request):
         return False
-    return not cls or turn.what.cls == cls
+    return not cls or turn.request.cls == cls
 
 
 def fails(share: float, cls: str = "") -> None:
@@ -62,10 +62,10 @@
     def answer(self: ClientConnection, code: int, headers: Any, body: bytes) -> None:
         if not _of_class(self, cls):
             return real(self, code, headers, body)
-        asyncio.get_running_loop().call_later(SLOWER, late, self, self.turn, code, headers, body)
+        asyncio.get_running_loop().call_later(SLOWER, late, self, self.current, code, headers, body)
 
     def late(self: ClientConnection, turn: Any, code: int, headers: Any, body: bytes) -> None:
-        if self.turn is turn:  # whoever asked may have left
+        if self.current is turn:  # whoever asked may have left
             real(self, code, headers, body)
 
     ClientConnection.answer = answer  # type: ignore[method-assign]
@@ -86,7 +86,7 @@
 
 def _once_serving(then: Callable[[], None]) -> None:
     """From when it starts to ask discovery on."""
-    for kind in (Driver, Pools):
+    for kind in (Driver, PoolRouter):
         real = kind.start
 
         def start(self: Any, real: Any = real) -> None:
@@ -119,7 +119,7 @@
 
 def never() -> None:
     """Never says that it is ready."""
-    for kind in (Driver, Pools):
+    for kind in (Driver, PoolRouter):
         kind.ready = lambda self: False  # type: ignore[method-assign]
 
 
@@ -130,7 +130,7 @@
 
 def retries(share: float) -> None:
     """Takes this share of good answers to first attempts for failures, and tries again."""
-    real = Driver._attempt_ended
+    real = Driver._on_attempt_end
 
     def ended(self: Driver, call: Any, number: int, server: int, exchange: Any) -> None:
         first = call.open and not call.streaming and call.number not in again
@@ -140,7 +140,7 @@
         real(self, call, number, server, exchange)
 
     again: deque[int] = deque(maxlen=1000)
-    Driver._attempt_ended = ended  # type: ignore[method-assign]
+    Driver._on_attempt_end = ended  # type: ignore[method-assign]
 
 
 def drains() -> None:
@@ -150,7 +150,7 @@
 
 def deaf() -> None:
     """Lets nobody in any more once the system has failed to accept a connection."""
-    real = Entrance._accept
+    real = Acceptor._accept
     failed = False
 
     class Watched(socket.socket):
@@ -169,7 +169,7 @@
     def listen(host: str, port: int) -> socket.socket:
         return Watched(fileno=plain_listen(host, port).detach())
 
-    def accept(self: Entrance, sock: socket.socket) -> None:
+    def accept(self: Acceptor, sock: socket.socket) -> None:
         if failed:
             self.loop.remove_reader(sock)
         else:
@@ -177,14 +177,14 @@
 
     plain_listen = listener.listen
     listener.listen = listen
-    Entrance._accept = accept  # type: ignore[method-assign]
+    Acceptor._accept = accept  # type: ignore[method-assign]
 
 
 def trusts() -> None:
     """Takes a completed call as proof that its server does not drain, and repeats refused calls late."""
-    Servers.serving_at = lambda self, server: server.took_at  # type: ignore[method-assign]
-    endpoint_freshness.CROWDED_RETRY = endpoint_freshness.CROWDED_RETRY_MOST = (
-        endpoint_freshness.LAPSED_RETRY_MOST
+    ServerSelector.serving_at = lambda self, server: server.completed_at  # type: ignore[method-assign]
+    endpoint_freshness.OVERLOADED_RETRY_S = endpoint_freshness.MAX_OVERLOADED_RETRY_S = (
+        endpoint_freshness.MAX_EXPIRED_RETRY_S
     ) = 12.0
 
 
@@ -198,13 +198,13 @@
 
 def compiles(seconds: float) -> None:
     """A table takes so long to be made."""
-    real = Pools.prepare
+    real = PoolRouter.prepare
 
-    def prepare(self: Pools, name: str, text: str) -> Any:
+    def prepare(self: PoolRouter, name: str, text: str) -> Any:
         time.sleep(seconds)
         return real(self, name, text)
 
-    Pools.prepare = prepare  # type: ignore[method-assign]
+    PoolRouter.prepare = prepare  # type: ignore[method-assign]
 
 
 def stalls() -> None:
--- a/gladegw/rig/model_checking/policies.py
+++ b/gladegw/rig/model_checking/policies.py
@@ -44,7 +44,7 @@
 
     revision: int = 1
     force: CommittedPolicy = field(default_factory=CommittedPolicy)
-    change: OpenChange | None = None
+    open_change: OpenChange | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,9 +123,9 @@
     def steps(self, state: State) -> Iterator[tuple[str, State]]:
         if state.wrong:
             return
-        if state.changes and state.word.change is None:
+        if state.changes and state.word.open_change is None:
             yield "a change is proposed", self._proposed(state)
-        if state.word.change is not None:
+        if state.word.open_change is not None:
             yield "the change ends by its lease", self._closed(state)
             yield "the change is called off", self._closed(state)
             yield "the decider looks", self._look(state)
@@ -208,7 +208,7 @@
         return replace(state, word=replace(state.word, revision=state.word.revision + 1, open_change=None))
 
     def _look(self, state: State) -> State:
-        change = state.word.change
+        change = state.word.open_change
         assert change is not None
         registered = [self.name(state, n) for n, proxy in enumerate(state.proxies) if proxy.registered]
         votes = {
@@ -224,7 +224,7 @@
 
     def _decided(self, state: State) -> State:
         """The transaction: it compares that the change which was looked at is open still."""
-        found, word, change = state.looked, state.word, state.word.change
+        found, word, change = state.looked, state.word, state.word.open_change
         assert found is not None
         state = replace(state, looked=None)
         if self.compares and (change is None or change.id != state.looked_at):
@@ -254,7 +254,7 @@
 
     def _heard(self, state: State, number: int, word: Word) -> State:
         proxy = state.proxies[number]
-        member, actions = self.told(proxy.member, word.force, word.change, word.revision)
+        member, actions = self.told(proxy.member, word.force, word.open_change, word.revision)
         return self._acted(state, number, member, actions)
 
     def _prepared(self, state: State, number: int, digest: str, able: bool) -> State:
@@ -284,7 +284,7 @@
         state = replace(state, crashes=0, cuts=0, bad=0, changes=0)
         for _ in range(ROUNDS):
             state = self._quiet(state)
-        if state.word.change is not None:
+        if state.word.open_change is not None:
             return "a change stays open"
         for number, proxy in enumerate(state.proxies):
             stuck = proxy.member.phase is Phase.PREPARE_FAILED
@@ -309,7 +309,7 @@
     def normal(self, state: State) -> State:
         """Members are alike: the state with their order sorted. Names in the proposal go by place, so a state
         with an open change is left as it is."""
-        if state.word.change is not None or state.looked is not None:
+        if state.word.open_change is not None or state.looked is not None:
             return state
         fresh = [replace(proxy, life=0) for proxy in state.proxies]
         return replace(state, proxies=tuple(sorted(fresh, key=repr)), proposed_with=())
--- a/tests/balancing/test_balancer.py
+++ b/tests/balancing/test_balancer.py
@@ -26,75 +26,75 @@
     Tenant,
     Watch,
 )
-from gladegw.balancing.admission import Admission, Kind
+from gladegw.balancing.admission import Admission, ClassState
 
 
 def admission(window: float, latency: float, rate: float, worths: list[float], stage: int = 0) -> Admission:
     part = Admission(stage, Random(3))
     for _ in range(20):
         part.observe_latency(latency)
-    part.window, part.rate, part.mix = window, rate, latency
+    part.window, part.rate, part.mix_latency = window, rate, latency
     part.history.extend(worths)
     return part
 
 
 def test_drop_fraction() -> None:
     # ST = 4 / 0.1 = 40 a second of 50 that come: a fifth is dropped.
-    assert admission(4, 0.1, 50, [1.0] * 20).drop() == pytest.approx(0.2)
-    assert admission(4, 0.1, 39, [1.0] * 20).drop() == 0.0
+    assert admission(4, 0.1, 50, [1.0] * 20).target_drop_rate() == pytest.approx(0.2)
+    assert admission(4, 0.1, 39, [1.0] * 20).target_drop_rate() == 0.0
 
 
 def test_inner_tiers_refuse_later() -> None:
     # Work above is sunk: one tier down ST weighs 1.5 times.
-    assert admission(4, 0.1, 120, [1.0] * 20, stage=1).drop() == pytest.approx(0.5)
+    assert admission(4, 0.1, 120, [1.0] * 20, stage=1).target_drop_rate() == pytest.approx(0.5)
 
 
 def test_nothing_is_refused_without_samples() -> None:
     part = Admission(0, Random(3))
     part.rate = 1e6
-    part.set_cut()
-    assert part.drop() == 0.0 and part.admits(0.0)
+    part.update_threshold()
+    assert part.target_drop_rate() == 0.0 and part.admits(0.0)
 
 
 def test_cut_and_tie_share() -> None:
     # 70% at 1, 30% at 12. Dropping 0.2 of all refuses 2 in 7 of the cheap ones.
     part = admission(4, 0.1, 50, [1.0] * 70 + [12.0] * 30)
-    part.set_cut()
-    assert part.cut == 1.0 and part.tie == pytest.approx(0.2 / 0.7)
+    part.update_threshold()
+    assert part.threshold == 1.0 and part.tie_reject_fraction == pytest.approx(0.2 / 0.7)
     assert part.admits(12.0)
     refused = sum(not part.admits(1.0) for _ in range(7000))
     assert refused == pytest.approx(2000, rel=0.1)
     # Dropping 0.8 of all takes all cheap ones and a third of the others.
     part.rate = 200
-    part.set_cut()
-    assert part.cut == 12.0 and part.tie == pytest.approx(0.1 / 0.3)
+    part.update_threshold()
+    assert part.threshold == 12.0 and part.tie_reject_fraction == pytest.approx(0.1 / 0.3)
     assert not part.admits(1.0)
 
 
 def test_cut_takes_the_whole_level_when_the_cdf_just_reaches_the_target() -> None:
     part = admission(4, 0.1, 80, [1.0] * 50 + [12.0] * 50)
-    part.set_cut()
-    assert part.cut == 1.0 and part.tie == pytest.approx(1.0) and not part.admits(1.0)
+    part.update_threshold()
+    assert part.threshold == 1.0 and part.tie_reject_fraction == pytest.approx(1.0) and not part.admits(1.0)
 
 
 def test_window_grows_only_while_it_limits_and_shrinks_on_late_answers() -> None:
     part = Admission(0, Random(3))
-    part.starting = False
+    part.in_startup = False
     before = part.window
-    part.good(busy=0)
+    part.on_good_answer(busy=0)
     assert part.window == before
-    part.good(busy=before)
+    part.on_good_answer(busy=before)
     assert part.window > before
     grown = part.window
-    part.bad()
+    part.on_late_answer()
     assert part.window < grown
     for _ in range(100):
-        part.bad()
+        part.on_late_answer()
     assert part.window == 2
     # Found in incident ibba0b4: more instances than servers, each with two calls out.
-    part.set_least(servers=20, balancers=80)
+    part.set_min_window(servers=20, balancers=80)
     for _ in range(100):
-        part.bad()
+        part.on_late_answer()
     assert part.window == 1
 
 
@@ -114,7 +114,7 @@
     driver = Driver(settings(may_probe=True))
     part = driver.balancer.admission
     for call in range(40):
-        for server in driver.balancer.servers.known:
+        for server in driver.balancer.servers.servers:
             driver.feed(ProbeResult(server, Status.OK, 0.01, {"busy_reqs": held}))
         for send in sends(driver.arrive(call)):
             driver.wait(0.1)
@@ -158,7 +158,7 @@
     # were refused while the servers held one or two.
     driver = Driver(settings(may_probe=True))
     for call in range(20):
-        for server in driver.balancer.servers.known:
+        for server in driver.balancer.servers.servers:
             driver.feed(ProbeResult(server, Status.OK, 0.01, {"busy_reqs": held}))
         for send in sends(driver.arrive(call, "once")):
             driver.settle(send, Status.ERROR)
@@ -175,8 +175,8 @@
 
 def test_outstanding_ages_raise_proc() -> None:
     part = admission(4, 0.1, 50, [1.0] * 20)
-    part.age = 10.0  # mean latencies
-    assert part.proc == pytest.approx(0.5)
+    part.in_flight_age = 10.0  # mean latencies
+    assert part.processing_time == pytest.approx(0.5)
 
 
 def test_refused_calls_weigh_in_proc() -> None:
@@ -196,7 +196,7 @@
                     driver.settle(send, Status.CANCELLED, final=True)
         driver.settle(only_send(driver.arrive(call + 3, "heavy", 8.0)), Status.OK, elapsed=0.45)
         driver.wait(0.1)
-    assert driver.balancer.admission.proc == pytest.approx(0.15, rel=0.1)
+    assert driver.balancer.admission.processing_time == pytest.approx(0.15, rel=0.1)
 
 
 def test_heavy_calls_in_flight_are_not_old() -> None:
@@ -204,16 +204,16 @@
     light = RequestClass("light", priority_weight=1, latency_objective=1.0, deadline=2.0)
     heavy = RequestClass("heavy", priority_weight=9, latency_objective=4.0, deadline=8.0)
     driver = Driver(settings(classes=[light, heavy]))
-    kinds, part = driver.balancer.kinds, driver.balancer.admission
+    kinds, part = driver.balancer.classes, driver.balancer.admission
     kinds["light"].mean.value, kinds["heavy"].mean.value = 0.05, 0.45
     for call in range(20):
         driver.settle(only_send(driver.arrive(call, "light")), Status.OK, elapsed=0.05)
     driver.arrive(20, "heavy", 8.0)
     driver.wait(0.4)
-    usual = part.mix
-    assert usual < 0.1 and part.proc == usual
+    usual = part.mix_latency
+    assert usual < 0.1 and part.processing_time == usual
     driver.wait(1.0)
-    assert part.proc > usual
+    assert part.processing_time > usual
 
 
 def full(driver: Driver) -> None:
@@ -229,8 +229,8 @@
     driver = Driver(settings(classes=[cheap, dear, *settings().classes]))
     full(driver)
     part = driver.balancer.admission
-    part.mix, part.latency.count = 0.4, 0.0  # a place waits 0.4 / 2 = 0.2 s
-    for kind in driver.balancer.kinds.values():
+    part.mix_latency, part.latency.count = 0.4, 0.0  # a place waits 0.4 / 2 = 0.2 s
+    for kind in driver.balancer.classes.values():
         kind.mean.value = 0.2
     # Within an aim of 1 s: 0.2 n + 2 x 0.2 <= 1 allows three places.
     actions = driver.feed(*[Arrival(call, "cheap", 2.0) for call in (1, 2, 3, 4)])
@@ -244,7 +244,7 @@
 def test_one_place_remains() -> None:
     driver = Driver(settings())
     full(driver)
-    driver.balancer.admission.mix = 50.0
+    driver.balancer.admission.mix_latency = 50.0
     actions = driver.arrive(1)
     assert not [a for a in actions if isinstance(a, Reject)]
     assert [call.id for call in driver.balancer.queue] == [1]
@@ -309,7 +309,7 @@
     driver.wait(1.0)
     assert Probe(send.server) in driver.said
     driver.feed(ProbeResult(send.server, Status.OK, 0.001, None))
-    assert not driver.balancer.servers.known[send.server].ejected_until
+    assert not driver.balancer.servers.servers[send.server].ejected_until
 
 
 def test_without_probes_a_call_tries_a_server_whose_ejection_is_over() -> None:
@@ -318,14 +318,14 @@
     for call in (1, 2):
         driver.settle(only_send(driver.arrive(call)), Status.CONNECT_FAILED)
         driver.wait(0.01)
-    assert all(server.ejected_until for server in driver.balancer.servers.known.values())
+    assert all(server.ejected_until for server in driver.balancer.servers.servers.values())
     driver.wait(1.0)
     tried, other = only_send(driver.arrive(3)), only_send(driver.arrive(4))
     assert tried.server != other.server  # on trial: one call at a time
     driver.settle(tried, Status.OK)
     driver.settle(other, Status.CONNECT_FAILED)
-    known = driver.balancer.servers.known
-    assert not known[tried.server].ejected_until and not known[tried.server].trial
+    known = driver.balancer.servers.servers
+    assert not known[tried.server].ejected_until and not known[tried.server].on_trial
     assert known[other.server].ejected_until > driver.now
 
 
@@ -333,15 +333,15 @@
     driver = Driver(settings(may_probe=False), servers=entries(1, 2))
     servers = driver.balancer.servers
     for _ in range(1100):
-        assert servers.eject(servers.known[1], driver.now, hard=True)
-        servers.readmit(servers.known[1], driver.now)
+        assert servers.eject(servers.servers[1], driver.now, hard=True)
+        servers.readmit(servers.servers[1], driver.now)
 
 
 def test_soft_ejection_is_capped() -> None:
     # When everything is slow, no server is at fault.
     driver = Driver(settings(), servers=entries(*range(1, 7)))
     servers = driver.balancer.servers
-    ejected = [servers.eject(server, driver.now, hard=False) for server in servers.known.values()]
+    ejected = [servers.eject(server, driver.now, hard=False) for server in servers.servers.values()]
     assert sum(ejected) == 2
 
 
@@ -388,16 +388,16 @@
 def test_over_share_calls_are_worth_less() -> None:
     driver = Driver(settings(tenants=[Tenant("t", 2.0)], over_quota_weight=0.1, balancers=1), servers=[])
     driver.feed(*[Arrival(call, "safe", 2.0, "t") for call in range(4)])
-    assert [call.worth for call in driver.balancer.queue] == [10.0, 10.0, 1.0, 1.0]
+    assert [call.priority_weight for call in driver.balancer.queue] == [10.0, 10.0, 1.0, 1.0]
 
 
 def test_late_tries_are_known_by_their_budget() -> None:
     # Found in incident i37a472: a few long budgets made every first try look late.
     driver = Driver(settings())
-    kind = driver.balancer.kinds["safe"]
+    kind = driver.balancer.classes["safe"]
 
     def aim_left(budget: float) -> float:
-        return driver.balancer.aim_left(kind, budget, kind.usual_budget(budget))
+        return driver.balancer.objective_left(kind, budget, kind.typical_budget(budget))
 
     for _ in range(40):
         assert aim_left(1.2) == pytest.approx(1.0)
@@ -405,7 +405,7 @@
     assert aim_left(1.2) == pytest.approx(1.0)
     assert aim_left(0.9) == pytest.approx(1.0 - (2.0 - 0.9))
     inner = Driver(settings(stage=1))
-    assert inner.balancer.aim_left(inner.balancer.kinds["safe"], 0.3, 0.0) == pytest.approx(1.0)
+    assert inner.balancer.objective_left(inner.balancer.classes["safe"], 0.3, 0.0) == pytest.approx(1.0)
 
 
 def test_cold_budget_does_not_fall_with_the_send_rate() -> None:
@@ -413,13 +413,13 @@
     driver = Driver(settings(), servers=entries(1, 2))
     servers = driver.balancer.servers
     servers.send_rate = 40.0
-    servers.fill_tokens(driver.now, 0.05)
+    servers.refill_warmup_tokens(driver.now, 0.05)
     servers.send_rate = 1.0
     driver.feed(ServerList(ListKind.INCREMENTAL, entries(2, started_at=driver.now)))
-    cold = servers.known[2]
-    cold.tokens = 0.0
-    servers.fill_tokens(driver.now, 0.05)
-    assert cold.tokens == pytest.approx(40 / 2 * 0.3 * 1.5 * 0.05, rel=0.02)
+    cold = servers.servers[2]
+    cold.warmup_tokens = 0.0
+    servers.refill_warmup_tokens(driver.now, 0.05)
+    assert cold.warmup_tokens == pytest.approx(40 / 2 * 0.3 * 1.5 * 0.05, rel=0.02)
 
 
 def test_asking_starts_within_two_seconds_and_backs_off() -> None:
@@ -463,7 +463,7 @@
 
 def test_target_of_inner_tiers_is_smaller() -> None:
     cls = settings().classes[0]
-    assert Kind(cls, 1).least_target == pytest.approx(Kind(cls, 0).least_target / 2)
+    assert ClassState(cls, 1).min_target == pytest.approx(ClassState(cls, 0).min_target / 2)
 
 
 def test_window_stays_open_until_the_unhurried_latency_is_known() -> None:
@@ -475,14 +475,14 @@
     for call in range(15):
         driver.wait(1.0)
         driver.settle(only_send(driver.arrive(call)), Status.OK, elapsed=0.7)
-    assert part.window >= before and part.drop() == 0.0
+    assert part.window >= before and part.target_drop_rate() == 0.0
 
 
 def test_answer_within_the_same_instant_is_no_fault() -> None:
     # Found by the property test: a mean latency of 0 divided.
     driver = Driver(settings())
     driver.settle(only_send(driver.arrive(1)), Status.OK, elapsed=0.0)
-    assert driver.balancer.kinds["safe"].mean.value > 0
+    assert driver.balancer.classes["safe"].mean.value > 0
 
 
 def test_few_calls_and_cheap_probes_ask_before_sending() -> None:
@@ -504,8 +504,8 @@
 
 def test_target_is_never_below_what_an_unhurried_call_takes() -> None:
     # Found on a quiet day of wa-payments: the unhurried latency was near the target and W closed to 5.
-    kind = Kind(settings().classes[0], 0)
-    least = kind.least_target
+    kind = ClassState(settings().classes[0], 0)
+    least = kind.min_target
     for _ in range(30):
         kind.mean.add(0.3, 50)
     kind.learn_base(0.05)
@@ -522,21 +522,21 @@
     first, second = only_send(driver.arrive(1)), only_send(driver.arrive(2))
     driver.settle(first, Status.OK)
     driver.settle(second, Status.CONNECT_FAILED)
-    server = driver.balancer.servers.known[1]
+    server = driver.balancer.servers.servers[1]
     assert not server.ejected_until
     again = sends(driver.arrive(3)) + sends(driver.said, 2)[1:]
-    assert len(again) == 1 and server.out == 1  # one connection is open: one call at a time
+    assert len(again) == 1 and server.in_flight == 1  # one connection is open: one call at a time
 
 
 def test_hopeless_call_is_not_sent_while_others_are_out() -> None:
     # Found in incident i37a472: calls with less than a mean latency left were sent and ended too late.
     driver = Driver(settings())
-    driver.balancer.kinds["safe"].mean.value = 0.4
+    driver.balancer.classes["safe"].mean.value = 0.4
     only_send(driver.arrive(1))
     actions = driver.arrive(2, budget=0.3)
     assert Reject(2) in actions and not sends(actions)
     alone = Driver(settings())
-    alone.balancer.kinds["safe"].mean.value = 0.4
+    alone.balancer.classes["safe"].mean.value = 0.4
     assert len(sends(alone.arrive(2, budget=0.3))) == 1
 
 
@@ -562,7 +562,7 @@
     send = only_send(driver.arrive(2, "once"))
     assert CloseIdle(1) not in driver.said
     driver.settle(send, Status.RESET, elapsed=0.001)
-    assert not driver.balancer.servers.known[1].ejected_until
+    assert not driver.balancer.servers.servers[1].ejected_until
     driver.settle(only_send(driver.arrive(3, "once")), Status.OK)
     driver.wait(3.0)
     actions = driver.arrive(4, "once")
@@ -573,14 +573,14 @@
     driver = Driver(settings(), servers=entries(1, 2))
     send = only_send(driver.arrive(1, "once"))
     driver.settle(send, Status.RESET)
-    assert driver.balancer.servers.known[send.server].ejected_until
+    assert driver.balancer.servers.servers[send.server].ejected_until
 
 
 def test_one_error_does_not_eject() -> None:
     driver = Driver(settings(), servers=entries(1, 2))
     send = only_send(driver.arrive(1, "once"))
     driver.settle(send, Status.ERROR)
-    assert not driver.balancer.servers.known[send.server].ejected_until
+    assert not driver.balancer.servers.servers[send.server].ejected_until
 
 
 def test_calls_keep_to_open_connections_where_new_ones_are_slow() -> None:
@@ -590,8 +590,8 @@
         first = only_send(driver.arrive(1))
         for call in range(2, 12):  # open on one server, and slow or not when opened
             driver.settle(first, Status.OK, elapsed=0.1)
-            driver.balancer.servers.on_new.add(new_cost, 30)
-            driver.balancer.servers.on_open.add(1.0, 30)
+            driver.balancer.servers.new_connection_cost.add(new_cost, 30)
+            driver.balancer.servers.open_connection_cost.add(1.0, 30)
             first = only_send(driver.arrive(call))
         return int(only_send(driver.arrive(12)).server == first.server)
 
@@ -627,21 +627,25 @@
     out = [only_send(driver.arrive(call)) for call in range(3)]
     part = driver.balancer.admission
     driver.wait(0.05)
-    window, proc = part.window, part.proc
+    window, proc = part.window, part.processing_time
     driver.now += 1.9
     actions = driver.feed(
         *[Outcome(send.call, 0, send.server, Status.OK, 1.9, True) for send in out[:2]],
         Outcome(out[2].call, 0, out[2].server, Status.TIMEOUT, 1.9, False),
     )
-    assert part.window == window and part.proc == pytest.approx(proc) and Reject(out[2].call) in actions
-    assert not any(server.ejected_until for server in driver.balancer.servers.known.values())
+    assert (
+        part.window == window
+        and part.processing_time == pytest.approx(proc)
+        and Reject(out[2].call) in actions
+    )
+    assert not any(server.ejected_until for server in driver.balancer.servers.servers.values())
 
 
 def test_short_call_is_sent_once_its_candidates_are_asked() -> None:
     # Found on the quiet day of pratiche-nord: inner calls with less than 0.1 s left were refused while they
     # waited a hundredth for their probes.
     driver = Driver(settings(may_probe=True, price_probe=0.001), servers=entries(1, 2, 3, 4, 5))
-    driver.balancer.kinds["safe"].mean.value = 0.05
+    driver.balancer.classes["safe"].mean.value = 0.05
     actions = driver.arrive(1, budget=0.08)
     assert not sends(actions) and Reject(1) not in actions
     assert len(sends(driver.wait(0.012))) == 1
--- a/tests/balancing/test_endpoint_freshness.py
+++ b/tests/balancing/test_endpoint_freshness.py
@@ -11,7 +11,7 @@
 
 from gladegw import Balancer, DiscoveryFailure, ListKind, ServerList, SetTimer, Status, Timer, Watch
 from gladegw.balancing.balancer import TICK_TOKEN
-from gladegw.balancing.endpoint_freshness import Freshness
+from gladegw.balancing.endpoint_freshness import EndpointFreshness
 from gladegw.balancing.events import Event
 
 DRAIN_GRACE = 0.5  # s
@@ -24,53 +24,53 @@
 BEGIN = 100.0  # s on the proxies' clock, at which all watches fall silent
 
 
-def freshness() -> Freshness:
-    made = Freshness(Random(1), asks=True, drain_grace=DRAIN_GRACE, connect_timeout=CONNECT)
-    made.told(BEGIN, by_discovery=True)
+def freshness() -> EndpointFreshness:
+    made = EndpointFreshness(Random(1), polls=True, drain_grace=DRAIN_GRACE, connect_timeout=CONNECT)
+    made.on_update(BEGIN, by_discovery=True)
     return made
 
 
-def lapses_after(made: Freshness) -> float:
+def lapses_after(made: EndpointFreshness) -> float:
     """Seconds from BEGIN until the list may not be used any more."""
     step = 0
-    while not made.overdue(BEGIN + step * STEP):
+    while not made.is_expired(BEGIN + step * STEP):
         step += 1
     return step * STEP
 
 
 def test_a_list_holds_until_what_it_may_lack_counts_as_told_and_its_grace_is_over() -> None:
     made = freshness()
-    made.failed(BEGIN + 2.0, DiscoveryFailure.UNANSWERED)
+    made.on_failure(BEGIN + 2.0, DiscoveryFailure.UNANSWERED)
     assert TOLD_WITHIN < lapses_after(made) < TOLD_WITHIN + DRAIN_GRACE - CONNECT
 
 
 def test_a_list_that_is_followed_never_lapses() -> None:
-    assert not freshness().overdue(BEGIN + 1000.0)
+    assert not freshness().is_expired(BEGIN + 1000.0)
 
 
 def test_after_a_move_a_list_holds_no_longer_than_what_the_new_address_tells_may_take() -> None:
     made = freshness()
-    made.moved(BEGIN)
-    made.failed(BEGIN + 2.1, DiscoveryFailure.UNANSWERED)
+    made.on_address_change(BEGIN)
+    made.on_failure(BEGIN + 2.1, DiscoveryFailure.UNANSWERED)
     assert MOVED_TOLD_WITHIN < lapses_after(made) < MOVED_TOLD_WITHIN + DRAIN_GRACE - CONNECT
-    made.told(BEGIN + 3.0, by_discovery=True)
-    made.failed(BEGIN + 3.0, DiscoveryFailure.UNANSWERED)
+    made.on_update(BEGIN + 3.0, by_discovery=True)
+    made.on_failure(BEGIN + 3.0, DiscoveryFailure.UNANSWERED)
     assert lapses_after(made) > 3.0 + TOLD_WITHIN
 
 
 def test_a_whole_list_that_comes_too_slowly_after_a_move_holds_nothing_up() -> None:
     made = freshness()
-    made.moved(BEGIN)
+    made.on_address_change(BEGIN)
     assert MOVED_TOLD_WITHIN < lapses_after(made) < MOVED_TOLD_WITHIN + DRAIN_GRACE - CONNECT
 
 
 def test_one_that_begins_with_the_list_of_another_holds_it_no_longer() -> None:
     old, new = freshness(), freshness()
-    old.failed(BEGIN + 2.0, DiscoveryFailure.REJECTED_IMMEDIATELY)
-    new.told(BEGIN + 5.0, by_discovery=False)
-    new.continues(old)
+    old.on_failure(BEGIN + 2.0, DiscoveryFailure.REJECTED_IMMEDIATELY)
+    new.on_update(BEGIN + 5.0, by_discovery=False)
+    new.inherit(old)
     assert lapses_after(new) == lapses_after(old)
-    assert new.reachable
+    assert new.is_discovery_reachable
 
 
 @pytest.mark.parametrize("current", [True, False])
--- a/tests/balancing/test_request_rules.py
+++ b/tests/balancing/test_request_rules.py
@@ -23,8 +23,8 @@
     Timer,
     Watch,
 )
-from gladegw.balancing.admission import Kind
-from gladegw.balancing.requests import Call, Obligations
+from gladegw.balancing.admission import ClassState
+from gladegw.balancing.requests import Call, RequestLifecycle
 from gladegw.balancing.server_selection import Server
 
 NEVER = [Status.REJECTED, Status.CONNECT_FAILED, Status.NOT_SENT]
@@ -33,10 +33,10 @@
 
 def gate_with(
     cls: str, status: Status | None, duplicate: bool = False, cap: int = 3
-) -> tuple[Obligations, Call]:
+) -> tuple[RequestLifecycle, Call]:
     """A gate and a call with one earlier attempt on server 1, sent at 100.0; status None: still out."""
-    gate = Obligations(settings(may_hedge=duplicate, max_attempts=cap), [])
-    kind = Kind(next(c for c in CLASSES if c.name == cls), 0)
+    gate = RequestLifecycle(settings(may_hedge=duplicate, max_attempts=cap), [])
+    kind = ClassState(next(c for c in CLASSES if c.name == cls), 0)
     call = Call(7, kind, 1.0, 100.0, 102.0, 101.0)
     gate.calls[7] = call
     attempt = gate.send(call, server(1), 100.0, 1.0, 0.0)
@@ -57,21 +57,21 @@
 def test_what_never_ran_may_be_sent_and_refused(cls: str, status: Status) -> None:
     gate, call = gate_with(cls, status)
     assert gate.may_send(call, server(2, zone="b"), 100.6)
-    assert gate.may_refuse(call)
+    assert gate.may_reject(call)
 
 
 @pytest.mark.parametrize("status", MAYBE)
 def test_what_may_have_run_follows_its_class(status: Status) -> None:
     gate, call = gate_with("safe", status)
-    assert gate.may_send(call, server(2, zone="b"), 101.9) and gate.may_refuse(call)
+    assert gate.may_send(call, server(2, zone="b"), 101.9) and gate.may_reject(call)
     gate, call = gate_with("once", status)
-    assert not gate.may_send(call, server(1), 100.1) and not gate.may_refuse(call)
+    assert not gate.may_send(call, server(1), 100.1) and not gate.may_reject(call)
     gate, call = gate_with("zoned", status)
-    assert gate.may_send(call, server(2), 100.49) and not gate.may_refuse(call)
+    assert gate.may_send(call, server(2), 100.49) and not gate.may_reject(call)
     assert not gate.may_send(call, server(2, zone="b"), 100.1)
     assert not gate.may_send(call, server(2), 100.5)
     gate, call = gate_with("keyed", status)
-    assert gate.may_send(call, server(2, zone="b"), 100.49) and gate.may_refuse(call)
+    assert gate.may_send(call, server(2, zone="b"), 100.49) and gate.may_reject(call)
     assert not gate.may_send(call, server(2), 100.5)
 
 
@@ -97,7 +97,7 @@
     gate, call = gate_with("safe", None, duplicate=True)
     assert gate.may_send(call, server(2), 100.1)
     gate, call = gate_with("once", None, duplicate=True)
-    assert not gate.may_send(call, server(2), 100.1) and not gate.may_refuse(call)
+    assert not gate.may_send(call, server(2), 100.1) and not gate.may_reject(call)
 
 
 def test_cap_deadline_end_and_state_close_the_gate() -> None:
@@ -187,7 +187,7 @@
     driver.feed(StreamStarted(1, 0, send.server))
     actions = driver.wait(4.0)
     assert not [a for a in actions if isinstance(a, Fail | Reject) or sends([a])]
-    assert driver.balancer.busy == 0
+    assert driver.balancer.window_in_use == 0
 
 
 def test_cold_server_is_sent_no_more_than_its_budget() -> None:
--- a/tests/control/test_bundles.py
+++ b/tests/control/test_bundles.py
@@ -47,12 +47,12 @@
     token = 1
 
     def __init__(self) -> None:
-        self.model, self.at = InMemoryStore(), Keys("/x")
+        self.model, self.keys = InMemoryStore(), Keys("/x")
 
     @property
-    def view(self) -> StoreCache:
-        view = StoreCache(self.at)
-        view.load_snapshot(self.at.all, self.model.revision, self.model.get(Get(*self.at.all)))
+    def cache(self) -> StoreCache:
+        view = StoreCache(self.keys)
+        view.load_snapshot(self.keys.all, self.model.revision, self.model.get(Get(*self.keys.all)))
         return view
 
     def put(self, key: bytes, record: Record | bytes) -> None:
@@ -68,7 +68,7 @@
         return self.model.txn(Txn(compares, operations))
 
     def there(self) -> set[str]:
-        return {kv.key.decode().split("/")[4] for kv in self.model.get(Get(*self.at.bundle("")))}
+        return {kv.key.decode().split("/")[4] for kv in self.model.get(Get(*self.keys.bundle("")))}
 
 
 def test_a_bundle_goes_once_nothing_has_named_it_for_an_hour(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -76,18 +76,20 @@
     monkeypatch.setattr(bundle_collection, "boot_time", lambda: now)
     held, duty = Held(), BundleCollection()
     for digest in ("force", "stage", "past", "change", "o", "n", "old", "fresh"):
-        held.put(held.at.bundle_chunk(digest, 0), b"1")
-        held.put(held.at.bundle_chunk(digest, 1), b"2")
-    held.put(held.at.committed_policy, PolicyRecord(epoch=2, digest="force", new="stage", named=("a",)))
-    held.put(held.at.history(1), PolicyRecord(epoch=1, digest="past"))
-    held.put(held.at.open_change, PolicyChangeRecord(id="c", epoch=3, digest="change"))
-    held.put(held.at.rollout, ROLLOUT)
+        held.put(held.keys.bundle_chunk(digest, 0), b"1")
+        held.put(held.keys.bundle_chunk(digest, 1), b"2")
+    held.put(held.keys.committed_policy, PolicyRecord(epoch=2, digest="force", new="stage", named=("a",)))
+    held.put(held.keys.history(1), PolicyRecord(epoch=1, digest="past"))
+    held.put(held.keys.open_change, PolicyChangeRecord(id="c", epoch=3, digest="change"))
+    held.put(held.keys.rollout, ROLLOUT)
     asyncio.run(duty.step(held))
     now += UNREFERENCED_GRACE_S - 1
-    held.put(held.at.committed_policy, PolicyRecord(epoch=3, digest="fresh"))  # named meanwhile, and no more
+    held.put(
+        held.keys.committed_policy, PolicyRecord(epoch=3, digest="fresh")
+    )  # named meanwhile, and no more
     asyncio.run(duty.step(held))
     assert held.there() == {"force", "stage", "past", "change", "o", "n", "old", "fresh"}
-    held.put(held.at.committed_policy, PolicyRecord(epoch=4, digest="force", new="stage"))
+    held.put(held.keys.committed_policy, PolicyRecord(epoch=4, digest="force", new="stage"))
     now += 1
     asyncio.run(duty.step(held))
     assert held.there() == {"force", "stage", "past", "change", "o", "n", "fresh"}
@@ -97,20 +99,20 @@
     now = 1000.0
     monkeypatch.setattr(bundle_collection, "boot_time", lambda: now)
     held, duty = Held(), BundleCollection()
-    held.put(held.at.bundle_chunk("old", 0), b"1")
+    held.put(held.keys.bundle_chunk("old", 0), b"1")
     asyncio.run(duty.step(held))
     now += UNREFERENCED_GRACE_S
     real = held.names
 
     async def names(first: bytes, end: bytes) -> list[bytes]:
         found = await real(first, end)
-        view = held.view
+        view = held.cache
         monkeypatch.setattr(Held, "cache", property(lambda self: view))  # what is known of the store is older
-        held.put(held.at.open_change, PolicyChangeRecord(id="c", epoch=1, digest="old"))
+        held.put(held.keys.open_change, PolicyChangeRecord(id="c", epoch=1, digest="old"))
         return found
 
     held.names = names  # type: ignore[method-assign]
-    view = held.view
+    view = held.cache
     monkeypatch.setattr(Held, "cache", property(lambda self: view))
     asyncio.run(duty.step(held))
     assert held.there() == {"old"}
@@ -142,7 +144,7 @@
     change = held.model.keys[at.open_change].create_revision
     for name in ("a", "b"):
         held.put(at.vote(name, "i"), VoteRecord(change=change, digest="new", yes=True))
-    view = held.view
+    view = held.cache
     held.model.txn(Txn((), (Delete(at.vote("b", "i")), Delete(at.member("b", "i")))))
     monkeypatch.setattr(Held, "cache", property(lambda self: view))  # what is known of the store is older
     monkeypatch.setattr(deciding, "POLL_INTERVAL_S", 0.0)
--- a/tests/limits/test_connection_limits.py
+++ b/tests/limits/test_connection_limits.py
@@ -35,18 +35,18 @@
 
 
 @dataclass
-class Guest:
+class StubConnection:
     stage: ConnectionStage
-    begun: float
+    request_started_at: float
     changed_at: float
     received: int = 0
     delivered: bool = False
 
 
 times = st.floats(0, 10)
-guests = st.lists(
+connections = st.lists(
     st.builds(
-        lambda stage, begun, after, size: Guest(stage, begun, min(10.0, begun + after), size),
+        lambda stage, begun, after, size: StubConnection(stage, begun, min(10.0, begun + after), size),
         st.sampled_from(ConnectionStage),
         times,
         times,
@@ -55,8 +55,8 @@
 )
 
 
-@given(guests)
-def test_who_is_owed_an_answer_never_gives_way_and_the_idle_do_first(present: list[Guest]) -> None:
+@given(connections)
+def test_who_is_owed_an_answer_never_gives_way_and_the_idle_do_first(present: list[StubConnection]) -> None:
     found = next(iter(connections_to_evict(present, 10.0)), None)
     idle = [guest for guest in present if guest.stage is ConnectionStage.IDLE]
     if idle:
@@ -65,7 +65,8 @@
     elif found is None:
         coming = [guest for guest in present if guest.stage is ConnectionStage.RECEIVING]
         assert all(
-            10.0 - guest.begun <= (SLOW_REQUEST_GRACE_S if guest.received else NEW_CONNECTION_GRACE_S)
+            10.0 - guest.request_started_at
+            <= (SLOW_REQUEST_GRACE_S if guest.received else NEW_CONNECTION_GRACE_S)
             for guest in coming
         )
     else:
@@ -73,31 +74,33 @@
 
 
 def test_a_slow_writer_outlives_the_silent_and_the_dripping() -> None:
-    slow = Guest(ConnectionStage.RECEIVING, 8.3, 9.8, 100)  # has written for 1.7 s, and lately
-    half = Guest(ConnectionStage.RECEIVING, 9.4, 9.4, 100)
-    silent = Guest(ConnectionStage.RECEIVING, 9.5, 9.5)
-    dripping = Guest(ConnectionStage.RECEIVING, 9.1, 9.99, 12)
-    fresh = Guest(ConnectionStage.RECEIVING, 9.9, 9.9)
+    slow = StubConnection(ConnectionStage.RECEIVING, 8.3, 9.8, 100)  # has written for 1.7 s, and lately
+    half = StubConnection(ConnectionStage.RECEIVING, 9.4, 9.4, 100)
+    silent = StubConnection(ConnectionStage.RECEIVING, 9.5, 9.5)
+    dripping = StubConnection(ConnectionStage.RECEIVING, 9.1, 9.99, 12)
+    fresh = StubConnection(ConnectionStage.RECEIVING, 9.9, 9.9)
     for other in (half, silent, dripping):
         assert connections_to_evict([slow, other, fresh], 10.0) == [other]
     assert connections_to_evict([slow, fresh], 10.0) == [slow]
-    assert connections_to_evict([Guest(ConnectionStage.RECEIVING, 9.3, 9.8, 60), fresh], 10.0) == []
+    assert connections_to_evict([StubConnection(ConnectionStage.RECEIVING, 9.3, 9.8, 60), fresh], 10.0) == []
 
 
 def test_an_ending_connection_gives_way_when_its_answer_has_arrived() -> None:
-    arriving, arrived = (Guest(ConnectionStage.CLOSING, 9.0, 9.95, delivered=at) for at in (False, True))
+    arriving, arrived = (
+        StubConnection(ConnectionStage.CLOSING, 9.0, 9.95, delivered=at) for at in (False, True)
+    )
     assert connections_to_evict([arriving, arrived], 10.0, 2) == [arrived]
     assert connections_to_evict([arriving], 10.1) == [arriving]  # its peer takes too long
 
 
 def test_of_the_young_those_give_way_that_lag_most_behind_a_true_client() -> None:
     """None is old enough to be suspected by its silence alone, and places are wanted all the same."""
-    writing = Guest(
+    writing = StubConnection(
         ConnectionStage.RECEIVING, 9.8, 9.8, 25
     )  # a quarter of a head at once: a slow true writer
-    dripping = Guest(ConnectionStage.RECEIVING, 9.85, 9.99, 1)
-    silent = Guest(ConnectionStage.RECEIVING, 9.9, 9.9)
-    fresh = Guest(ConnectionStage.RECEIVING, 9.99, 9.99)
+    dripping = StubConnection(ConnectionStage.RECEIVING, 9.85, 9.99, 1)
+    silent = StubConnection(ConnectionStage.RECEIVING, 9.9, 9.9)
+    fresh = StubConnection(ConnectionStage.RECEIVING, 9.99, 9.99)
     assert connections_to_evict([writing, silent, fresh, dripping], 10.0, 4, SILENT) == [dripping, silent]
     assert connections_to_evict([writing, silent, fresh, dripping], 10.0, 4, 0.12) == [dripping]
     assert (
@@ -123,8 +126,10 @@
     assert press.silence_timeout == NEW_CONNECTION_GRACE_S
 
 
-@given(guests, st.integers(0, 5))
-def test_no_more_give_way_than_are_asked_for_and_none_twice(present: list[Guest], count: int) -> None:
+@given(connections, st.integers(0, 5))
+def test_no_more_give_way_than_are_asked_for_and_none_twice(
+    present: list[StubConnection], count: int
+) -> None:
     found = connections_to_evict(present, 10.0, count)
     assert len({id(guest) for guest in found}) == len(found) <= count
     assert found == connections_to_evict(present, 10.0, len(present))[:count]
--- a/tests/net/test_capture.py
+++ b/tests/net/test_capture.py
@@ -40,12 +40,12 @@
     Status,
 )
 from gladegw.balancing.events import Event
-from gladegw.balancing.server_selection import Servers
+from gladegw.balancing.server_selection import ServerSelector
 from gladegw.net.capture import Capture, CaptureSettings
 from gladegw.net.config import Config, flatten
 from gladegw.net.endpoint_lists import read_listing, server_id
 from gladegw.net.request import Request
-from gladegw.replay import Unusable, differences, replay
+from gladegw.replay import CaptureError, differences, replay
 from gladegw.simulator_adapter import read_settings
 
 TENANTS = [{"name": "hill-routes", "quota_rps": 20.0, "portion": 0.5}]
@@ -59,7 +59,7 @@
         self.capture, self.random = capture, random.Random(seed)
         self.balancer = Balancer(setup, seed)
         if watched and capture is not None:
-            self.balancer.observer = capture.step
+            self.balancer.observer = capture.on_decision
         self.now = 1000.0
         self.said: list[Any] = []
         self.calls: dict[int, int] = {}  # attempts made
@@ -76,7 +76,7 @@
         self.index += 1
         read = read_listing(told)
         if self.capture is not None:
-            self.capture.listed(read)
+            self.capture.on_list(read)
         kind = ListKind.FULL if whole else ListKind.INCREMENTAL
         return ServerList(kind, [listed.entry for listed in read.backends], read.version)
 
@@ -87,12 +87,12 @@
         if self.capture is not None:
             id = b"%016x" % self.number
             request = Request(id, cls, budget, arrival.tenant, "", 0.0, False, b"", 0.0, True)
-            self.capture.taken(request, arrival)
+            self.capture.on_request(request, arrival)
         return arrival
 
     def end(self, call: int, code: int | None) -> None:
         if self.calls.pop(call, None) is not None and self.capture is not None:
-            self.capture.ended(call, code)
+            self.capture.on_end(call, code)
 
     def step(self, events: list[Event]) -> None:
         self.now += 0.01
@@ -107,7 +107,7 @@
                 self.end(event.call, None)
             elif isinstance(event, ProbeResult) and event.report and self.capture is not None:
                 figures = ",".join(f"{k}={v:g}" for k, v in event.report.items())
-                self.capture.reported(event.server, figures.replace("busy_reqs", "inflight").encode())
+                self.capture.on_load_report(event.server, figures.replace("busy_reqs", "inflight").encode())
         for action in self.balancer.handle(self.now, events):
             self.said.append(action)
             self.act(action)
@@ -305,7 +305,9 @@
         if record["kind"] == "list":
             record["endpoints"][1]["status"] = "Terminating"
     assert list(differences(write(tmp_path / "d.jsonl", drained)))
-    monkeypatch.setattr(Servers, "load", lambda self, server, now: -float(server.out))  # the busiest first
+    monkeypatch.setattr(
+        ServerSelector, "load", lambda self, server, now: -float(server.out)
+    )  # the busiest first
     assert list(differences(path))
 
 
@@ -324,7 +326,7 @@
         came = world.arrive()
         assert isinstance(came, Arrival)
         world.step([came, ClientDisconnected(came.call)])
-    assert not world.balancer.arriving
+    assert not world.balancer.arrival_inputs
     assert world.capture is not None and not world.capture.open and len(world.capture.records) == 20
 
 
@@ -351,16 +353,16 @@
 
 def test_lists_are_whole_and_a_held_request_keeps_its_own() -> None:
     capture = capture_of()
-    capture.listed(read_listing(listing(41, *(endpoint(name, "127.0.0.1:1") for name in NAMES))))
+    capture.on_list(read_listing(listing(41, *(endpoint(name, "127.0.0.1:1") for name in NAMES))))
     request = Request(b"a" * 16, "stock", 1.2, "", "", 0.0, False, b"", 0.0, True)
-    capture.taken(request, Arrival(1, "stock", 1.1))
+    capture.on_request(request, Arrival(1, "stock", 1.1))
     server = server_id(NAMES[0])
     used = {"servers": {server: {"out": 2}}, "at": 1.0}
-    capture.step(1, "pick", used, server)
+    capture.on_decision(1, "pick", used, server)
     for index in range(42, 46):
         changed = endpoint(NAMES[1], "127.0.0.1:1", "Terminating", weight=float(index))
-        capture.listed(read_listing(listing(index, changed, snapshot=False)))
-    capture.ended(1, 200)
+        capture.on_list(read_listing(listing(index, changed, snapshot=False)))
+    capture.on_end(1, 200)
     told = [json.loads(text) for text in capture.lists.values()]
     assert [record["index"] for record in told] == [41, 45]
     assert [len(record["endpoints"]) for record in told] == [6, 6]
@@ -419,7 +421,7 @@
     assert (done.returncode, done.stdout) == (2, "")
     assert done.stderr.count("\n") == 1 and fault in done.stderr
     if path.exists():
-        with pytest.raises(Unusable):
+        with pytest.raises(CaptureError):
             list(differences(str(path)))
 
 
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -13,8 +13,8 @@
 
 from gladegw.balancing.events import Effect
 from gladegw.net.downstream.connection import NO_HEADERS
-from gladegw.net.downstream.server import Server
-from gladegw.net.interfaces import Reply
+from gladegw.net.downstream.server import DownstreamServer
+from gladegw.net.interfaces import ResponseSink
 from gladegw.net.request import Request
 from gladegw.operators.request_counters import RequestCounters
 
@@ -28,27 +28,27 @@
 class Recorder:
     """Stands in for the driver: keeps each request that is opened, and does with it as it is told."""
 
-    def __init__(self, do: Callable[[Reply], None] | None = None) -> None:
+    def __init__(self, do: Callable[[ResponseSink], None] | None = None) -> None:
         self.do = do
         self.opened_requests: asyncio.Queue[Request] = asyncio.Queue()
-        self.replies: list[Reply] = []
+        self.replies: list[ResponseSink] = []
 
-    def opened(self, request: Request, reply: Reply) -> object:
+    def on_request(self, request: Request, reply: ResponseSink) -> object:
         self.opened_requests.put_nowait(request)
         self.replies.append(reply)
         if self.do is not None:
             self.do(reply)
         return self
 
-    def uploaded(self, call: Any) -> None:
+    def on_body_complete(self, call: Any) -> None:
         raise AssertionError("no request here has a large body")
 
-    def left(self, call: Any) -> None:
+    def on_disconnect(self, call: Any) -> None:
         pass
 
 
-def callers_side(handler: Recorder) -> tuple[Server, tuple[str, int]]:
-    server = Server(
+def callers_side(handler: Recorder) -> tuple[DownstreamServer, tuple[str, int]]:
+    server = DownstreamServer(
         {"stock": Effect.IDEMPOTENT},
         handler,
         100,
@@ -56,8 +56,8 @@
         lambda: True,
         memoryview(bytearray(65536)),
     )
-    server.entrance.listen("127.0.0.1", 0)
-    (listener,) = server.entrance.listeners
+    server.acceptor.listen("127.0.0.1", 0)
+    (listener,) = server.acceptor.listeners
     return server, listener.getsockname()
 
 
@@ -82,14 +82,16 @@
             if kept:
                 client.send(request_line(1))
                 await handler.opened_requests.get()
-                await until(lambda: connection.turn is None)
+                await until(lambda: connection.current is None)
             first, rest = request_line(2)[:10], request_line(2)[10:]
             if ending in ("partial", "overdue"):
                 client.send(first)
-                await until(lambda: connection.inside)
+                await until(lambda: connection.receiving)
             connection.changed_at -= 10.0  # its last answer, if there was one, is long ago
-            connection.begun -= 10.0
-            connection.pace.due_at = time.monotonic() - 1.0 if ending == "overdue" else connection.pace.due_at
+            connection.request_started_at -= 10.0
+            connection.request_deadline.due_at = (
+                time.monotonic() - 1.0 if ending == "overdue" else connection.request_deadline.due_at
+            )
             client.send(rest if ending in ("partial", "overdue") else first + rest)
             close: dict[str, Callable[[], None]] = {
                 "idle": server.close_idle,
@@ -100,7 +102,7 @@
             close[ending]()
             async with asyncio.timeout(PATIENCE):
                 assert (await handler.opened_requests.get()).id == b"2"
-        await server.entrance.close()
+        await server.acceptor.close()
 
     run(test())
 
@@ -109,7 +111,7 @@
     """A close over the unread second request would reset the connection and take the rest of the answer."""
 
     async def test() -> None:
-        def answer(reply: Reply) -> None:
+        def answer(reply: ResponseSink) -> None:
             client.send(request_line(2))
             reply.answer(200, NO_HEADERS, b"x" * LARGE)
 
@@ -125,7 +127,7 @@
             assert b"connection: close" in head.lower()
             assert len(await reader.read()) == LARGE
             assert handler.opened_requests.empty()  # what came after the end was not taken
-        await server.entrance.close()
+        await server.acceptor.close()
 
     run(test())
 
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -75,11 +75,11 @@
 
 def test_whether_another_listens_is_seen_without_a_trace() -> None:
     port = free_port()
-    assert not listener.taken("127.0.0.1", port)
+    assert not listener.is_taken("127.0.0.1", port)
     with listener.listen("127.0.0.1", port) as sock:
-        assert listener.taken("127.0.0.1", port)
+        assert listener.is_taken("127.0.0.1", port)
         assert listener.waiting(sock) == []
-    assert not listener.taken("127.0.0.1", port)
+    assert not listener.is_taken("127.0.0.1", port)
 
 
 class Scarce(socket.socket):
@@ -104,7 +104,7 @@
     monkeypatch.setattr(Scarce, "reason", reason)
     monkeypatch.setattr(socket, "socket", Scarce)
     Scarce.refusals = 5
-    assert not listener.taken("127.0.0.1", port)
+    assert not listener.is_taken("127.0.0.1", port)
     Scarce.refusals = 5
     listener.listen("127.0.0.1", port).close()
 
--- a/tests/net/test_metrics.py
+++ b/tests/net/test_metrics.py
@@ -19,28 +19,28 @@
 
 from gladegw import Tenant
 from gladegw.net import features
-from gladegw.net.background_writer import Writer
-from gladegw.net.interfaces import Asked
-from gladegw.net.metrics import DATAGRAM, Figures, FiguresSettings, LineFormat, StatsD, datagrams
+from gladegw.net.background_writer import BackgroundWriter
+from gladegw.net.interfaces import RequestInfo
+from gladegw.net.metrics import DATAGRAM, LineFormat, Metrics, MetricsSettings, StatsD, datagrams
 
 TENANTS = [{"name": "coastal-cabs", "quota_rps": 100.0, "portion": 0.5}]
 
 
-def figures(tmp_path: Path, **changes: Any) -> Figures:
-    given = FiguresSettings(sink="none", file=str(tmp_path / "figures"), **changes)
-    return Figures(given, served(tenants=[Tenant("coastal-cabs", 1.0)]))
+def figures(tmp_path: Path, **changes: Any) -> Metrics:
+    given = MetricsSettings(sink="none", file=str(tmp_path / "figures"), **changes)
+    return Metrics(given, served(tenants=[Tenant("coastal-cabs", 1.0)]))
 
 
-def asked(cls: str = "safe", tenant: str = "coastal-cabs", ago: float = 0.412) -> Asked:
-    return Asked("9b1f03aa5c7e2d41", cls, tenant, time.monotonic() - ago)
+def asked(cls: str = "safe", tenant: str = "coastal-cabs", ago: float = 0.412) -> RequestInfo:
+    return RequestInfo("9b1f03aa5c7e2d41", cls, tenant, time.monotonic() - ago)
 
 
 def test_a_request_is_counted_once_and_its_gauge_comes_back_to_0(tmp_path: Path) -> None:
     fed = figures(tmp_path)
     one = asked()
-    fed.begun(one)
+    fed.on_start(one)
     fed.flush()
-    fed.ended(one, 200)
+    fed.on_end(one, 200)
     fed.flush()
     fed.flush()
     fed.close(PATIENCE)
@@ -58,8 +58,8 @@
 def test_a_caller_that_left_is_a_request_without_an_answer(tmp_path: Path) -> None:
     fed = figures(tmp_path)
     one = asked()
-    fed.begun(one)
-    fed.ended(one, None)
+    fed.on_start(one)
+    fed.on_end(one, None)
     fed.close(PATIENCE)
     text = (tmp_path / "figures").read_text()
     assert "gladegw.requests:1|c|#class:safe,tenant:coastal-cabs,code:none" in text
@@ -70,8 +70,8 @@
     fed = figures(tmp_path)
     for number in range(1000):
         one = asked(f"c{number}|x", f"t{number}\n#")
-        fed.begun(one)
-        fed.ended(one, 404)
+        fed.on_start(one)
+        fed.on_end(one, 404)
     assert len(fed.inflight) == len(fed.requests) == len(fed.rendered) == 1
     fed.close(PATIENCE)
     assert "class:other,tenant:other,code:404" in (tmp_path / "figures").read_text()
@@ -110,11 +110,11 @@
         written.extend(lines)
         return 0
 
-    writer = Writer(write, most=40, name="test")
+    writer = BackgroundWriter(write, most=40, name="test")
     writer.put([b"first....\n"])
     assert taken.wait(PATIENCE)
     writer.put([b"line %04d\n" % number for number in range(9)])  # returns though nothing is written yet
-    assert writer.take_lost() == 6  # what is being written counts too
+    assert writer.take_dropped() == 6  # what is being written counts too
     go.set()
     writer.close(PATIENCE)
     assert written == [b"first....\n", b"line 0006\n", b"line 0007\n", b"line 0008\n"]
@@ -124,8 +124,8 @@
     fed = figures(tmp_path, buffer_kb=4)
     for _ in range(200):
         one = asked()
-        fed.begun(one)
-        fed.ended(one, 200)
+        fed.on_start(one)
+        fed.on_end(one, 200)
     kept = len(fed.times)
     assert 0 < kept < 200 and fed.dropped == 200 - kept
     fed.close(PATIENCE)
@@ -241,7 +241,7 @@
     file = tmp_path / "malabar.hcl"
     file.write_text(text)
     found = features.read(str(file))
-    assert found.figures == FiguresSettings(format="line", flush_ms=500, file="a,{b}")
+    assert found.figures == MetricsSettings(format="line", flush_ms=500, file="a,{b}")
     assert found.capture is not None and found.tls is None and found.addresses is None
 
 
--- a/tests/net/test_policy_epochs.py
+++ b/tests/net/test_policy_epochs.py
@@ -310,7 +310,7 @@
             assert epochs == ["2", "1"] * 3
             assert replay.replay(str(file)) == 0
             file.write_text(text.replace('"route":{"epoch":1', '"route":{"epoch":2'), encoding="utf-8")
-            with pytest.raises(replay.Unusable, match="of epoch 1, not 2"):
+            with pytest.raises(replay.CaptureError, match="of epoch 1, not 2"):
                 replay.replay(str(file))
 
     run(test())
--- a/tests/net/test_routes_sockets.py
+++ b/tests/net/test_routes_sockets.py
@@ -35,8 +35,8 @@
 from gladegw.net.features import RoutesSettings
 from gladegw.net.request import read_head
 from gladegw.net.route_tables import prepared
-from gladegw.net.routes import Pools, Unheard
-from gladegw.net.shared_resources import OpenCall
+from gladegw.net.routes import DiscardedResponse, PoolRouter
+from gladegw.net.shared_resources import PendingRequest
 from gladegw.replay import differences
 from gladegw.routing.findings import RoutingError
 from gladegw.routing.split import hasher
@@ -364,7 +364,7 @@
 
     async def test() -> None:
         settings = RoutesSettings(file=str(tmp_path / "routes.hcl"))
-        pools = Pools(settings, load({"EDGE_CONFIG": str(path)}))
+        pools = PoolRouter(settings, load({"EDGE_CONFIG": str(path)}))
         before = {name: served.driver for name, served in pools.now.served.items()}
         other = one.replace('names = ["n-*"]', 'names = ["m-*"]').replace('pool "none"', 'pool "nobody"')
         (tmp_path / "routes.hcl").write_text(other)
@@ -403,7 +403,7 @@
     before a change and opened after it stay with their own table."""
     endpoints = [endpoint(name, "127.0.0.1:1") for name in ("s-1", "n-1")]
 
-    class Heard(Unheard):
+    class Heard(DiscardedResponse):
         def __init__(self) -> None:
             self.codes: list[int] = []
 
@@ -418,7 +418,7 @@
         path, file = folder / "config.json", folder / "routes.hcl"
         path.write_text(json.dumps(config("127.0.0.1:1", listing(1, *endpoints), "127.0.0.1:2")))
         file.write_text(table("south"))
-        pools = Pools(RoutesSettings(file=str(file)), load({"EDGE_CONFIG": str(path)}))
+        pools = PoolRouter(RoutesSettings(file=str(file)), load({"EDGE_CONFIG": str(path)}))
         pools.start()
         heard: list[Heard] = []
         side = "south"
@@ -433,13 +433,13 @@
                 if late:
                     waiting.append((request, heard[-1]))
                 else:
-                    pools.opened(request, heard[-1])
+                    pools.on_request(request, heard[-1])
             file.write_text(table(to))
             await pools.reload()
             side = to
             for request, reply in waiting:
-                call = pools.opened(request, reply)
-                assert isinstance(call, OpenCall) and request.routed is not None
+                call = pools.on_request(request, reply)
+                assert isinstance(call, PendingRequest) and request.routed is not None
                 assert call.driver is request.routed.table["p"].driver
         async with asyncio.timeout(PATIENCE):
             while pools.calls:
--- a/tests/net/test_system_calls.py
+++ b/tests/net/test_system_calls.py
@@ -24,9 +24,9 @@
 )
 
 from gladegw.balancing.events import Status
-from gladegw.net.acceptor import Entrance
+from gladegw.net.acceptor import Acceptor
 from gladegw.net.endpoint_lists import read_listing
-from gladegw.net.upstream.connections import Upstreams
+from gladegw.net.upstream.connections import UpstreamPool
 from gladegw.net.upstream.exchange import Exchange
 
 TOLD_AFTER_SIGHUP = 4.0  # s
@@ -47,7 +47,7 @@
         return await connect(*arguments, **how)
 
     backend = await Backend().start()
-    upstreams = Upstreams(connect_timeout=0.5, conn_idle=PATIENCE, most_open=10)
+    upstreams = UpstreamPool(connect_timeout=0.5, conn_idle=PATIENCE, max_connections=10)
     upstreams.apply(read_listing(listing(1, endpoint("s-1", backend.address))))
     (upstream,) = upstreams.by_id.values()
     patch.setattr(loop, "create_connection", failing)
@@ -89,7 +89,7 @@
 
     async def test() -> None:
         sock: Any = Aborting()
-        entrance = Entrance(lambda peer, came: asyncio.Protocol(), 10, lambda: 0, lambda count: None)
+        entrance = Acceptor(lambda peer, came: asyncio.Protocol(), 10, lambda: 0, lambda count: None)
         entrance.listeners[sock] = None
         entrance._accept(sock)
         assert sock.tries >= 1
--- a/tests/net/test_tls.py
+++ b/tests/net/test_tls.py
@@ -15,7 +15,7 @@
 from support.loopback import PATIENCE, Backend, Caller, Proxy, free_port, proxy, response, run, start_program
 
 from gladegw.net.config import ConfigError
-from gladegw.net.tls import Tls, TlsSettings, subject
+from gladegw.net.tls import TlsContext, TlsSettings, subject
 
 
 class Port:
@@ -76,16 +76,16 @@
 
 def test_a_change_that_fails_is_logged_once(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     port = Port(tmp_path)
-    tls = Tls(TlsSettings(port=port.number, cert=str(port.cert), key=str(port.key)))
+    tls = TlsContext(TlsSettings(port=port.number, cert=str(port.cert), key=str(port.key)))
     first = tls.context
     with caplog.at_level(logging.WARNING):
         for text in ("spoilt", "spoilt", "spoilt otherwise"):
             port.cert.write_text(text)
-            tls.look()
-            tls.look()
+            tls.reload_if_changed()
+            tls.reload_if_changed()
         port.key.unlink()
-        tls.look()
-        tls.look()
+        tls.reload_if_changed()
+        tls.reload_if_changed()
     assert len(caplog.records) == 3 and tls.context is first
 
 
@@ -253,4 +253,4 @@
     port = Port(tmp_path)
     port.key.write_text("no key")
     with pytest.raises(ConfigError):
-        Tls(TlsSettings(port=port.number, cert=str(port.cert), key=str(port.key)))
+        TlsContext(TlsSettings(port=port.number, cert=str(port.cert), key=str(port.key)))
--- a/tests/net/test_upstream_reuse.py
+++ b/tests/net/test_upstream_reuse.py
@@ -12,7 +12,7 @@
 
 from gladegw.balancing.events import Status
 from gladegw.net.endpoint_lists import read_listing
-from gladegw.net.upstream.connections import REST, Upstreams
+from gladegw.net.upstream.connections import MIN_REST_S, UpstreamPool
 from gladegw.net.upstream.exchange import Exchange
 
 REQUEST = b"GET /stock HTTP/1.1\r\nX-Call-Id: %d\r\n\r\n"
@@ -23,11 +23,11 @@
 
     def __init__(self, backend: Backend, most_open: int = 10) -> None:
         self.backend = backend
-        self.upstreams = Upstreams(connect_timeout=PATIENCE, conn_idle=PATIENCE, most_open=most_open)
+        self.upstreams = UpstreamPool(connect_timeout=PATIENCE, conn_idle=PATIENCE, max_connections=most_open)
         self.bodies: list[bytes] = []
         self.connections: list[int] = []
 
-    async def play(self, between: Callable[[Upstreams, Backend], None]) -> None:
+    async def play(self, between: Callable[[UpstreamPool, Backend], None]) -> None:
         await self.backend.start()
         self.upstreams.apply(read_listing(listing(1, endpoint("s-1", self.backend.address))))
         await self._send(0)
@@ -66,25 +66,25 @@
     run(test())
 
 
-def rest(upstreams: Upstreams, backend: Backend) -> None:
+def rest(upstreams: UpstreamPool, backend: Backend) -> None:
     for upstream in upstreams.by_id.values():
         for connection in upstream.idle:
-            connection.idle_since -= REST
+            connection.idle_since -= MIN_REST_S
 
 
-def send_half_a_line(upstreams: Upstreams, backend: Backend) -> None:
+def send_half_a_line(upstreams: UpstreamPool, backend: Backend) -> None:
     """It is in this side's kernel, and not read, when the next request is sent."""
     rest(upstreams, backend)
     os.write(backend.writers[0].get_extra_info("socket").fileno(), b"HTTP/1.1 2")
 
 
-def refuse_another(upstreams: Upstreams, backend: Backend) -> None:
+def refuse_another(upstreams: UpstreamPool, backend: Backend) -> None:
     just_answered(upstreams, backend)
     for upstream in upstreams.by_id.values():
         upstream.refused_at = time.monotonic()
 
 
-def just_answered(upstreams: Upstreams, backend: Backend) -> None:
+def just_answered(upstreams: UpstreamPool, backend: Backend) -> None:
     """However busy this machine is."""
     for upstream in upstreams.by_id.values():
         for connection in upstream.idle:
@@ -102,7 +102,7 @@
     ],
 )
 def test_a_connection_is_used_again_when_it_has_rested_and_is_silent(
-    between: Callable[[Upstreams, Backend], None], most_open: int, used: list[int]
+    between: Callable[[UpstreamPool, Backend], None], most_open: int, used: list[int]
 ) -> None:
     async def test() -> None:
         played = TwoRequests(Backend(), most_open)
--- a/tests/net/test_wall_clock.py
+++ b/tests/net/test_wall_clock.py
@@ -8,7 +8,7 @@
 import pytest
 from support.loopback import endpoint, listing
 
-from gladegw.net.endpoint_lists import Inventory
+from gladegw.net.endpoint_lists import EndpointInventory
 
 STEPS = (-3600.0, -5.0, 5.0, 3600.0)  # s
 AGE = 3.0  # s since a server started, when a list first tells of it
@@ -27,7 +27,7 @@
         return (time.time() - age) * 1000
 
 
-def take(inventory: Inventory, index: int, *servers: tuple[str, float]) -> dict[str, float]:
+def take(inventory: EndpointInventory, index: int, *servers: tuple[str, float]) -> dict[str, float]:
     """The ages of the servers that a list changes, in seconds; 0 where the start was long ago."""
     entries = [endpoint(name, "127.0.0.1:1", since_ms=since) for name, since in servers]
     told = inventory.adopt(listing(index, *entries, snapshot=False)).backends
@@ -39,7 +39,7 @@
 def test_a_server_that_started_after_a_step_is_as_cold_as_it_is(
     step: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    clock, inventory = Clock(monkeypatch), Inventory()
+    clock, inventory = Clock(monkeypatch), EndpointInventory()
     take(inventory, 1, ("s-1", clock.started(AGE)))
     clock.offset += step
     age = take(inventory, 2, ("s-2", clock.started(AGE)))["s-2"]
@@ -50,7 +50,7 @@
 def test_a_server_that_started_before_a_step_and_is_told_of_after_it_is_no_older(
     step: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    clock, inventory = Clock(monkeypatch), Inventory()
+    clock, inventory = Clock(monkeypatch), EndpointInventory()
     take(inventory, 1, ("s-1", clock.started(AGE)))
     since = clock.started(AGE)
     clock.offset += step
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("step", STEPS)
 def test_a_step_makes_no_listed_server_look_restarted(step: float, monkeypatch: pytest.MonkeyPatch) -> None:
-    clock, inventory = Clock(monkeypatch), Inventory()
+    clock, inventory = Clock(monkeypatch), EndpointInventory()
     since = clock.started(60.0)
     first = take(inventory, 1, ("s-1", since))["s-1"]
     clock.offset += step
