--- a/gladegw/balancing/server_selection.py
+++ b/gladegw/balancing/server_selection.py
@@ -8,7 +8,7 @@
 
 import math
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
 from gladegw.balancing.admission import Mean
 from gladegw.balancing.events import ListKind, ServerEntry, ServerList, ServerState, Settings
@@ -41,24 +41,31 @@
 MIN_CONNECT_LATENCIES = 0.3  # mean latencies by which a server with an open connection is preferred at least
 
 
-# What the pick uses of a server beside what the list says of it, and what stands for nothing known.
-USED_OF_SERVER: dict[str, float] = {
-    "out": 0,
-    "since": 0,
-    "usual": 0.0,
-    "last_report": 0.0,
-    "reported_at": -math.inf,
-    "latency_sum": 0.0,
-    "load_sum": 0.0,
-    "used_at": -math.inf,
-    "ramp_from": 0.0,
-    "tokens": 0.0,
-    "ejected_until": 0.0,
-    "trial": False,
-    "most_out": 0,
-    "most_out_until": 0.0,
-    "drawn": 0.0,
-    "withheld": False,
+class PickInput(NamedTuple):
+    """An attribute of a server that the pick uses, and its value while nothing is known."""
+
+    attribute: str
+    unknown: float
+
+
+# What the pick uses of a server beside its entry in the list, by the field of a capture's record.
+PICK_INPUTS: dict[str, PickInput] = {
+    "out": PickInput("in_flight", 0),
+    "since": PickInput("sent_since_report", 0),
+    "usual": PickInput("typical_load", 0.0),
+    "last_report": PickInput("last_report", 0.0),
+    "reported_at": PickInput("reported_at", -math.inf),
+    "latency_sum": PickInput("latency_sum", 0.0),
+    "load_sum": PickInput("load_sum", 0.0),
+    "used_at": PickInput("used_at", -math.inf),
+    "ramp_from": PickInput("warmup_from", 0.0),
+    "tokens": PickInput("warmup_tokens", 0.0),
+    "ejected_until": PickInput("ejected_until", 0.0),
+    "trial": PickInput("on_trial", False),
+    "most_out": PickInput("max_in_flight", 0),
+    "most_out_until": PickInput("max_in_flight_until", 0.0),
+    "drawn": PickInput("tie_break", 0.0),
+    "withheld": PickInput("withheld", False),
 }
 
 
@@ -284,9 +291,9 @@
         """What a pick uses, but for the list and the call."""
         pool = {
             server.id: {
-                name: value
-                for name, nothing in USED_OF_SERVER.items()
-                if (value := getattr(server, name)) != nothing
+                field: value
+                for field, used in PICK_INPUTS.items()
+                if (value := getattr(server, used.attribute)) != used.unknown
             }
             for server in self.pool
         }
--- a/gladegw/control/duties/bundle_collection.py
+++ b/gladegw/control/duties/bundle_collection.py
@@ -44,7 +44,7 @@
 class BundleCollection(DutyWork):
     name = "bundles"
     period = 10.0
-    reads = True
+    reads_reported = True
 
     def __init__(self) -> None:
         self.unreferenced_since: dict[
--- a/gladegw/control/duties/config_drift.py
+++ b/gladegw/control/duties/config_drift.py
@@ -26,7 +26,7 @@
 class ConfigDrift(DutyWork):
     name = "compare"
     period = 1.0
-    reads = True
+    reads_reported = True
 
     def __init__(self) -> None:
         self.last: ConfigDriftRecord | None = None
--- a/gladegw/control/duties/fleet_summary.py
+++ b/gladegw/control/duties/fleet_summary.py
@@ -39,7 +39,7 @@
 class FleetSummary(DutyWork):
     name = "digest"
     period = 1.0
-    reads = True
+    reads_reported = True
 
     def __init__(self) -> None:
         self.last: FleetSummaryRecord | None = None
--- a/gladegw/control/duties/member_cleanup.py
+++ b/gladegw/control/duties/member_cleanup.py
@@ -19,7 +19,7 @@
 ):  # where policies change, a name that did not sign off is an operator's to remove
     name = "sweeper"
     period = 1.0
-    reads = True
+    reads_reported = True
 
     async def step(self, holding: DutyContext) -> None:
         """`lost` is shown to people; nothing is decided by it but when a name is forgotten, which harms
--- a/gladegw/control/duties/policy_coordinator.py
+++ b/gladegw/control/duties/policy_coordinator.py
@@ -81,7 +81,7 @@
 class PolicyCoordinator(DutyWork):
     name = "policy"
     period = 0.0
-    reads = True
+    reads_reported = True
 
     async def step(self, holding: DutyContext) -> None:
         view = holding.cache
--- a/gladegw/control/duties/rollout_controller.py
+++ b/gladegw/control/duties/rollout_controller.py
@@ -50,8 +50,8 @@
 class RolloutController(DutyWork):
     name = "rollout"
     period = 0.0
-    reads = True
-    knows = (program_rollouts.CAPABILITY,)
+    reads_reported = True
+    capabilities = (program_rollouts.CAPABILITY,)
 
     def __init__(self) -> None:
         self.id = ""
--- a/gladegw/replay.py
+++ b/gladegw/replay.py
@@ -18,7 +18,7 @@
 from gladegw.balancing.balancer import ATTEMPTS_EXHAUSTED, QUEUED, SHED, TOO_LATE, Balancer
 from gladegw.balancing.events import Arrival, ServerEntry, Settings
 from gladegw.balancing.requests import Attempt, Call
-from gladegw.balancing.server_selection import USED_OF_SERVER, Server, ServerSelector
+from gladegw.balancing.server_selection import PICK_INPUTS, Server, ServerSelector
 from gladegw.net.capture import VERSION
 from gladegw.net.config import flatten
 from gladegw.net.endpoint_lists import STATES, server_id
@@ -172,8 +172,8 @@
             weight=endpoint["weight"],
         )
         server = Server(entry, 0.0)
-        for name, nothing in USED_OF_SERVER.items():
-            setattr(server, name, known.get(name, nothing))
+        for field, used in PICK_INPUTS.items():
+            setattr(server, used.attribute, known.get(field, used.unknown))
         server.in_flight = inflight
         if load is not None:
             server.last_report = (read_report(load.encode()) or {}).get("busy_reqs", 0.0)
--- a/tests/control/test_leader_election.py
+++ b/tests/control/test_leader_election.py
@@ -35,11 +35,13 @@
             raise fault
 
     async def run() -> None:
-        whole = asyncio.Event()
-        whole.set()
-        keys, live = Keys("/x"), SimpleNamespace(whole=whole)
-        agent = SimpleNamespace(keys=keys, view=StoreCache(keys), trouble=lambda what: None, live=live)
-        keeper = LeaderElection(cast(Any, agent), Fails(), lambda name, token, begun: None)
+        complete = asyncio.Event()
+        complete.set()
+        keys, live = Keys("/x"), SimpleNamespace(complete=complete)
+        member = SimpleNamespace(
+            keys=keys, cache=StoreCache(keys), log_fault=lambda text: None, live_watch=live
+        )
+        keeper = LeaderElection(cast(Any, member), Fails(), lambda name, token, begun: None)
         keeper.duty = Duty(Phase.HELD, 7)
         working = asyncio.create_task(keeper._run_work(7))
         await asyncio.sleep(1.0 + RETRY_INTERVAL_S / 2)
--- a/tests/control/test_rollout_sockets.py
+++ b/tests/control/test_rollout_sockets.py
@@ -15,7 +15,7 @@
 import pytest
 from support.fleet import Conducted, store
 from support.loopback import PATIENCE, ROOT, Proxy, run
-from test_policy_sockets import Site
+from support.policy_site import Site
 
 from gladegw.control.rollouts import latest
 
--- a/tests/coordination/test_policy_commit.py
+++ b/tests/coordination/test_policy_commit.py
@@ -74,7 +74,7 @@
 def any_vote(told: Any) -> Any:
     """Whatever it was about."""
     return {
-        who: replace(vote, open_change=told["change"].id, digest=told["change"].digest)
+        who: replace(vote, change=told["change"].id, digest=told["change"].digest)
         for who, vote in told["votes"].items()
     }
 
--- a/tests/net/test_capture.py
+++ b/tests/net/test_capture.py
@@ -306,7 +306,7 @@
             record["endpoints"][1]["status"] = "Terminating"
     assert list(differences(write(tmp_path / "d.jsonl", drained)))
     monkeypatch.setattr(
-        ServerSelector, "load", lambda self, server, now: -float(server.out)
+        ServerSelector, "load", lambda self, server, now: -float(server.in_flight)
     )  # the busiest first
     assert list(differences(path))
 
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -32,7 +32,7 @@
     led: bool, emptied: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if not led:
-        monkeypatch.setattr(listener, "lead", lambda sock: False)
+        monkeypatch.setattr(listener, "route_to_newest", lambda sock: False)
     port = free_port()
     with contextlib.ExitStack() as stack:
         old = stack.enter_context(listener.listen("127.0.0.1", port))
@@ -110,7 +110,7 @@
 
 
 def test_a_start_that_gets_no_socket_at_all_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(sockets, "OPEN_PAUSE", 0.0)
+    monkeypatch.setattr(sockets, "OPEN_RETRY_INTERVAL_S", 0.0)
     monkeypatch.setattr(Scarce, "refusals", 10**6)
     monkeypatch.setattr(socket, "socket", Scarce)
     with pytest.raises(OSError, match="refused"):
--- a/tests/net/test_policy_epochs.py
+++ b/tests/net/test_policy_epochs.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from support.fleet import store
 from support.loopback import PATIENCE, Answer, Backend, Proxy, Seen, response, run
-from test_policy_sockets import Site
+from support.policy_site import Site
 
 from gladegw import replay
 from gladegw.coordination.policy_epochs import (
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -72,7 +72,7 @@
         """Until the holder of `digest` under this token has written."""
 
         def told(view: Any) -> int:
-            found = view.read(view.at.fleet("digest"), FleetSummaryRecord)
+            found = view.read(view.keys.fleet_record("digest"), FleetSummaryRecord)
             return found.token if found is not None else 0
 
         await self._until(told, lambda newest: bool(newest >= token))
