--- a/tests/balancing/test_endpoint_freshness.py
+++ b/tests/balancing/test_endpoint_freshness.py
@@ -170,3 +170,10 @@
 def test_a_whole_fleet_has_news_in_time_after_all_its_watches_fell_silent(proxies: int) -> None:
     for seed in range(4):
         assert Fleet(proxies, 3.9, seed).answered_after()[-1] < TOLD_WITHIN, seed
+
+
+def test_a_call_answered_in_drips_does_not_lengthen_how_long_the_list_holds() -> None:
+    """An answer that comes in drips is given up after 5 s; the list is as old as before that call began."""
+    made = freshness()
+    made.on_failure(BEGIN + 5.0, DiscoveryFailure.UNANSWERED)
+    assert lapses_after(made) < TOLD_WITHIN + DRAIN_GRACE - CONNECT
