--- a/gladegw/limits/__init__.py
+++ b/gladegw/limits/__init__.py
@@ -1,1 +1,1 @@
-"""What is bounded and who gives way: pure, without I/O, clock or chance."""
+"""Resource budgets, request timeouts and connection eviction, without I/O, clock or randomness."""
--- a/gladegw/limits/buffer_budget.py
+++ b/gladegw/limits/buffer_budget.py
@@ -1,20 +1,16 @@
-"""How many bytes of messages on their way the process may hold, and what that leaves to each stream."""
+"""The memory budget for buffered message bytes, and the read size that it leaves to each stream."""
 
 from __future__ import annotations
 
-STREAMS_MEMORY_FRACTION = 1 / 8  # of the memory limit, for bytes that have come and have not gone on
-CHUNKS_PER_STREAM = (
-    2  # pieces that a stream holds at most: one read, and one that the other side has not taken
-)
-MIN_CHUNK_BYTES = 8 * 1024  # bytes
+STREAMS_MEMORY_FRACTION = 1 / 8  # of the memory limit, for bytes received and not yet forwarded
+CHUNKS_PER_STREAM = 2  # one being read, one being written to the other side
+MIN_CHUNK_BYTES = 8 * 1024
 MAX_CHUNK_BYTES = 64 * 1024
-MAX_BUFFERED_BYTES = (
-    64 * 1024
-)  # bytes of a message that is held whole, so that its request can be tried again
+MAX_BUFFERED_BYTES = 64 * 1024  # a message up to this size is buffered so that its request can be retried
 
 
 def chunk_bytes(memory: int, streams: int) -> int:
-    """Bytes read at a time, so that all `streams` together hold their share of `memory` bytes at most."""
+    """Return the read size in bytes that keeps `streams` streams within their fraction of `memory` bytes."""
     return int(
         max(
             MIN_CHUNK_BYTES,
--- a/gladegw/limits/connection_eviction.py
+++ b/gladegw/limits/connection_eviction.py
@@ -1,4 +1,4 @@
-"""Which of the callers' connections makes room for a new one when descriptors run short."""
+"""Choice of the client connections to evict for new ones when descriptors run short."""
 
 from __future__ import annotations
 
@@ -8,56 +8,65 @@
 from enum import IntEnum
 from typing import Protocol, TypeVar
 
-NEW_CONNECTION_GRACE_S = (
-    0.3  # s in which a connection whose request is due is left alone, if not too many come
-)
-AGE_WEIGHT = 0.25  # of its age beside the time since its last byte: some drip to seem alive
-MIN_HEAD_BYTES_PER_S = 50.0  # bytes a second: a true client sends at least 100 bytes of head in at most 2 s
-MIN_SILENCE_S = (
-    1 / MIN_HEAD_BYTES_PER_S
-)  # s of silence, below which nothing is said of a caller: one byte at that pace
-RECENT_BYTES_S = 0.5  # s since its last byte in which a request is taken to be on its way
-SLOW_REQUEST_GRACE_S = 1.0  # s in which a request that is on its way at such a pace is left alone
-CLOSE_GRACE_S = 0.1  # s that a connection may take for its end, where its place is wanted
-CLOSE_AFTER_RESPONSE_FRACTION = 0.8  # share of the bound from which answers close their connections
-SERVED_FRACTION = (
-    7 / 8
-)  # share of the bound for requests that are served; the rest is for those refused at once
+NEW_CONNECTION_GRACE_S = 0.3  # time for a first request outside of a connection flood
+AGE_WEIGHT = 0.25  # of age against silence: slow senders drip bytes to seem alive
+MIN_HEAD_BYTES_PER_S = 50.0  # a true client sends at least 100 bytes of head within 2 s
+MIN_SILENCE_S = 1 / MIN_HEAD_BYTES_PER_S  # one byte at that rate: a shorter silence is no evidence
+RECENT_BYTES_S = 0.5  # a request with a byte within this time is in progress
+SLOW_REQUEST_GRACE_S = 1.0  # time for a request in progress at the minimum rate
+CLOSE_GRACE_S = 0.1  # time for the peer to close when the descriptor is needed
+CLOSE_AFTER_RESPONSE_FRACTION = 0.8  # of the connection limit, above which responses close
+SERVED_FRACTION = 7 / 8  # of the connection limit; the rest is for requests rejected at once
 
 
 class ConnectionStage(IntEnum):
+    """The stage of a client connection."""
+
     IDLE = 0  # between requests
-    RECEIVING = 1  # a request is due, or some of it has come
-    PENDING = 2  # a whole request waits for its answer, or an answer is on its way
-    CLOSING = 3  # closed by this side, not gone yet
+    RECEIVING = 1  # a request is due or partly received
+    PENDING = 2  # a complete request waits for its response, or the response is being sent
+    CLOSING = 3  # closed by this side, not yet by the peer
 
 
 class ClientConnectionState(Protocol):
+    """The observed state of a client connection; times in seconds."""
+
     @property
-    def stage(self) -> ConnectionStage: ...
+    def stage(self) -> ConnectionStage:
+        """The connection's stage."""
+        ...
 
     @property
-    def request_started_at(
-        self,
-    ) -> float: ...  # since when a request is due: from connecting, or from its first byte
+    def request_started_at(self) -> float:
+        """The time of connecting for a first request, else of the request's first byte."""
+        ...
 
     @property
-    def received(self) -> int: ...  # bytes of it
+    def received(self) -> int:
+        """Bytes received of the request."""
+        ...
 
     @property
-    def changed_at(self) -> float: ...  # when bytes last came or went
+    def changed_at(self) -> float:
+        """The time at which bytes were last received or sent."""
+        ...
 
     @property
-    def delivered(self) -> bool: ...  # all that was written has arrived, and nothing unread has come
+    def delivered(self) -> bool:
+        """Whether the peer has acknowledged all written bytes and no received byte is unread."""
+        ...
 
 
-G = TypeVar("G", bound=ClientConnectionState)
+ConnectionT = TypeVar("ConnectionT", bound=ClientConnectionState)
 
 
 class ConnectionFlood:
-    """How fast callers come to the door, by a mean over about `YOUNG` s, and so how long each may say nothing
-    if each is to find a place. A fixed patience would be too long in a flood, where true callers wait behind
-    those that come back as fast as they are closed, and cut off late ones where a few come."""
+    """The rate of new connections, and the silence timeout that lets each of them find a place.
+
+    The rate is an exponentially weighted mean over about `NEW_CONNECTION_GRACE_S`. A fixed timeout would be
+    too long in a flood, where true clients queue behind those that reconnect as soon as they are closed, and
+    would cut off slow clients when there are few connections.
+    """
 
     __slots__ = ("places", "recent_connections", "since")
 
@@ -66,6 +75,7 @@
         self.recent_connections, self.since = 0.0, 0.0
 
     def on_accepted(self, count: int, now: float) -> None:
+        """Count `count` connections accepted at `now`."""
         self.recent_connections = (
             self.recent_connections * math.exp(min(0.0, self.since - now) / NEW_CONNECTION_GRACE_S) + count
         )
@@ -73,7 +83,7 @@
 
     @property
     def silence_timeout(self) -> float:
-        """In s, from FIRST to YOUNG."""
+        """The silence timeout in seconds, from `MIN_SILENCE_S` to `NEW_CONNECTION_GRACE_S`."""
         return max(
             MIN_SILENCE_S,
             min(
@@ -84,38 +94,46 @@
 
 
 def is_lagging(received: int, age: float, silence_timeout: float) -> bool:
-    """Whether a request that is due since `age` s lags behind the slowest true client, for longer than there
-    is patience. Of one that waited at the door, unread, the bytes would be there too."""
+    """Whether a request due for `age` seconds is past the timeout and slower than the slowest true client.
+
+    Bytes that arrive while a connection waits to be accepted count as well, so waiting is no disadvantage.
+    """
     return age > silence_timeout and received < MIN_HEAD_BYTES_PER_S * age
 
 
 def eviction_cost(
     connection: ClientConnectionState, now: float, silence_timeout: float = NEW_CONNECTION_GRACE_S
 ) -> tuple[int, float] | None:
-    """The lower, the sooner it gives way; None: it does not."""
-    stage, still = connection.stage, now - connection.changed_at
+    """Return the eviction order of a connection, lowest first; None if it must not be evicted."""
+    stage, silence = connection.stage, now - connection.changed_at
     if stage is ConnectionStage.IDLE:
         return 0, connection.changed_at
     if stage is ConnectionStage.CLOSING:
-        return (1, connection.changed_at) if still > CLOSE_GRACE_S or connection.delivered else None
+        return (1, connection.changed_at) if silence > CLOSE_GRACE_S or connection.delivered else None
     age = now - connection.request_started_at
     if stage is ConnectionStage.RECEIVING and age > NEW_CONNECTION_GRACE_S:
-        score = -(still + AGE_WEIGHT * age)
-        if still > RECENT_BYTES_S or connection.received < MIN_HEAD_BYTES_PER_S * age:
+        score = -(silence + AGE_WEIGHT * age)
+        if silence > RECENT_BYTES_S or connection.received < MIN_HEAD_BYTES_PER_S * age:
             return 2, score
         return (3, score) if age > SLOW_REQUEST_GRACE_S else None
     if stage is ConnectionStage.RECEIVING and is_lagging(connection.received, age, silence_timeout):
-        return 4, connection.received - MIN_HEAD_BYTES_PER_S * age  # left alone only while others give way
+        return (
+            4,
+            connection.received - MIN_HEAD_BYTES_PER_S * age,
+        )  # last: only if nothing else can be evicted
     return None
 
 
 def connections_to_evict(
-    connections: Iterable[G], now: float, count: int = 1, silence_timeout: float = NEW_CONNECTION_GRACE_S
-) -> list[G]:
-    """Up to `count` that lose least by their end, by what was seen of them, those that lose least first."""
+    connections: Iterable[ConnectionT],
+    now: float,
+    count: int = 1,
+    silence_timeout: float = NEW_CONNECTION_GRACE_S,
+) -> list[ConnectionT]:
+    """Return up to `count` connections to evict, in order of `eviction_cost`."""
     ranked = (
-        (rank, place, guest)
-        for place, guest in enumerate(connections)
-        if (rank := eviction_cost(guest, now, silence_timeout)) is not None
+        (cost, position, connection)
+        for position, connection in enumerate(connections)
+        if (cost := eviction_cost(connection, now, silence_timeout)) is not None
     )
-    return [guest for _, _, guest in heapq.nsmallest(count, ranked)]
+    return [connection for _, _, connection in heapq.nsmallest(count, ranked)]
