--- a/gladegw/operators/__init__.py
+++ b/gladegw/operators/__init__.py
@@ -1,1 +1,1 @@
-"""What operators ask of a running proxy: calls, numbers and its life-cycle. Pure."""
+"""Operators' commands, request counters and the life cycle of a proxy process, without I/O."""
--- a/gladegw/operators/commands.py
+++ b/gladegw/operators/commands.py
@@ -1,4 +1,7 @@
-"""The operators' calls: a line in, an answer out. The words are those of the operators' page."""
+"""The operators' commands: one line of request, one response.
+
+The commands and responses are those of the operators' documentation page.
+"""
 
 from __future__ import annotations
 
@@ -8,19 +11,22 @@
 from gladegw.operators.lifecycle import Event, InvalidTransitionError, Lifecycle, State
 from gladegw.operators.request_counters import RequestCounters
 
-MAX_COMMAND_BYTES = 256  # bytes of a call
+MAX_COMMAND_BYTES = 256
 COMMANDS = ("PING", "INFO", "LAMEDUCK", "REJOIN")
 
 
 class LineReader:
-    """Collects one line from pieces of any size; what comes after it is not looked at."""
+    """Collects one line from chunks of any size and ignores everything after it."""
 
     def __init__(self) -> None:
         self.buffer = b""
         self.too_long = False
 
     def feed(self, data: bytes) -> bytes | None:
-        """The line without its end, once it is whole. One that is too long counts as whole: no call."""
+        """Return the line without its line end once it is complete, else None.
+
+        A line that is too long counts as complete: it is cut and `too_long` is set.
+        """
         self.buffer += data
         line, end, _ = self.buffer.partition(b"\n")
         if end and len(line) <= MAX_COMMAND_BYTES:
@@ -31,20 +37,20 @@
         return None
 
     def ended(self) -> bytes | None:
-        """What came before the caller ended its side: a call too, if it is one."""
+        """Return the unterminated line at the end of the input, None if there is none."""
         return self.buffer or None
 
 
 @dataclass(frozen=True, slots=True)
 class BackendCounts:
-    """What is known of the listed backends now."""
+    """The current numbers of known and of skipped backends in the endpoint list."""
 
     known: int
     skipped: int
 
 
 class CommandHandler:
-    """Answers calls; `able` says whether some backend is there to serve."""
+    """Executes operators' commands on a proxy process."""
 
     def __init__(
         self,
@@ -54,25 +60,27 @@
         backends: Callable[[], BackendCounts],
         extra_info: Callable[[], Iterable[str]] = tuple,
     ) -> None:
-        """`more`: lines of INFO from features that are on."""
-        self.lifecycle, self.counters, self.has_backend, self.backends, self.extra_info = (
-            lifecycle,
-            counters,
-            has_backend,
-            backends,
-            extra_info,
-        )
+        """Create a handler.
+
+        `has_backend` returns whether a backend is available, `extra_info` the INFO lines of enabled features.
+        """
+        self.lifecycle = lifecycle
+        self.counters = counters
+        self.has_backend = has_backend
+        self.backends = backends
+        self.extra_info = extra_info
 
     def answer(self, line: bytes, too_long: bool = False) -> bytes:
+        """Execute the command in `line` and return the response; errors are FAILURE responses."""
         if too_long:
             return b"FAILURE a call has at most %d bytes\n" % MAX_COMMAND_BYTES
-        word = line.strip(b" \t").decode("ascii", "replace")
-        if word == "PING":
+        command = line.strip(b" \t").decode("ascii", "replace")
+        if command == "PING":
             return self._ping()
-        if word == "INFO":
+        if command == "INFO":
             return "".join(f"{text}\n" for text in self.info()).encode()
-        if word in (Event.LAMEDUCK.value, Event.REJOIN.value):
-            return self._apply(Event(word))
+        if command in (Event.LAMEDUCK.value, Event.REJOIN.value):
+            return self._apply(Event(command))
         return f"FAILURE unknown call; calls are {', '.join(COMMANDS)}\n".encode()
 
     def _ping(self) -> bytes:
@@ -84,19 +92,20 @@
     def _apply(self, event: Event) -> bytes:
         try:
             return f"SUCCESS {self.lifecycle.on(event).value}\n".encode()
-        except InvalidTransitionError as fault:
-            return f"FAILURE {fault}\n".encode()
+        except InvalidTransitionError as error:
+            return f"FAILURE {error}\n".encode()
 
     def info(self) -> Iterator[str]:
-        ledger, backends = self.counters, self.backends()
+        """Yield the lines of the INFO response."""
+        counters, backends = self.counters, self.backends()
         yield "SUCCESS"
-        for name, handled in ledger.handled.items():
+        for name, handled in counters.handled.items():
             yield f"app.handled.{name}.passed={handled.passed}"
             yield f"app.handled.{name}.dropped={handled.dropped}"
             yield f"app.handled.{name}.bad_gateway={handled.bad_gateway}"
-        yield f"app.upstream_tries={ledger.upstream_attempts}"
+        yield f"app.upstream_tries={counters.upstream_attempts}"
         yield from self.extra_info()
-        yield f"app.in_progress={ledger.in_progress}"
+        yield f"app.in_progress={counters.in_progress}"
         yield f"app.known_backends={backends.known}"
         yield f"app.skipped_backends={backends.skipped}"
         yield "EOT"
--- a/gladegw/operators/lifecycle.py
+++ b/gladegw/operators/lifecycle.py
@@ -1,4 +1,7 @@
-"""The life of one proxy process: what it says to `/healthz` and `PING`, and what each event does to it."""
+"""The life cycle of a proxy process: its states, events and transitions.
+
+The state decides the responses to `/healthz` and `PING`.
+"""
 
 from __future__ import annotations
 
@@ -8,20 +11,24 @@
 
 
 class State(Enum):
+    """The state of a proxy process; the values appear in responses to commands."""
+
     STARTING = "starting"  # not able to serve yet
     READY = "ready"
-    DRAINING = "lame"  # asked to drain: says no, ends what it has, may come back
-    TERMINATING = "leaving"  # told to end: says no, and the process exits when nothing is owed
+    DRAINING = "lame"  # unready; finishes requests in progress and may rejoin
+    TERMINATING = "leaving"  # unready; the process exits when no request is pending
 
 
 class Event(Enum):
-    ABLE = "able"  # a list of backends is known, and the listener is open
+    """An event in the life of a proxy process."""
+
+    ABLE = "able"  # an endpoint list is known and the listener is open
     LAMEDUCK = "LAMEDUCK"
     REJOIN = "REJOIN"
     TERMINATE = "terminate"
 
 
-# What each event leads to. A state that is its own successor: the event is true already. None: refused.
+# The next state; the same state where the event has no effect, None where it is invalid.
 TRANSITIONS: dict[State, dict[Event, State | None]] = {
     State.STARTING: {
         Event.ABLE: State.READY,
@@ -51,21 +58,26 @@
 
 
 class InvalidTransitionError(Exception):
-    """The event makes no sense in this state; the message is the reason."""
+    """An event is invalid in the current state; the message names both."""
 
 
 class Lifecycle:
-    """Events may come from the operators' thread and from the serving loop; a change is told to `changed`,
-    in the thread that it came from."""
+    """The life cycle of one process, safe to use from several threads.
+
+    `on_change` is called with each new state, in the thread that reported the event.
+    """
 
     def __init__(self, on_change: Callable[[State], None] | None = None) -> None:
         self.state = State.STARTING
-        self.able = False  # has ABLE come
+        self.able = False  # whether ABLE has occurred: REJOIN before it leads to STARTING
         self.on_change = on_change
         self._lock = threading.Lock()
 
     def on(self, event: Event) -> State:
-        """The state after the event; raises Refused."""
+        """Apply an event and return the new state.
+
+        Raises InvalidTransitionError if the event is invalid in the current state.
+        """
         with self._lock:
             before = self.state
             if event is Event.ABLE:
--- a/gladegw/operators/request_counters.py
+++ b/gladegw/operators/request_counters.py
@@ -1,4 +1,4 @@
-"""The one place where requests, attempts and their ends are counted. `INFO` and the figures read from it."""
+"""Counters of requests, their outcomes and upstream attempts, the source of `INFO` and the metrics."""
 
 from __future__ import annotations
 
@@ -7,19 +7,23 @@
 
 REJECTION_CODES = (429, 503)
 
-Asked = TypeVar("Asked", contravariant=True)
+RequestT = TypeVar("RequestT", contravariant=True)
 
 
-class RequestObserver(Protocol[Asked]):
-    """What a feature is told of each request: its turn has come; its end (None: the caller left)."""
+class RequestObserver(Protocol[RequestT]):
+    """Receives the start and the end of each request."""
 
-    def on_start(self, asked: Asked) -> None: ...
+    def on_start(self, request: RequestT) -> None:
+        """Handle the start of a request's processing."""
+        ...
 
-    def on_end(self, asked: Asked, code: int | None) -> None: ...
+    def on_end(self, request: RequestT, code: int | None) -> None:
+        """Handle a request's end; `code` is its status code, None if the client disconnected."""
+        ...
 
 
 class OutcomeCounts:
-    """How the requests of one class ended."""
+    """The outcomes of the requests of one class."""
 
     __slots__ = ("bad_gateway", "disconnected", "dropped", "passed")
 
@@ -27,7 +31,7 @@
         self.passed = self.dropped = self.bad_gateway = self.disconnected = 0
 
     def add(self, code: int | None) -> None:
-        """`code`: of the answer that went out whole; None: the client left before."""
+        """Count a response completed with status `code`; None: the client disconnected before."""
         if code is None:
             self.disconnected += 1
         elif code == 200:
@@ -39,24 +43,31 @@
 
     @property
     def total(self) -> int:
+        """The number of requests that ended."""
         return self.passed + self.dropped + self.bad_gateway + self.disconnected
 
 
 class RequestCounters:
-    """Every request of a known class that came whole is in `in_progress` until it is in one count of its
-    class. Readers in other threads see figures that may be one step apart."""
+    """The counters of one process.
+
+    Each completely received request of a known class counts in `in_progress` until it counts as one outcome
+    of its class. Readers in other threads may see counters that are one update apart.
+    """
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.handled = {name: OutcomeCounts() for name in classes}
         self.in_progress = 0
-        self.upstream_attempts = 0  # attempts whose last byte was written to a backend
+        self.upstream_attempts = 0  # those completely written to a backend
 
     def on_received(self) -> None:
+        """Count a completely received request."""
         self.in_progress += 1
 
     def on_ended(self, cls: str, code: int | None) -> None:
+        """Count the end of a request of class `cls`; `code` as in `OutcomeCounts.add`."""
         self.in_progress -= 1
         self.handled[cls].add(code)
 
     def on_attempt(self) -> None:
+        """Count an upstream attempt."""
         self.upstream_attempts += 1
