--- a/gladegw/supervisor/__init__.py
+++ b/gladegw/supervisor/__init__.py
@@ -1,1 +1,1 @@
-"""One proxy's processes, started, watched and replaced. Beside the proxy, in a process of its own."""
+"""Starting, monitoring and replacing the processes of one proxy, from a process of its own."""
--- a/gladegw/supervisor/run.py
+++ b/gladegw/supervisor/run.py
@@ -1,5 +1,8 @@
-"""`gladegw supervise`: looks at the processes, asks the table, does what it says, and keeps what the next
-supervisor needs."""
+"""The command `gladegw supervise`.
+
+It polls the processes, executes the actions that `coordination.supervision` decides on, and stores the state
+that the next supervisor needs.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +36,7 @@
     step,
 )
 from gladegw.net.config import Config, ConfigError
-from gladegw.supervisor import settings as file_of
+from gladegw.supervisor import settings as settings_file
 from gladegw.supervisor.processes import MAX_SILENCE_S, Process, ProcessHandle
 from gladegw.supervisor.settings import Settings
 
@@ -43,32 +46,40 @@
 
 log = logging.getLogger(__name__)
 
-POLL_INTERVAL_S = 0.1  # s
+POLL_INTERVAL_S = 0.1
 COMMANDS = {ActionKind.DRAIN: b"LAMEDUCK\n", ActionKind.REJOIN: b"REJOIN\n"}
 REPLACEMENT_SERVES = (
     Phase.VERIFYING,
     Phase.RETAINING_PREVIOUS,
     Phase.STOPPING_PREVIOUS,
-)  # the newest has the clients' address
-EPOCH_OF_FILE = -1  # the epoch of what the supervisor's own file asks for
+)  # in these, the replacement listens on the clients' address
+EPOCH_OF_FILE = -1  # differs from all epochs of the store, which are not negative
 
 
 class State(msgspec.Struct, frozen=True):
-    """The state file."""
+    """The contents of the state file; field names are stored."""
 
     supervision: Supervision
     order: VersionOrder
     processes: dict[str, ProcessHandle]
-    supervisor: int = 0  # its process
+    supervisor: int = 0  # process id
 
 
 class Supervisor:
+    """Runs one proxy's processes: the current one and, during a replacement, the other one."""
+
     def __init__(
         self, path: str, config: Config, environ: Mapping[str, str], options: StoreOptions | None
     ) -> None:
-        self.path, self.config, self.environ = path, config, environ
-        self.settings = file_of.read(path)
-        self.file = state_file(self.settings, config.name)
+        """Read the settings file at `path` and take over the previous supervisor's processes.
+
+        `options` are those of the store, None without one. Raises ConfigError.
+        """
+        self.path = path
+        self.config = config
+        self.environ = environ
+        self.settings = settings_file.read(path)
+        self.state_path = state_file(self.settings, config.name)
         self.processes: dict[Slot, Process] = {}
         self.state = Supervision(
             wanted=self.settings.version, current=self.settings.version, epoch=EPOCH_OF_FILE
@@ -81,46 +92,51 @@
 
             self.client = SupervisorClient(options, config.name, order, self.record)
         self.stopping = asyncio.Event()
-        self.calls: dict[int, asyncio.Task[None]] = {}  # the last one to each process, by its number
+        self.command_tasks: dict[int, asyncio.Task[None]] = {}  # the last command by process id
 
-    # from one supervisor to the next
     def _resume(self) -> VersionOrder:
-        """Processes that another supervisor has left are taken over as they are."""
+        """Take over the state and processes of the previous supervisor and return its version order.
+
+        Raises ConfigError for an unreadable state file.
+        """
         now = boot_time()
         try:
-            kept: State = msgspec.json.decode(self.file.read_bytes(), type=State)
+            stored: State = msgspec.json.decode(self.state_path.read_bytes(), type=State)
         except FileNotFoundError:
             return VersionOrder()
-        except (OSError, msgspec.MsgspecError) as fault:
-            raise ConfigError(f"{self.file}:1: not a state file: {' '.join(str(fault).split())}") from None
-        for slot, one in kept.processes.items():
-            process = Process.attach(one, now)
+        except (OSError, msgspec.MsgspecError) as error:
+            reason = " ".join(str(error).split())
+            raise ConfigError(f"{self.state_path}:1: not a state file: {reason}") from None
+        for slot, handle in stored.processes.items():
+            process = Process.attach(handle, now)
             if process is not None:
                 self.processes[Slot(slot)] = process
-        self.state = replace(kept.supervision, since=now, killed=False)
+        self.state = replace(stored.supervision, since=now, killed=False)
         if Slot.CURRENT not in self.processes and self.state.phase is Phase.STARTING:
             self.state = replace(self.state, begun=False)
         for process in self.processes.values():
             log.warning("supervise: takes over %s, process %d", process.handle.version, process.handle.pid)
-        return replace(kept.order, heard=now)
+        return replace(stored.order, heard=now)
 
     def _save_state(self) -> None:
+        """Write the state file if the state has changed, atomically; raises OSError."""
         order = self.client.without_clock() if self.client is not None else VersionOrder()
         processes = {slot.value: process.handle for slot, process in self.processes.items()}
-        now = State(replace(self.state, since=0.0), order, processes, os.getpid())
-        if now != self.saved_state:
-            part = self.file.with_suffix(".part")
-            part.write_bytes(msgspec.json.encode(now))
-            part.replace(self.file)
-            self.saved_state = now
+        state = State(replace(self.state, since=0.0), order, processes, os.getpid())
+        if state != self.saved_state:
+            part = self.state_path.with_suffix(".part")
+            part.write_bytes(msgspec.json.encode(state))
+            part.replace(self.state_path)
+            self.saved_state = state
 
     def record(self) -> SupervisorRecord:
+        """Return the supervisor's record for the store."""
         state = self.state
-        kept = state.phase is Phase.RETAINING_PREVIOUS
+        replaced = state.phase is Phase.RETAINING_PREVIOUS
         order = self.client.order if self.client is not None else VersionOrder()
         return SupervisorRecord(
             name=self.config.name,
-            version=state.coming if kept else state.current,
+            version=state.coming if replaced else state.current,
             state=state.phase.value,
             coming=state.coming,
             wanted=state.wanted,
@@ -131,16 +147,16 @@
             alone=order.alone,
         )
 
-    # the loop
     async def run(self) -> None:
+        """Supervise until SIGTERM or SIGINT, then end all processes; SIGHUP reloads the settings."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stopping.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         tasks = [asyncio.create_task(self._watch())]
         if self.client is not None:
-            linked = self.client.watch(), self.client.publish()
-            tasks += [asyncio.create_task(work) for work in linked]
+            coroutines = self.client.watch(), self.client.publish()
+            tasks += [asyncio.create_task(coroutine) for coroutine in coroutines]
         try:
             while not self.stopping.is_set():
                 self.step()
@@ -156,134 +172,152 @@
         await self._end()
 
     def reload(self) -> None:
-        """A file that can't be used changes nothing."""
+        """Read the settings file again; an invalid file is logged and changes nothing."""
         try:
-            self.settings = file_of.read(self.path)
-        except ConfigError as fault:
-            log.error("supervise: %s", fault)
+            self.settings = settings_file.read(self.path)
+        except ConfigError as error:
+            log.error("supervise: %s", error)
 
     def step(self) -> None:
+        """Advance the supervision by one step, execute its actions and store the state."""
         now = boot_time()
-        wanted, epoch, keep = self.settings.version, EPOCH_OF_FILE, False
-        if self.client is not None:
-            order = self.client.order = revert_unconfirmed(self.client.order, now)
-            if order.epoch >= 0:
-                wanted, epoch = order.wanted, 2 * order.epoch + order.alone
-                keep = bool(order.base) and not order.alone
         before = self.state
-        self.state = request_version(self.state, wanted, epoch, keep)
-        if wanted not in self.settings.programs and wanted not in self.state.refused:
-            reason = f"{wanted}: no program of that version in {self.path}"
-            self.state = replace(self.state, refused=self.state.refused | {wanted}, reason=reason)
+        self._request_version(now)
         current, other = (self._status(slot, now) for slot in Slot)
         self.state, actions = step(self.state, current, other, now, self.settings.timeouts)
-        for slot, seen in ((Slot.CURRENT, current), (Slot.OTHER, other)):
-            if not seen.alive and slot in self.processes:
+        for slot, status in ((Slot.CURRENT, current), (Slot.OTHER, other)):
+            if not status.alive and slot in self.processes:
                 self.processes.pop(slot).close()
         self._act(actions, now)
         if (before.phase, before.reason) != (self.state.phase, self.state.reason):
             self._log_state()
         self._save_state()
 
+    def _request_version(self, now: float) -> None:
+        """Request the version that the store or else the settings file orders."""
+        wanted, epoch, retain_previous = self.settings.version, EPOCH_OF_FILE, False
+        if self.client is not None:
+            order = self.client.order = revert_unconfirmed(self.client.order, now)
+            if order.epoch >= 0:
+                wanted, epoch = order.wanted, 2 * order.epoch + order.alone
+                retain_previous = bool(order.base) and not order.alone
+        self.state = request_version(self.state, wanted, epoch, retain_previous)
+        if wanted not in self.settings.programs and wanted not in self.state.refused:
+            reason = f"{wanted}: no program of that version in {self.path}"
+            self.state = replace(self.state, refused=self.state.refused | {wanted}, reason=reason)
+
     def _log_state(self) -> None:
+        """Log the phase, the versions and the reason."""
         state = self.state
         coming = f", {state.coming} comes" if state.coming else ""
-        because = f": {state.reason}" if state.reason else ""
-        log.warning("supervise: %s, %s%s%s", state.phase.value, state.current, coming, because)
+        reason = f": {state.reason}" if state.reason else ""
+        log.warning("supervise: %s, %s%s%s", state.phase.value, state.current, coming, reason)
 
     def _status(self, slot: Slot, now: float) -> ProcessStatus:
+        """Return the status of the process in a slot."""
         process = self.processes.get(slot)
         if process is None:
             return NOT_RUNNING
-        before = self.processes.get(Slot.CURRENT) if slot is Slot.OTHER else None
-        silent = self.settings.hang_s if slot is Slot.CURRENT else MAX_SILENCE_S
+        previous = self.processes.get(Slot.CURRENT) if slot is Slot.OTHER else None
+        silence_timeout = self.settings.hang_s if slot is Slot.CURRENT else MAX_SILENCE_S
         starting = self.state.phase in (Phase.STARTING, Phase.STARTING_REPLACEMENT)
-        bad = (
-            ""
-            if starting
-            else process.failure(before, self.settings.most_failed, silent, self.config.memory, now)
-        )
-        return process.status(bad, process.has_too_few_requests(before))
+        failure = ""
+        if not starting:
+            failure = process.failure(
+                previous, self.settings.most_failed, silence_timeout, self.config.memory, now
+            )
+        return process.status(failure, process.has_too_few_requests(previous))
 
     def _act(self, actions: Actions, now: float) -> None:
-        for do, slot in actions:
-            if do is ActionKind.START:
+        """Execute the actions of a step."""
+        for kind, slot in actions:
+            if kind is ActionKind.START:
                 self._start(slot, now)
-            elif do is ActionKind.PROMOTE:
+            elif kind is ActionKind.PROMOTE:
                 self.processes[Slot.CURRENT] = self.processes.pop(Slot.OTHER)
-            elif slot in self.processes and do in (ActionKind.DRAIN, ActionKind.REJOIN):
-                process = self.processes[slot]
-                before = self.calls.pop(process.handle.pid, None)
-                if before is not None:  # one that is still made again must not undo this
-                    before.cancel()
-                self.calls[process.handle.pid] = asyncio.create_task(process.send_command(COMMANDS[do]))
+            elif slot in self.processes and kind in (ActionKind.DRAIN, ActionKind.REJOIN):
+                self._send_command(self.processes[slot], COMMANDS[kind])
             elif slot in self.processes:
-                self.processes[slot].signal(signal.SIGTERM if do is ActionKind.TERMINATE else signal.SIGKILL)
+                self.processes[slot].signal(
+                    signal.SIGTERM if kind is ActionKind.TERMINATE else signal.SIGKILL
+                )
+
+    def _send_command(self, process: Process, command: bytes) -> None:
+        """Send a command in the background, in place of an earlier one that is still being retried."""
+        earlier = self.command_tasks.pop(process.handle.pid, None)
+        if earlier is not None:  # its retries must not undo this command
+            earlier.cancel()
+        self.command_tasks[process.handle.pid] = asyncio.create_task(process.send_command(command))
 
     def _start(self, slot: Slot, now: float) -> None:
+        """Start the process of a slot; a failure is logged and leaves the slot empty."""
         version = self.state.current if slot is Slot.CURRENT else self.state.coming
         program = self.settings.programs.get(version)
         try:
             if program is None:
                 raise OSError(f"no program of that version in {self.path}")
-            made = Process.start(version, program.dir, program.run, self.environ, now)
-        except OSError as fault:  # it counts as one that ended at its start
-            log.error("supervise: %s can't be started: %s", version, fault)
+            process = Process.start(version, program.dir, program.run, self.environ, now)
+        except OSError as error:  # the empty slot counts as a process that exited at its start
+            log.error("supervise: %s can't be started: %s", version, error)
             return
-        self.processes[slot] = made
-        log.warning("supervise: started %s, process %d", version, made.handle.pid)
+        self.processes[slot] = process
+        log.warning("supervise: started %s, process %d", version, process.handle.pid)
 
     async def _watch(self) -> None:
-        """Who has the clients' address: the newest process that is ready."""
+        """Poll all processes, the newest one on the clients' address too, unless two may listen there."""
         while True:
             newest = Slot.OTHER if self.state.phase in REPLACEMENT_SERVES else Slot.CURRENT
-            alone = self.state.phase in (*REPLACEMENT_SERVES, Phase.STEADY, Phase.STARTING)
+            exclusive = self.state.phase in (*REPLACEMENT_SERVES, Phase.STEADY, Phase.STARTING)
             await asyncio.gather(
                 *(
-                    process.poll(self.config.listen if alone and slot is newest else None, boot_time())
+                    process.poll(self.config.listen if exclusive and slot is newest else None, boot_time())
                     for slot, process in list(self.processes.items())
                 )
             )
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _end(self) -> None:
-        """What it began ends with it when it is told to end; a supervisor that dies leaves all as it is."""
+        """End all processes and remove the state file.
+
+        This is for an orderly end only: a supervisor that crashes leaves its processes to the next one.
+        """
         for process in self.processes.values():
             process.signal(signal.SIGTERM)
-        until = boot_time() + self.settings.drain_s
-        while any(process.alive for process in self.processes.values()) and boot_time() < until:
+        deadline = boot_time() + self.settings.drain_s
+        while any(process.alive for process in self.processes.values()) and boot_time() < deadline:
             await asyncio.sleep(POLL_INTERVAL_S / 2)
         for process in self.processes.values():
             if process.alive:
                 process.signal(signal.SIGKILL)
             process.close()
-        self.file.unlink(missing_ok=True)
+        self.state_path.unlink(missing_ok=True)
 
 
 @contextlib.contextmanager
 def exclusive_lock(path: Path) -> Any:
-    """One supervisor for a state file; raises ConfigError where there is another."""
+    """Hold the lock of a state file; raises ConfigError if another supervisor holds it."""
     with contextlib.ExitStack() as stack:
         try:
             lock = stack.enter_context(open(f"{path}.lock", "a", encoding="ascii"))
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             raise ConfigError(f"{path}: another supervisor has it") from None
-        except OSError as fault:
-            raise ConfigError(f"{path}: {fault.strerror or fault}") from None
+        except OSError as error:
+            raise ConfigError(f"{path}: {error.strerror or error}") from None
         yield
 
 
 def state_file(settings: Settings, name: str) -> Path:
+    """Return the path of the state file of the proxy called `name`."""
     return Path(settings.state or f"{tempfile.gettempdir()}/gladegw-supervise-{name}.json")
 
 
 def supervise(path: str, config: Config, options: StoreOptions | None) -> None:
-    """Until SIGTERM. Raises ConfigError."""
+    """Run a supervisor with the settings file `path` until SIGTERM; raises ConfigError."""
     environ = {key: value for key, value in os.environ.items() if key != "EDGE_ADMIN_ADDR"}
 
     async def run() -> None:
         await Supervisor(path, config, environ, options).run()
 
-    with exclusive_lock(state_file(file_of.read(path), config.name)):
+    with exclusive_lock(state_file(settings_file.read(path), config.name)):
         asyncio.run(run())
--- a/gladegw/supervisor/settings.py
+++ b/gladegw/supervisor/settings.py
@@ -1,4 +1,4 @@
-"""The supervisor's file: a block `supervise`, and a block `program "VERSION"` for each that is installed."""
+"""The supervisor's settings file: a block `supervise` and a block `program "VERSION"` per version."""
 
 from __future__ import annotations
 
@@ -14,16 +14,19 @@
 
 
 class Program(msgspec.Struct, frozen=True, kw_only=True):
-    """`run` is a line for the shell that ends by `exec`, begun in `dir`."""
+    """An installed version: `run` is a shell command line ending in `exec`, run in directory `dir`."""
 
     dir: str
     run: str
 
 
 class Settings(msgspec.Struct, frozen=True, kw_only=True):
-    """Times in s. `version`: what is run until the store has a word on it. `most_failed`: the share of its
-    requests by which a new process may fail more than the one before. `state`: what is kept for the next
-    supervisor; none: beside the temporary files, by the proxy's name."""
+    """The settings of the block `supervise`, and the programs by version.
+
+    All times are in seconds. `version` is run until the store requests one. `most_failed` is the maximum
+    increase of the fraction of failed requests over the previous process. `state` is the path of the state
+    file; empty: a file named after the proxy in the directory of temporary files.
+    """
 
     version: str
     ready_s: float = 30.0
@@ -36,6 +39,7 @@
 
     @property
     def timeouts(self) -> Timeouts:
+        """The timeouts of a replacement."""
         return Timeouts(self.ready_s, self.prove_s, self.drain_s)
 
 
@@ -50,17 +54,11 @@
 
 
 def read(path: str) -> Settings:
-    """Raises ConfigError: one line with file, line and reason."""
-    try:
-        raw = Path(path).read_bytes()
-        if len(raw) > LARGEST:
-            raise ConfigError(f"{path}:1: too large")
-        text = raw.decode("utf-8")
-        blocks = blocks_of(text)
-    except OSError as fault:
-        raise ConfigError(f"{path}: {fault.strerror or fault}") from None
-    except ValueError as fault:
-        raise ConfigError(" ".join(f"{path}: {fault}".split())) from None
+    """Read and check a settings file.
+
+    Raises ConfigError, whose message is one line with path, line number and reason.
+    """
+    text, blocks = _read_blocks(path)
     programs: dict[str, Program] = {}
     settings: tuple[Block, Settings] | None = None
     for block in blocks:
@@ -72,41 +70,63 @@
                 raise ConfigError(f"{at}: program {block.label} stands twice")
             programs[block.label] = _program(path, text, block)
         elif block.name == "supervise" and settings is None:
-            settings = block, _checked(path, text, block, Settings, {})
+            settings = block, _convert_block(path, text, block, Settings)
         else:
             raise ConfigError(f"{at}: one block supervise and blocks program, not {block.name}")
     if settings is None:
         raise ConfigError(f"{path}:1: no block supervise")
-    block, found = settings
-    for key, (least, most) in RANGES.items():
-        if not least <= getattr(found, key) <= most:
-            why = f"{key} must be {least:g} to {most:g}, not {getattr(found, key):g}"
-            raise ConfigError(f"{path}:{block.line_of(text, key)}: {why}")
-    if found.version not in programs:
-        raise ConfigError(f"{path}:{block.line_of(text, 'version')}: there is no program {found.version}")
-    return msgspec.structs.replace(found, programs=programs)
+    block, checked = settings
+    _check_ranges(path, text, block, checked)
+    if checked.version not in programs:
+        raise ConfigError(f"{path}:{block.line_of(text, 'version')}: there is no program {checked.version}")
+    return msgspec.structs.replace(checked, programs=programs)
+
+
+def _read_blocks(path: str) -> tuple[str, list[Block]]:
+    """Return a file's text and its blocks; raises ConfigError."""
+    try:
+        raw = Path(path).read_bytes()
+        if len(raw) > LARGEST:
+            raise ConfigError(f"{path}:1: too large")
+        text = raw.decode("utf-8")
+        return text, blocks_of(text)
+    except OSError as error:
+        raise ConfigError(f"{path}: {error.strerror or error}") from None
+    except ValueError as error:
+        raise ConfigError(" ".join(f"{path}: {error}".split())) from None
+
+
+def _check_ranges(path: str, text: str, block: Block, settings: Settings) -> None:
+    """Raise ConfigError for a number out of its range."""
+    for key, (minimum, maximum) in RANGES.items():
+        value = getattr(settings, key)
+        if not minimum <= value <= maximum:
+            reason = f"{key} must be {minimum:g} to {maximum:g}, not {value:g}"
+            raise ConfigError(f"{path}:{block.line_of(text, key)}: {reason}")
 
 
-def _checked(path: str, text: str, block: Block, form: type[Any], more: dict[str, Any]) -> Any:
+def _convert_block(path: str, text: str, block: Block, struct: type[Any]) -> Any:
+    """Check a block's keys and types and convert it to `struct`; raises ConfigError."""
     for key, value in block.values.items():
         at = f"{path}:{block.line_of(text, key)}"
-        if key not in form.__struct_fields__ or key == "programs":
+        if key not in struct.__struct_fields__ or key == "programs":
             raise ConfigError(f"{at}: unknown setting {key}")
-        types = form.__annotations__[key]
-        good = isinstance(value, str) if types == "str" else isinstance(value, int | float)
-        if not good or isinstance(value, bool):
-            raise ConfigError(f"{at}: {key} must be {'a text' if types == 'str' else 'a number'}")
-    for field in msgspec.structs.fields(form):
+        annotation = struct.__annotations__[key]
+        valid = isinstance(value, str) if annotation == "str" else isinstance(value, int | float)
+        if not valid or isinstance(value, bool):
+            raise ConfigError(f"{at}: {key} must be {'a text' if annotation == 'str' else 'a number'}")
+    for field in msgspec.structs.fields(struct):
         if field.required and field.name not in block.values:
             raise ConfigError(f"{path}:{block.line}: {block.name} needs {field.name}")
-    return msgspec.convert({**block.values, **more}, form)
+    return msgspec.convert(block.values, struct)
 
 
 def _program(path: str, text: str, block: Block) -> Program:
-    found: Program = _checked(path, text, block, Program, {})
-    folder = Path(path).parent / found.dir
-    if not folder.is_dir():
-        raise ConfigError(f"{path}:{block.line_of(text, 'dir')}: dir {found.dir}: no such folder")
-    if not re.search(r"(^|[;&|]\s*)exec\s", found.run):
+    """Return the program of a block, with the absolute path of its directory; raises ConfigError."""
+    program: Program = _convert_block(path, text, block, Program)
+    directory = Path(path).parent / program.dir
+    if not directory.is_dir():
+        raise ConfigError(f"{path}:{block.line_of(text, 'dir')}: dir {program.dir}: no such folder")
+    if not re.search(r"(^|[;&|]\s*)exec\s", program.run):
         raise ConfigError(f"{path}:{block.line_of(text, 'run')}: run must end by exec, in one process")
-    return msgspec.structs.replace(found, dir=str(folder.resolve()))
+    return msgspec.structs.replace(program, dir=str(directory.resolve()))
