--- a/gladegw/coordination/blackout_windows.py
+++ b/gladegw/coordination/blackout_windows.py
@@ -1,5 +1,8 @@
-"""Times of the week in which a rollout does not move, as operators write them, in UTC: `16:00 - 18:30` of
-each day, or `Fri 16:00 - Mon 06:00`. Pure: the time is told."""
+"""Blackout windows: times of the week in which a rollout does not advance.
+
+Operators write them in UTC, as `16:00 - 18:30` for each day or as `Fri 16:00 - Mon 06:00`. Without I/O; the
+time is an argument.
+"""
 
 from __future__ import annotations
 
@@ -8,55 +11,66 @@
 from dataclasses import dataclass
 
 DAYS = ("Mon", "Tue", "Wed", "Thu", "Fri", "Sat", "Sun")
-MINUTES_PER_DAY, MINUTES_PER_WEEK = 24 * 60, 7 * 24 * 60  # minutes
+MINUTES_PER_DAY, MINUTES_PER_WEEK = 24 * 60, 7 * 24 * 60
 _END = r"(?:(\w+) +)?(\d\d?):(\d\d)"
 _WINDOW = re.compile(rf"{_END} *- *{_END}", re.ASCII)
 
 
+class BlackoutWindowError(ValueError):
+    """A text that is no blackout window; the message names the text and the reason."""
+
+
 @dataclass(frozen=True, slots=True)
 class BlackoutWindow:
-    """From `first` on, and not `end` any more; `end` may be the smaller one, over a midnight or a Sunday.
-    `every`: minutes after which it comes again."""
+    """One recurring window, in minutes: from `first` up to but not including `end`.
+
+    `end` is smaller than `first` for a window over midnight or over Sunday. `period` is the length of the
+    cycle, a day or a week.
+    """
 
     first: int
     end: int
     period: int
 
     def contains(self, minute: int) -> bool:
+        """Whether the window includes this minute of the week."""
         return (minute - self.first) % self.period < (self.end - self.first) % self.period
 
 
 def parse_window(text: str) -> BlackoutWindow:
-    """Raises ValueError."""
-    found = _WINDOW.fullmatch(text.strip())
-    if found is None:
-        raise ValueError(f"{text!r} is not like '16:00 - 18:30' or 'Fri 16:00 - Mon 06:00'")
-    first_day, *first, end_day, end_hour, end_minute = found.groups()
+    """Parse a window as an operator writes it; raises BlackoutWindowError."""
+    match = _WINDOW.fullmatch(text.strip())
+    if match is None:
+        raise BlackoutWindowError(f"{text!r} is not like '16:00 - 18:30' or 'Fri 16:00 - Mon 06:00'")
+    first_day, *first, end_day, end_hour, end_minute = match.groups()
     if (first_day is None) != (end_day is None):
-        raise ValueError(f"{text!r} names a day on one side only")
+        raise BlackoutWindowError(f"{text!r} names a day on one side only")
     first_at, end_at = _minute(text, first_day, *first), _minute(text, end_day, end_hour, end_minute)
-    every = MINUTES_PER_DAY if first_day is None else MINUTES_PER_WEEK
-    if first_at % every == end_at % every:
-        raise ValueError(f"{text!r} begins where it ends")
-    return BlackoutWindow(first_at % every, end_at % every, every)
+    period = MINUTES_PER_DAY if first_day is None else MINUTES_PER_WEEK
+    if first_at % period == end_at % period:
+        raise BlackoutWindowError(f"{text!r} begins where it ends")
+    return BlackoutWindow(first_at % period, end_at % period, period)
 
 
 def _minute(text: str, day: str | None, hour: str, minute: str) -> int:
     if day is not None and day.capitalize() not in DAYS:
-        raise ValueError(f"{text!r}: no such day: {day}; there are {', '.join(DAYS)}")
+        raise BlackoutWindowError(f"{text!r}: no such day: {day}; there are {', '.join(DAYS)}")
     if int(minute) > 59 or int(hour) * 60 + int(minute) > MINUTES_PER_DAY:
-        raise ValueError(f"{text!r}: no such time: {hour}:{minute}")
+        raise BlackoutWindowError(f"{text!r}: no such time: {hour}:{minute}")
     return (DAYS.index(day.capitalize()) * MINUTES_PER_DAY if day else 0) + int(hour) * 60 + int(minute)
 
 
 def in_blackout(windows: Iterable[str], seconds: float) -> bool:
-    """Whether it is quiet at this time, in s of the Unix epoch, which began on a Thursday. What can't be read
-    counts as quiet: nothing moves by mistake."""
+    """Whether one of the windows includes this time, in s since the Unix epoch.
+
+    A window that cannot be parsed counts as active, so that no rollout advances by mistake.
+    """
+    # the Unix epoch began on a Thursday
     minute = int(seconds // 60 + 3 * MINUTES_PER_DAY) % MINUTES_PER_WEEK
     for text in windows:
         try:
             if parse_window(text).contains(minute):
                 return True
-        except ValueError:
+        except BlackoutWindowError:
             return True
     return False
--- a/gladegw/coordination/duty.py
+++ b/gladegw/coordination/duty.py
@@ -1,9 +1,9 @@
-"""A duty that one member holds at a time, as each member goes through it: one table of states.
+"""The state machine of a duty, which one member holds at a time.
 
-The holder's key exists under its lease; the token is the key's create revision, which only grows (the etcd
-election recipe, etcd.io/docs "Interacting with etcd: leases and elections"). A member never infers that it
-holds from what it has sent: only from the store's word, by an answered transaction or by seeing its own key.
-Each effect is begun only while `may_act`, and compares the token where it writes.
+The holder's key exists under its lease; the fencing token is the key's create revision, which only grows (the
+etcd election recipe, etcd.io/docs "Interacting with etcd: leases and elections"). A member never infers
+ownership from a request it has sent, only from the store: from a transaction's response or from its own key
+in a watch. Each effect is started only while `may_act` is true, and compares the token where it writes.
 """
 
 from __future__ import annotations
@@ -16,24 +16,30 @@
 
 
 class Phase(Enum):
-    IDLE = "resting"  # does not hold it and has asked for nothing
-    CLAIMING = "asking"  # has sent a claim
-    UNCERTAIN = "unsure"  # sent a claim, and can't know what became of it: it reads
+    """The state of a duty at one member."""
+
+    IDLE = "resting"  # neither holds nor claims it
+    CLAIMING = "asking"  # a claim is in flight
+    UNCERTAIN = "unsure"  # the claim's result is unknown, so the key is read
     HELD = "holding"
-    RELEASING = "leaving"  # gives it back: nothing is begun any more
+    RELEASING = "leaving"  # no effect is started any more
 
 
 class Event(Enum):
-    CLAIM_DUE = "turn"  # nobody holds it, and it is this member's turn to claim
-    OWNED = "mine"  # the store says that this member's key is there
-    OWNED_BY_OTHER = "other"  # it says that another's is
-    VACANT = "nobody"  # it says that there is none
-    UNKNOWN = "unknown"  # a request was sent and not answered
-    EXPIRED = "expired"  # the member's own bound has passed, or the store knows no such lease
-    RELEASE = "leave"  # hand it over: SIGTERM, LAMEDUCK, a newer process of the same name
+    """An input of the state machine."""
+
+    CLAIM_DUE = "turn"  # the duty is vacant and this member's claim delay has passed
+    OWNED = "mine"  # the store has this member's key
+    OWNED_BY_OTHER = "other"  # the store has another member's key
+    VACANT = "nobody"  # the store has no key
+    UNKNOWN = "unknown"  # a request got no response
+    EXPIRED = "expired"  # by the member's own clock, or the store has no such lease
+    RELEASE = "leave"  # on SIGTERM, LAMEDUCK, or a newer process of the same name
 
 
 class Action(Enum):
+    """What the member has to do after a transition."""
+
     CLAIM = "claim"
     READ = "read"
     START = "begin"
@@ -42,10 +48,10 @@
 
 
 P, E, A = Phase, Event, Action
-# Each pair that is not here changes nothing.
+# A pair without an entry changes nothing.
 TRANSITIONS: dict[tuple[Phase, Event], tuple[Phase, tuple[Action, ...]]] = {
     (P.IDLE, E.CLAIM_DUE): (P.CLAIMING, (A.CLAIM,)),
-    (P.IDLE, E.OWNED): (P.HELD, (A.START,)),  # a claim that was given up for lost has come through
+    (P.IDLE, E.OWNED): (P.HELD, (A.START,)),  # a claim presumed lost has succeeded
     (P.CLAIMING, E.OWNED): (P.HELD, (A.START,)),
     (P.CLAIMING, E.OWNED_BY_OTHER): (P.IDLE, ()),
     (P.CLAIMING, E.UNKNOWN): (P.UNCERTAIN, (A.READ,)),
@@ -71,53 +77,67 @@
 
 @dataclass(frozen=True, slots=True)
 class Duty:
-    """One duty at one member. `seen` is the revision of the newest word of the store that was heeded."""
+    """The state of one duty at one member."""
 
     phase: Phase = Phase.IDLE
-    token: int = 0  # of what is held; 0 where nothing is
-    seen_revision: int = 0
+    token: int = 0  # fencing token; 0 while the duty is not held
+    seen_revision: int = 0  # of the newest store update that was applied
 
 
 def step(duty: Duty, event: Event, token: int = 0, revision: int = 0) -> tuple[Duty, tuple[Action, ...]]:
-    """`token` goes with MINE; `revision` is the store's at the time of its word, 0 for what it did not say.
-    A word that is older than one that was heeded changes nothing: answers and watches overtake each other."""
+    """Apply an event and return the new state with the actions to take.
+
+    `token` belongs to OWNED; `revision` is the store's at the time of its update, 0 for events from
+    elsewhere. An update older than one already applied changes nothing, since responses and watch events
+    arrive out of order.
+    """
     if revision and revision < duty.seen_revision:
         return duty, ()
-    heeded = replace(duty, seen_revision=max(duty.seen_revision, revision))
+    updated = replace(duty, seen_revision=max(duty.seen_revision, revision))
     if event is Event.OWNED and duty.phase is P.HELD:
         if token == duty.token:
-            return heeded, ()
-        return replace(heeded, token=token), (A.STOP, A.START)  # an own key that was made anew: start over
-    found = TRANSITIONS.get((duty.phase, event))
-    if found is None:
-        return heeded, ()
-    phase, actions = found
-    return replace(heeded, phase=phase, token=token if phase is P.HELD else 0), actions
+            return updated, ()
+        return replace(updated, token=token), (A.STOP, A.START)  # the own key was recreated
+    transition = TRANSITIONS.get((duty.phase, event))
+    if transition is None:
+        return updated, ()
+    phase, actions = transition
+    return replace(updated, phase=phase, token=token if phase is P.HELD else 0), actions
 
 
 def event_of_key(token: int, lease_of_key: int, lease: Lease) -> Event:
-    """What the store's word on the key means to a member: its own is one under the lease that it has now. A
-    key under an older lease of the same process is not: no bound speaks of that one any more."""
+    """Return the event that the state of the duty's key in the store means to a member.
+
+    Only a key under the member's current lease is its own. One under an older lease of the same process is
+    not, because the member no longer tracks that lease's expiry. `token` 0 means that there is no key.
+    """
     if not token:
         return Event.VACANT
     return Event.OWNED if lease.id and lease_of_key == lease.id else Event.OWNED_BY_OTHER
 
 
 def may_act(duty: Duty, lease: Lease, now: float) -> bool:
-    """Asked right before each effect, with the clock read right before: not on a timer."""
+    """Whether the member may start an effect at `now`.
+
+    Call it immediately before each effect with a fresh reading of the clock, not on a timer.
+    """
     return duty.phase is Phase.HELD and lease.is_valid(now)
 
 
 def claim(key: bytes, record: bytes, lease: int) -> Txn:
+    """Return the transaction that creates the duty's key if there is none, and reads it otherwise."""
     return Txn((Compare(key, Target.CREATE, "=", 0),), (Put(key, record, lease),), (Get(key),))
 
 
 def release(key: bytes, lease: int, also: tuple[Operation, ...] = ()) -> Txn:
-    """Whoever else has the key by now keeps it: what is compared is the lease, since a claim whose answer is
-    out has no token yet."""
+    """Return the transaction that deletes the duty's key, with the operations in `also`.
+
+    A key that another member has by now stays. The lease is compared, since a claim whose response is
+    outstanding has no token yet.
+    """
     return Txn((Compare(key, Target.LEASE, "=", lease),), (Delete(key), *also), (Get(key),))
 
 
 def fenced(key: bytes, token: int, *effects: Operation, compares: tuple[Compare, ...] = ()) -> Txn:
-    """Effects on the store that take place only while the token holds, and what else is compared."""
+    """Return the transaction that writes `effects` only while the token and `compares` hold."""
     return Txn((Compare(key, Target.CREATE, "=", token), *compares), effects, (Get(key),))
--- a/gladegw/coordination/lease.py
+++ b/gladegw/coordination/lease.py
@@ -1,10 +1,10 @@
-"""A lease as its holder can prove it, by its own clock alone.
+"""A store lease as its holder can prove it by its own clock alone.
 
-The store ends a lease a time to live after it got the last renewal, by its clock. The holder can't see that
-moment. It counts from before the renewal was sent, which is earlier, and takes off a share for how much its
-own clock may lag behind the store's. So its bound lies before the store's, as long as clocks run at a pace
-within that share of each other; none has to show the right time (C. Gray and D. Cheriton, "Leases", SOSP
-1989, section 2). The clock has to count the time in which the machine was suspended.
+By its own clock, the store expires a lease one time to live after the last renewal arrived. The holder cannot
+observe that moment. It counts from before the renewal was sent, which is earlier, and subtracts a fraction
+for clock drift. Its expiry therefore lies before the store's as long as the clock rates differ by less than
+that fraction; no clock has to show the right time (C. Gray and D. Cheriton, "Leases", SOSP 1989, section 2).
+The holder's clock must also count the time for which the machine was suspended.
 """
 
 from __future__ import annotations
@@ -12,30 +12,38 @@
 import math
 from dataclasses import dataclass
 
-MAX_CLOCK_DRIFT = (
-    0.15  # share of a time to live that the holder gives away: a clock 10 % slow against one 5 % fast
-)
+MAX_CLOCK_DRIFT = 0.15  # fraction of a time to live: a clock 10 % slow against one 5 % fast
 
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """Times in s, by the holder's clock. `until` is the holder's own bound: nothing is begun from then on."""
+    """A lease of the store with the expiry that its holder assumes.
+
+    `until` is in s of the holder's clock; no effect is started from then on.
+    """
 
     id: int = 0  # 0: none
     until: float = -math.inf
 
     def is_valid(self, now: float) -> bool:
+        """Whether there is a lease and it has not expired at `now`."""
         return self.id != 0 and now < self.until
 
 
 def granted(id: int, sent: float, ttl: float, drift: float = MAX_CLOCK_DRIFT) -> Lease:
-    """`sent` is when the request went out, not when its answer came."""
+    """Return the lease of an answered grant.
+
+    `sent` is when the request was sent, not when its response arrived. Times in s.
+    """
     return Lease(id, sent + ttl * (1.0 - drift))
 
 
 def renewed(lease: Lease, id: int, sent: float, ttl: float, drift: float = MAX_CLOCK_DRIFT) -> Lease:
-    """A renewal that was answered. An answer may come late, and after that of a later renewal: a bound never
-    goes back. `ttl` 0: the store knows no such lease, so it is over whatever the bound said."""
+    """Return the lease after an answered renewal.
+
+    Responses may arrive late and out of order, so `until` never decreases. A `ttl` of 0 means that the store
+    has no such lease: it has ended, whatever its expiry was. A response for another lease changes nothing.
+    """
     if id != lease.id or not id:
         return lease
     if ttl <= 0:
@@ -44,17 +52,20 @@
 
 
 def renewal_due(lease: Lease, ttl: float, drift: float = MAX_CLOCK_DRIFT) -> float:
-    """When to send the next renewal: at two thirds of what is left after an answered one."""
+    """Return when to send the next renewal: at a third of the validity after an answered one."""
     return lease.until - ttl * (1.0 - drift) * 2 / 3
 
 
 class StaleTokenError(Exception):
-    """An effect whose token is older than one that was accepted; the message says both."""
+    """An effect with an older token than one that was accepted; the message names both."""
 
 
 class Fence:
-    """What an effect touches keeps the highest token and refuses lower ones; where the store itself is
-    written, the transaction compares instead."""
+    """The guard of a resource outside the store against former holders of a duty.
+
+    It retains the highest fencing token and rejects lower ones. Writes to the store need none: their
+    transaction compares the token.
+    """
 
     __slots__ = ("highest",)
 
@@ -62,6 +73,7 @@
         self.highest = highest
 
     def accept(self, token: int) -> None:
+        """Record the token; raises StaleTokenError if a higher one was accepted before."""
         if token < self.highest:
             raise StaleTokenError(f"token {token} after {self.highest}")
         self.highest = token
--- a/gladegw/coordination/policy_epochs.py
+++ b/gladegw/coordination/policy_epochs.py
@@ -1,8 +1,8 @@
-"""One policy a request, through all tiers: the first proxy's stamp, and which table a later one decides by.
+"""The policy epoch header, by which all proxies on a request's path decide by the same policy.
 
-A stamp names the epoch and the bundle, so that it says the same to each proxy, whatever that one has heard so
-far. Where the table that it names is not there, the request is refused as never run: by another it would be
-decided by two policies.
+The first proxy adds the header. It names the epoch and the bundle's digest, so it means the same to each
+proxy, whatever updates that one has received. A proxy without the named table sheds the request, since any
+other table would apply a second policy to it.
 """
 
 from __future__ import annotations
@@ -13,12 +13,19 @@
 
 HEADER = b"x-policy-epoch"
 PATTERN = re.compile(rb"(0|[1-9]\d{0,11})-([0-9a-f]{0,64})")
-MAX_RETAINED_TABLES = 4  # tables before the one in use, whatever their time: each is memory
+MAX_RETAINED_TABLES = 4  # bounds the memory, whatever the retention time
+
+
+class PolicyEpochError(ValueError):
+    """A header value that is no policy epoch."""
 
 
 @dataclass(frozen=True, slots=True)
 class PolicyEpoch:
-    """`digest` is empty for epoch 0, in which each proxy has a file of its own."""
+    """The epoch of a policy with its bundle's digest.
+
+    The digest is empty for epoch 0, in which each proxy has a configuration file of its own.
+    """
 
     epoch: int
     digest: str
@@ -28,19 +35,19 @@
 
 
 def parse_epoch(text: bytes) -> PolicyEpoch:
-    """Raises ValueError."""
-    found = PATTERN.fullmatch(text)
-    if found is None:
-        raise ValueError("malformed stamp")
-    return PolicyEpoch(int(found[1]), found[2].decode())
+    """Parse the header's value; raises PolicyEpochError."""
+    match = PATTERN.fullmatch(text)
+    if match is None:
+        raise PolicyEpochError("malformed stamp")
+    return PolicyEpoch(int(match[1]), match[2].decode())
 
 
 class TableState(Enum):
-    """Of the table that a stamp names, at one proxy."""
+    """The state at one proxy of the table that a policy epoch names."""
 
     IN_USE = "in use"
-    RETAINED = "held"  # the one in use before, or before that
-    PREPARED = "prepared"  # in force elsewhere already, since a proxy stamps by it
+    RETAINED = "held"  # was in use before
+    PREPARED = "prepared"  # committed already, since another proxy sent its epoch
     RETIRED = "retired"
     UNKNOWN = "unknown"
 
@@ -50,20 +57,24 @@
 
 @dataclass(slots=True)
 class TableRetention:
-    """The tables that a proxy can decide by. `hold`: s for which one is kept after it was in use; longer than
-    a request may be on its way."""
+    """The tables that a proxy can decide by.
+
+    `retention_s` is how long a table is retained after it was in use; it must exceed the longest time that a
+    request takes from the first proxy to the last.
+    """
 
     retention_s: float
-    in_use: PolicyEpoch | None = None  # none was yet
-    retained: dict[PolicyEpoch, float] = field(default_factory=dict)  # until when
+    in_use: PolicyEpoch | None = None
+    retained: dict[PolicyEpoch, float] = field(default_factory=dict)  # expiry times in s
     prepared: PolicyEpoch | None = None
 
     def on_prepared(self, stamp: PolicyEpoch | None) -> None:
-        """What it has agreed to, right before its vote is sent; None: that is over."""
+        """Record the table to be voted for, before the vote is sent; None once the change has ended."""
         newer = stamp is not None and (self.in_use is None or stamp.epoch > self.in_use.epoch)
         self.prepared = stamp if newer else None
 
     def activate(self, stamp: PolicyEpoch, now: float) -> None:
+        """Put a table in use and retain the one before it."""
         if stamp == self.in_use:
             return
         self.retained.pop(stamp, None)
@@ -74,6 +85,7 @@
             self.prepared = None
 
     def state_of(self, stamp: PolicyEpoch, now: float) -> TableState:
+        """Return the state of the table that a request's policy epoch names."""
         if stamp == self.in_use:
             return TableState.IN_USE
         if now < self.retained.get(stamp, now):
@@ -85,13 +97,13 @@
         return TableState.RETIRED
 
     def expire(self, now: float) -> list[PolicyEpoch]:
-        """Those that are held no longer; each is told once."""
+        """Drop tables past their retention and return them, each once."""
         order = sorted(self.retained, key=lambda stamp: self.retained[stamp])
-        gone = [
+        expired = [
             stamp
             for number, stamp in enumerate(order)
             if self.retained[stamp] <= now or number < len(order) - MAX_RETAINED_TABLES
         ]
-        for stamp in gone:
+        for stamp in expired:
             del self.retained[stamp]
-        return gone
+        return expired
--- a/gladegw/coordination/serving_lease.py
+++ b/gladegw/coordination/serving_lease.py
@@ -1,5 +1,8 @@
-"""Until when requests may be answered, by the machine's clock: written by the thread that talks to the store,
-asked by the serving loop before each request. One float, so no lock is needed."""
+"""The time until which this process may answer requests.
+
+The thread of the store's client writes it and the serving loop reads it before each request. It is a single
+float, so no lock is needed.
+"""
 
 from __future__ import annotations
 
@@ -8,8 +11,11 @@
 
 
 class ServingLease:
-    """Closed until it is told otherwise. A bound that has passed closes it by itself, so a process that stood
-    still, with requests waiting in its sockets, answers none of them before it has asked again."""
+    """The right to serve requests, which expires by itself.
+
+    It is closed until `until` is set, in s of `clock`. Because it expires without an event, a process that
+    was suspended answers none of the requests queued in its sockets before it has renewed.
+    """
 
     __slots__ = ("clock", "until")
 
@@ -19,7 +25,9 @@
 
     @property
     def open(self) -> bool:
+        """Whether requests may be answered now."""
         return self.clock() < self.until
 
     def close(self) -> None:
+        """End the lease at once."""
         self.until = -math.inf
