--- a/gladegw/coordination/policy_commit.py
+++ b/gladegw/coordination/policy_commit.py
@@ -1,8 +1,9 @@
-"""A change of policy, as each member goes through it and as it is decided: tables and functions without I/O.
+"""Two-phase commit of policy changes: the participant's state machine and the coordinator's decision.
 
-Two phases (J. Gray, "Notes on data base operating systems", 1978, section 5.8.3.3), with the votes and the
-decision in the store, so that no coordinator is missed: whoever holds the duty decides by one transaction,
-and until it does nothing has changed. docs/design/policy.md has the invariants and the table.
+Without I/O. The votes and the decision are in the store, so the loss of a coordinator blocks nothing: whoever
+holds the duty decides by one transaction, and until then nothing has changed (two phases as in J. Gray,
+"Notes on data base operating systems", 1978, section 5.8.3.3). docs/design/policy.md has the invariants and
+the transition table.
 """
 
 from __future__ import annotations
@@ -13,30 +14,35 @@
 
 
 class Phase(Enum):
-    UNKNOWN = "unknown"  # has not read what is in force
+    """The state of a participant."""
+
+    UNKNOWN = "unknown"  # has not read the committed policy
     SETTLED = "settled"
     PREPARING = "preparing"  # a change is open
-    VOTED_YES = "agreed"  # holds its bundle beside what is in force, and has voted yes
+    VOTED_YES = "agreed"  # has prepared the change's bundle beside the committed one
     VOTED_NO = "opposed"
-    BEHIND = "behind"  # something is in force that it does not hold
-    PREPARE_FAILED = "stuck"  # and can't
+    BEHIND = "behind"  # has not prepared the committed policy
+    PREPARE_FAILED = "stuck"  # could not prepare the committed policy
 
 
 class Action(Enum):
-    PREPARE = "prepare"  # fetch, check and compile `wanted`
+    """What the member has to do after a transition."""
+
+    PREPARE = "prepare"  # fetch, check and compile the bundle `preparing`
     VOTE_YES = "yes"
     VOTE_NO = "no"
     ACTIVATE = "take"  # serve by `digest` from here on
-    PREPARE_FALLBACK = (
-        "spare"  # prepare the others' bundle too, beside serving: it is the way back from the stage
-    )
-    DISCARD_PREPARED = "drop"  # what is held beside is wanted no more
+    PREPARE_FALLBACK = "spare"  # the baseline's bundle, to leave the stage without a delay
+    DISCARD_PREPARED = "drop"
 
 
 @dataclass(frozen=True, slots=True)
 class CommittedPolicy:
-    """What is in force, as the store has it for this member; epoch 0: nothing was decided yet. `base`: the
-    bundle of the others, where this member is in a stage with one of its own."""
+    """The policy in force for this member; epoch 0 means that none was committed yet.
+
+    `baseline` is the digest of the other members' bundle while this member is in a rollout's stage, and empty
+    otherwise.
+    """
 
     epoch: int = 0
     digest: str = ""
@@ -44,45 +50,50 @@
 
     @property
     def fleet_digest(self) -> str:
-        """By which all members name this epoch."""
+        """The digest by which all members identify this epoch."""
         return self.baseline or self.digest
 
 
 @dataclass(frozen=True, slots=True)
 class OpenChange:
-    """A change that is open. `id` is the create revision of its key."""
+    """A change that is open; `id` is the create revision of its key."""
 
     id: int
     epoch: int
     digest: str
-    baseline: str = ""  # as in `Force`
+    baseline: str = ""  # as in CommittedPolicy
 
     @property
     def fleet_digest(self) -> str:
+        """The digest by which all members identify this change."""
         return self.baseline or self.digest
 
 
 @dataclass(frozen=True, slots=True)
 class Participant:
-    """`epoch`, `digest`: of what it serves by. `held`: digest of what is prepared beside it. `joined`: it has
-    served under this membership, so that it goes on while a change is open. `spare`: what it served by before
-    it was in a stage, held for the way back. `alone`: the epoch in which it went back by itself."""
+    """A member's state in the two-phase commit.
+
+    `epoch` and `digest` are those it serves by, `prepared` and `fallback` digests of bundles that are ready
+    beside that one: for the open change, and for leaving the stage. `joined` means that it has served under
+    this membership, so it goes on while a change is open. `reverted_epoch` is the epoch in which it left the
+    stage by itself; -1 if none.
+    """
 
     phase: Phase = Phase.UNKNOWN
     epoch: int = -1
     digest: str = ""
     prepared: str = ""
-    preparing: str = ""  # what is being prepared
+    preparing: str = ""  # digest
     open_change: OpenChange | None = None
     committed: CommittedPolicy = field(default_factory=CommittedPolicy)
     joined: bool = False
     fallback: str = ""
     reverted_epoch: int = -1
-    seen_revision: int = 0  # revision of the newest word of the store that was heeded
+    seen_revision: int = 0  # of the newest store update that was applied
 
     @property
     def may_serve(self) -> bool:
-        """Whether requests may be answered by `digest`, as far as is known."""
+        """Whether requests may be answered by the policy `digest`."""
         return self.joined and self.phase not in (Phase.BEHIND, Phase.PREPARE_FAILED)
 
 
@@ -91,97 +102,102 @@
 
 
 def on_store_update(
-    member: Participant, force: CommittedPolicy, change: OpenChange | None, revision: int
+    member: Participant, committed: CommittedPolicy, change: OpenChange | None, revision: int
 ) -> tuple[Participant, Actions]:
-    """The store's word: what is in force and which change is open, at one revision. One that is older than
-    what was heeded, or would take an epoch back, changes nothing."""
-    if revision < member.seen_revision or force.epoch < member.epoch:
+    """Apply the store's state at one revision: the committed policy and the open change.
+
+    An update older than one already applied, or with a lower epoch, changes nothing.
+    """
+    if revision < member.seen_revision or committed.epoch < member.epoch:
         return member, ()
-    if force.epoch == member.reverted_epoch:
-        force = CommittedPolicy(force.epoch, force.fleet_digest)
+    if committed.epoch == member.reverted_epoch:
+        committed = CommittedPolicy(committed.epoch, committed.fleet_digest)
     member = replace(member, seen_revision=revision)
     actions: Actions = ()
-    if force.epoch > member.epoch or member.phase is P.UNKNOWN:
-        member, actions = _on_commit(member, force)
+    if committed.epoch > member.epoch or member.phase is P.UNKNOWN:
+        member, actions = _on_commit(member, committed)
     if member.phase in (P.BEHIND, P.PREPARE_FAILED):
         return replace(member, open_change=change), actions
     member, more = _on_open_change(member, change)
     return member, actions + more
 
 
-def _on_commit(member: Participant, force: CommittedPolicy) -> tuple[Participant, Actions]:
-    if force.digest in (member.prepared, member.digest, member.fallback) or not force.digest:
-        return _activated(replace(member, committed=force))
-    if member.phase is P.BEHIND and member.preparing == force.digest:
-        return replace(member, committed=force), ()
-    if member.phase is P.PREPARE_FAILED and member.committed.digest == force.digest:
-        return replace(member, committed=force), ()  # tried again in its time, not at each word
-    drop = (A.DISCARD_PREPARED,) if member.prepared else ()
-    return replace(member, phase=P.BEHIND, committed=force, preparing=force.digest, prepared=""), (
-        *drop,
-        A.PREPARE,
-    )
+def _on_commit(member: Participant, committed: CommittedPolicy) -> tuple[Participant, Actions]:
+    if committed.digest in (member.prepared, member.digest, member.fallback) or not committed.digest:
+        return _activated(replace(member, committed=committed))
+    if member.phase is P.BEHIND and member.preparing == committed.digest:
+        return replace(member, committed=committed), ()
+    if member.phase is P.PREPARE_FAILED and member.committed.digest == committed.digest:
+        return replace(member, committed=committed), ()  # retried on a timer, not at each update
+    after = replace(member, phase=P.BEHIND, committed=committed, preparing=committed.digest, prepared="")
+    return after, (*_discard_prepared(member), A.PREPARE)
+
+
+def _discard_prepared(member: Participant) -> Actions:
+    return (A.DISCARD_PREPARED,) if member.prepared else ()
 
 
 def _activated(member: Participant) -> tuple[Participant, Actions]:
-    force = member.committed
-    had = (member.digest, member.fallback)
-    spare = force.baseline if force.baseline and force.baseline in had else ""
+    committed = member.committed
+    ready = (member.digest, member.fallback)
+    fallback = committed.baseline if committed.baseline and committed.baseline in ready else ""
     after = replace(
         member,
         phase=P.SETTLED,
-        epoch=force.epoch,
-        digest=force.digest,
+        epoch=committed.epoch,
+        digest=committed.digest,
         prepared="",
         preparing="",
         open_change=None,
-        fallback=spare,
+        fallback=fallback,
     )
-    return after, (A.ACTIVATE, A.PREPARE_FALLBACK) if force.baseline and not spare else (A.ACTIVATE,)
+    return after, (A.ACTIVATE, A.PREPARE_FALLBACK) if committed.baseline and not fallback else (A.ACTIVATE,)
 
 
 def on_fallback_prepared(member: Participant, digest: str) -> Participant:
-    """The way back is prepared, by one that began within the stage."""
+    """Record that the fallback is prepared, if it still belongs to the stage."""
     wanted = member.committed.baseline == digest and member.epoch == member.committed.epoch
     return replace(member, fallback=digest) if wanted else member
 
 
 def revert_unconfirmed(member: Participant) -> tuple[Participant, Actions]:
-    """In a stage, and nobody conducts it as far as it hears: back to what the others serve by, for this
-    epoch. That much was decided with the stage."""
-    force = member.committed
+    """Leave a stage whose rollout sends no heartbeats, for the rest of this epoch.
+
+    The member then serves by the baseline, which was committed together with the stage.
+    """
+    committed = member.committed
     if (
-        not force.baseline
-        or member.epoch != force.epoch
+        not committed.baseline
+        or member.epoch != committed.epoch
         or member.phase in (P.UNKNOWN, P.BEHIND, P.PREPARE_FAILED)
     ):
         return member, ()
-    alone, back = replace(member, reverted_epoch=force.epoch), CommittedPolicy(force.epoch, force.baseline)
-    if member.fallback == force.baseline:  # a vote that it has given stands, and what that holds
-        return replace(alone, committed=back, digest=back.digest, fallback=""), (A.ACTIVATE,)
-    drop = (A.DISCARD_PREPARED,) if member.prepared else ()
-    after, actions = _on_commit(replace(alone, prepared=""), back)
-    return after, drop + actions
+    reverted = replace(member, reverted_epoch=committed.epoch)
+    baseline = CommittedPolicy(committed.epoch, committed.baseline)
+    if member.fallback == committed.baseline:  # a vote it has given stands, with the bundle prepared for it
+        return replace(reverted, committed=baseline, digest=baseline.digest, fallback=""), (A.ACTIVATE,)
+    after, actions = _on_commit(replace(reverted, prepared=""), baseline)
+    return after, _discard_prepared(member) + actions
 
 
 def _on_open_change(member: Participant, change: OpenChange | None) -> tuple[Participant, Actions]:
-    """With what is in force taken. A change for another epoch than the next can't be decided."""
+    """Apply the open change once the committed policy is active.
+
+    A change for any epoch but the next cannot be committed and is ignored.
+    """
     if change is not None and change.epoch != member.epoch + 1:
         change = None
     if change is None:
-        drop = (A.DISCARD_PREPARED,) if member.prepared else ()
-        return replace(
-            member, phase=P.SETTLED, open_change=None, prepared="", preparing="", joined=True
-        ), drop
+        after = replace(member, phase=P.SETTLED, open_change=None, prepared="", preparing="", joined=True)
+        return after, _discard_prepared(member)
     if member.open_change is not None and member.open_change.id == change.id:
         return member, ()
-    drop = (A.DISCARD_PREPARED,) if member.prepared else ()
     after = replace(member, phase=P.PREPARING, open_change=change, prepared="", preparing=change.digest)
-    return after, (*drop, A.PREPARE)
+    return after, (*_discard_prepared(member), A.PREPARE)
 
 
 def on_prepare_result(member: Participant, digest: str, able: bool) -> tuple[Participant, Actions]:
-    """What became of a PREPARE. One that is wanted no more changes nothing."""
+    """Apply the result of a PREPARE; the result of one that is obsolete changes nothing."""
     if digest != member.preparing or member.phase not in (P.PREPARING, P.BEHIND):
         return member, ()
     if member.phase is P.PREPARING:
@@ -199,28 +215,35 @@
 
 
 def retry_prepare(member: Participant) -> tuple[Participant, Actions]:
-    """What could not be prepared is tried once more: a library may have come, a time of caution be over."""
+    """Retry a preparation that failed, since its cause may be gone."""
     if member.phase is not P.PREPARE_FAILED:
         return member, ()
     return replace(member, phase=P.BEHIND, preparing=member.committed.digest), (A.PREPARE,)
 
 
 def on_rejoin(member: Participant, keep_serving: bool = False) -> Participant:
-    """Its lease was lost and it is registered anew: it may have missed what was decided meanwhile, and the
-    vote under the old lease is gone. `goes_on`: nothing can be decided without it, so it serves as before
-    while it asks; but not if it had agreed, since with that vote it may have been."""
+    """Reset a member that lost its lease and has registered again.
+
+    It may have missed commits, and its vote under the old lease is gone. `keep_serving` means that nothing
+    can be committed without this member, so that it serves on while it reads the store; it does not after a
+    yes vote, with which a commit may have happened.
+    """
     keep_serving = keep_serving and member.may_serve and not in_doubt(member)
     return replace(member, phase=P.UNKNOWN, open_change=None, prepared="", preparing="", joined=keep_serving)
 
 
 def in_doubt(member: Participant) -> bool:
-    """Whether what it serves by may be over without its having heard: it has agreed to a change. Until it
-    hears what became of it, it may serve only as long as it knows the store's word, whatever the settings say
-    of one that is cut off."""
+    """Whether another policy may have been committed without the member's knowledge.
+
+    That is so after a yes vote. Until it knows the outcome, the member may serve only while it is connected
+    to the store, whatever the setting `when_cut_off` says.
+    """
     return member.phase is P.VOTED_YES
 
 
 class Outcome(Enum):
+    """The outcome of an open change so far."""
+
     PENDING = "wait"
     COMMIT = "yes"
     ABORT = "no"
@@ -228,7 +251,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """Of one process on one change: bound to both by id and digest."""
+    """The vote of one process, bound to one change by its id and digest."""
 
     change: int
     digest: str
@@ -238,6 +261,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
+    """The coordinator's decision; `awaited` has the processes whose votes are missing."""
+
     outcome: Outcome
     reason: str = ""
     awaited: tuple[str, ...] = ()
@@ -245,25 +270,29 @@
 
 def decide(
     change: OpenChange,
-    force: CommittedPolicy,
+    committed: CommittedPolicy,
     proposed_with: Iterable[str],
     registered: Iterable[str],
     votes: Mapping[str, Vote],
     signed_off: Iterable[str] = (),
     unreached: Iterable[str] = (),
 ) -> Decision:
-    """`proposed_with`: who was registered at the proposal. `signed_off`: of those, who left in order.
-    `unreached`: names that are known and have no process, where that is a reason (`when_cut_off` serve)."""
-    there = set(registered)
-    if change.epoch != force.epoch + 1:
-        return Decision(Outcome.ABORT, f"epoch {force.epoch} came first")
-    lost = sorted(set(proposed_with) - there - set(signed_off))
+    """Decide an open change from the votes.
+
+    `proposed_with` has the processes registered at the proposal and `signed_off` those of them that left
+    gracefully. `unreached` has known names without a process, where they block a commit (`when_cut_off` is
+    `serve`).
+    """
+    present = set(registered)
+    if change.epoch != committed.epoch + 1:
+        return Decision(Outcome.ABORT, f"epoch {committed.epoch} came first")
+    lost = sorted(set(proposed_with) - present - set(signed_off))
     if lost:
         return Decision(Outcome.ABORT, f"lost while it was open: {', '.join(lost)}")
     valid = {
         who: vote
         for who, vote in votes.items()
-        if who in there and vote.change == change.id and vote.digest == change.digest
+        if who in present and vote.change == change.id and vote.digest == change.digest
     }
     against = sorted(who for who, vote in valid.items() if not vote.yes)
     if against:
@@ -271,7 +300,7 @@
     missing = sorted(unreached)
     if missing:
         return Decision(Outcome.ABORT, f"not reached: {', '.join(missing)}")
-    awaited = tuple(sorted(there - valid.keys()))
-    if awaited or not there:
+    awaited = tuple(sorted(present - valid.keys()))
+    if awaited or not present:
         return Decision(Outcome.PENDING, "", awaited)
     return Decision(Outcome.COMMIT)
--- a/gladegw/coordination/records.py
+++ b/gladegw/coordination/records.py
@@ -1,5 +1,8 @@
-"""What stands in the store: records as JSON, each with its version. A reader one version older or newer reads
-what it knows; whoever writes a record back keeps the fields that it did not know."""
+"""The records in the store: JSON, each with a version.
+
+A reader that is one version older or newer reads the fields that it knows; a writer that replaces a record
+preserves the fields that it does not know.
+"""
 
 from __future__ import annotations
 
@@ -9,44 +12,49 @@
 
 from gladegw.coordination.fleet_regression import FleetWindow
 
-VERSION = 1  # of all records: a field that comes is optional, one that goes is still read for one version
+VERSION = 1  # new fields are optional, and removed ones are still read for one version
 
 
 class RecordError(ValueError):
-    """A record that can't be read; the message says why, in one line."""
+    """A record that cannot be decoded; the message has its kind and the reason in one line."""
 
 
 class Record(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=False):
+    """The base of all records, with the version."""
+
     v: int = VERSION
 
 
 class MemberRecord(Record, frozen=True, kw_only=True):
-    """`live/members/NAME/INCARNATION`, under the lease of the process."""
+    """A process of a member: `live/members/NAME/INCARNATION`, under the lease of the process."""
 
     name: str
-    incarnation: str  # new with each process, so two of one name are told apart
+    incarnation: str  # unique to each process
     address: str = ""
     zone: str = ""
     version: str = ""  # of the program
-    can: tuple[str, ...] = ()  # the duties that it knows
-    knows: tuple[str, ...] = ()  # kinds of their work that an older program would get wrong
-    state: str = "ready"  # as the life-cycle has it
-    epoch: int = -1  # of the policy that it serves by; -1: it has none
-    digest: str = ""  # and its bundle
-    since: float = 0.0  # s since 1970 by its own clock: shown, and nothing rests on it
+    can: tuple[str, ...] = ()  # the duties that it can hold
+    knows: tuple[str, ...] = ()  # features of duties that an older program lacks
+    state: str = "ready"  # of the life cycle
+    epoch: int = -1  # of the policy it serves by; -1: none
+    digest: str = ""  # of that policy's bundle
+    since: float = 0.0  # s since 1970 by its own clock, for display only
 
 
 class KnownMemberRecord(Record, frozen=True, kw_only=True):
-    """`told/known/NAME`, under no lease: who is missed when no process of that name is there."""
+    """A member that should have a process: `told/known/NAME`, under no lease."""
 
     name: str
     zone: str = ""
-    lost: float = 0.0  # s since 1970, when the sweeper saw that it was gone; 0: it was not
-    left: bool = False  # it signed off in order
+    lost: float = 0.0  # s since 1970, when its loss was observed; 0: not lost
+    left: bool = False  # gracefully
 
 
 class DutyHolderRecord(Record, frozen=True, kw_only=True):
-    """`live/duties/NAME`, under the holder's lease. The token is the key's create revision."""
+    """A duty's holder: `live/duties/NAME`, under the holder's lease.
+
+    The fencing token is the key's create revision.
+    """
 
     holder: str
     incarnation: str
@@ -54,44 +62,47 @@
 
 
 class SuccessorRecord(Record, frozen=True, kw_only=True):
-    """`live/heirs/NAME`: whom the last holder left the duty to. A preference, so it may be stale."""
+    """The successor named by a duty's last holder: `live/heirs/NAME`; a preference, which may be stale."""
 
     name: str
 
 
 class MemberMetricsRecord(Record, frozen=True, kw_only=True):
-    """`told/figures/NAME`, under the member's lease."""
+    """A member's metrics: `told/figures/NAME`, under the member's lease."""
 
     name: str
     incarnation: str = ""
     figures: dict[str, int] = {}
-    discovery: str = ""  # digest of the list that it works by
-    routes: str = ""  # digest of its table
-    serving: str = ""  # digest of the backends that it may send to: listed, and not told to drain
+    discovery: str = ""  # digest of its list of backends
+    routes: str = ""  # digest of its route table
+    serving: str = ""  # digest of the listed backends that do not drain
 
 
 class FleetSummaryRecord(Record, frozen=True, kw_only=True):
-    """`told/fleet/digest`: what the holder of `digest` made of all figures."""
+    """A summary of all members' metrics: `told/fleet/digest`, by the holder of the duty `digest`."""
 
     token: int
     members: int
     totals: dict[str, int] = {}
-    worst: tuple[tuple[str, float], ...] = ()  # by share of requests that were not served
+    worst: tuple[tuple[str, float], ...] = ()  # members by fraction of requests not served
     silent: tuple[str, ...] = ()
 
 
 class ConfigDriftRecord(Record, frozen=True, kw_only=True):
-    """`told/fleet/compare`: who stands alone with what."""
+    """Members whose configuration differs: `told/fleet/compare`."""
 
     token: int
-    discovery: dict[str, tuple[str, ...]] = {}  # digest: names, where there is more than one digest
+    discovery: dict[str, tuple[str, ...]] = {}  # names by digest, if there are several digests
     routes: dict[str, tuple[str, ...]] = {}
-    since: float = 0.0  # s since 1970, from when on they differed; 0: they agree
+    since: float = 0.0  # s since 1970, when they began to differ; 0: they agree
 
 
 class PolicyRecord(Record, frozen=True, kw_only=True):
-    """`live/policy/force`, and `told/policy/history/EPOCH`. In a rollout's stage `named` serve by `new`, and
-    go back by themselves if they hear nothing of it for `confirm_s`."""
+    """A committed policy: `live/policy/force` and `told/policy/history/EPOCH`.
+
+    In a rollout's stage the members in `named` serve by `new`, and revert by themselves after `confirm_s`
+    without a heartbeat.
+    """
 
     epoch: int
     digest: str
@@ -105,13 +116,16 @@
 
 
 class PolicyChangeRecord(Record, frozen=True, kw_only=True):
-    """`live/policy/change`, under a lease as long as its deadline. `members`: who was registered when it was
-    proposed. `everyone`: names without a process are a reason against it."""
+    """An open change of policy: `live/policy/change`, under a lease as long as its deadline.
+
+    `members` has the processes registered at the proposal. With `everyone`, known names without a process
+    block the change.
+    """
 
     id: str
     epoch: int
     digest: str
-    new: str = ""  # this and the next three as in `InForce`
+    new: str = ""  # this and the next three as in PolicyRecord
     named: tuple[str, ...] = ()
     rollout: str = ""
     confirm_s: int = 0
@@ -124,7 +138,10 @@
 
 
 class VoteRecord(Record, frozen=True, kw_only=True):
-    """`told/policy/votes/NAME/INCARNATION`, under the member's lease. `change`: its key's create revision."""
+    """A vote: `told/policy/votes/NAME/INCARNATION`, under the member's lease.
+
+    `change` is the create revision of the change's key.
+    """
 
     change: int
     digest: str
@@ -133,7 +150,7 @@
 
 
 class ChangeOutcomeRecord(Record, frozen=True, kw_only=True):
-    """`told/policy/ended/ID`: what became of a change."""
+    """The outcome of a change: `told/policy/ended/ID`."""
 
     id: str
     epoch: int
@@ -147,15 +164,18 @@
 
 
 class BundleAttemptsRecord(Record, frozen=True, kw_only=True):
-    """`kept/tries/DIGEST/NAME`: how often processes of that name began with a bundle and were not heard of
-    since. `last`: the incarnation that counted itself last, so that none does twice."""
+    """Attempts with a bundle: `kept/tries/DIGEST/NAME`.
+
+    `count` is how many processes of that name activated the bundle and sent no update afterwards; `last` is
+    the incarnation counted last, so that none is counted twice.
+    """
 
     count: int
     last: str = ""
 
 
 class RolloutLimitsRecord(Record, frozen=True, kw_only=True):
-    """What worse means to a rollout; `coordination.verdict.Limits`."""
+    """The tolerances of a rollout, as `coordination.canary_analysis.Limits`."""
 
     failed: float
     refused: float
@@ -166,8 +186,11 @@
 
 
 class RolloutRecord(Record, frozen=True, kw_only=True):
-    """`live/policy/rollout`, and `told/rollout/ended/ID` once it is over. `old`, `new`: bundles by digest, or
-    versions of the program; of those `deadline_s` is how long a stage may take to come up."""
+    """A rollout: `live/policy/rollout`, and `told/rollout/ended/ID` once it has ended.
+
+    `old` and `new` are digests of bundles or versions of the program; for the latter `deadline_s` is how long
+    a stage's processes may take to start.
+    """
 
     id: str
     old: str
@@ -189,13 +212,15 @@
     why: str = ""
     at: float = 0.0
     ended_at: float = 0.0
-    kind: str = ""  # of what is rolled out: a bundle, or a `program`
-    quiet: tuple[str, ...] = ()  # `coordination.quiet`
+    kind: str = ""  # empty for a bundle, or `program`
+    quiet: tuple[str, ...] = ()  # blackout windows, `coordination.blackout_windows`
 
 
 class ProgramRecord(Record, frozen=True, kw_only=True):
-    """`live/policy/program`: which version of the program runs, as `InForce` has it for bundles. Nobody votes
-    on it: each name's supervisor tries it beside what serves."""
+    """The program's version in force: `live/policy/program`, with fields as in PolicyRecord.
+
+    There is no vote on it; each member's supervisor starts it beside the serving process.
+    """
 
     epoch: int
     version: str
@@ -209,7 +234,10 @@
 
 
 class SupervisorRecord(Record, frozen=True, kw_only=True):
-    """`live/supervisors/NAME`, under the supervisor's lease. `epoch`: of the `Program` that it has heard."""
+    """A supervisor's state: `live/supervisors/NAME`, under the supervisor's lease.
+
+    `epoch` is that of the last ProgramRecord it has applied.
+    """
 
     name: str
     version: str
@@ -218,19 +246,19 @@
     wanted: str = ""
     refused: tuple[str, ...] = ()
     reason: str = ""
-    restarts: int = 0  # since the version was asked for
+    restarts: int = 0  # since the version was requested
     epoch: int = -1
-    alone: bool = False  # it went back by itself
+    alone: bool = False  # it reverted by itself
 
 
 class HeartbeatRecord(Record, frozen=True, kw_only=True):
-    """`live/policy/sign`: somebody conducts this rollout; members look at the key's revision alone."""
+    """A rollout's heartbeat: `live/policy/sign`; members read only the key's revision."""
 
     rollout: str
 
 
 class EvidenceRecord(Record, frozen=True, kw_only=True):
-    """`told/rollout/weighed`: the evidence so far, `coordination.verdict.Evidence`."""
+    """The evidence so far: `told/rollout/weighed`, as `coordination.canary_analysis.Evidence`."""
 
     rollout: str
     stage: int
@@ -248,8 +276,11 @@
 
 
 class TimelinePointRecord(Record, frozen=True, kw_only=True):
-    """`kept/courses/ID/STAGE-WINDOW`: what a window has shown. `at`: s since the rollout's begin, by the
-    conductor's clock; `log_e`: the evidence as it stands, by figure."""
+    """One window of a rollout: `kept/courses/ID/STAGE-WINDOW`.
+
+    `at` is in s since the rollout's start, by the clock of the duty's holder; `log_e` is the logarithm of the
+    e-value by metric.
+    """
 
     at: float
     stage: int
@@ -263,21 +294,21 @@
 
 
 def encode(record: Record, over: bytes = b"") -> bytes:
-    """`over` is the record that this one replaces: fields of it that are not known here stay."""
-    made: dict[str, Any] = msgspec.to_builtins(record)
+    """Encode a record; unknown fields of the record `over` that it replaces are preserved."""
+    fields: dict[str, Any] = msgspec.to_builtins(record)
     if over:
         try:
             old = msgspec.json.decode(over)
         except msgspec.DecodeError:
             old = None
         if isinstance(old, dict):
-            made = {**{key: value for key, value in old.items() if key not in made}, **made}
-            made["v"] = max(record.v, old["v"]) if isinstance(old.get("v"), int) else record.v
-    return msgspec.json.encode(made)
+            fields = {**{key: value for key, value in old.items() if key not in fields}, **fields}
+            fields["v"] = max(record.v, old["v"]) if isinstance(old.get("v"), int) else record.v
+    return msgspec.json.encode(fields)
 
 
 def decode(raw: bytes, form: type[R]) -> R:
-    """Raises RecordError."""
+    """Decode a record of the type `form`; raises RecordError."""
     try:
         return msgspec.json.decode(raw, type=form)
     except (msgspec.DecodeError, UnicodeDecodeError) as fault:
--- a/gladegw/coordination/store.py
+++ b/gladegw/coordination/store.py
@@ -1,9 +1,8 @@
-"""The contract of the store that all processes reach, as the etcd v3 API publishes it (etcd.io/docs, "API
-reference", "API guarantees"): keys with revisions, transactions that compare and then write, leases, and what
-a watch is told.
+"""The contract of the store that all processes share, and an implementation in memory.
 
-A write makes the store's next revision; all writes of a transaction share one. `LIMITS` are the published
-defaults of a server.
+The contract is that of the etcd v3 API (etcd.io/docs, "API reference", "API guarantees"): keys with
+revisions, transactions that compare and then write, leases, and the events of a watch. A write makes the
+store's next revision; all writes of a transaction share one. The limits are a server's published defaults.
 """
 
 from __future__ import annotations
@@ -19,11 +18,11 @@
 
 
 class StoreError(Exception):
-    """A request that the store refuses; nothing of it was done."""
+    """A request that the store rejected without any effect."""
 
 
 class CompactedError(StoreError):
-    """The revision asked for is not kept any more: whoever follows has to start over by a whole read."""
+    """The requested revision was compacted: a watcher has to start over with a full read."""
 
     def __init__(self, compact_revision: int) -> None:
         super().__init__("mvcc: required revision has been compacted")
@@ -31,26 +30,34 @@
 
 
 class LeaseNotFoundError(StoreError):
+    """The store has no such lease."""
+
     def __init__(self) -> None:
         super().__init__("requested lease not found")
 
 
 class QuotaExceededError(StoreError):
+    """The store's size exceeds its quota."""
+
     def __init__(self) -> None:
         super().__init__("mvcc: database space exceeded")
 
 
 @dataclass(frozen=True, slots=True)
 class KeyValue:
+    """A key with its value and revisions."""
+
     key: bytes
     value: bytes
-    create_revision: int  # of the write that made it; again after a deletion: a new one
+    create_revision: int  # a new one if created again after a deletion
     mod_revision: int  # of its last write
-    version: int  # writes since it was made, from 1
+    version: int  # writes since its creation, from 1
     lease: int  # 0: none
 
 
 class Target(Enum):
+    """What a Compare reads of a key."""
+
     VERSION = "version"
     CREATE = "create_revision"
     MOD = "mod_revision"
@@ -60,7 +67,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Compare:
-    """A key that is not there has 0 for all figures; its value equals nothing."""
+    """A condition of a transaction.
+
+    A missing key has 0 for all numbers; no comparison of its value holds.
+    """
 
     key: bytes
     target: Target
@@ -70,7 +80,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Get:
-    """`end` empty: the one key; b"\\0": all keys from `key` on; else those below `end`. `revision` 0: now."""
+    r"""A read of one key or a range.
+
+    An empty `end` means the single key, b"\0" all keys from `key` on, any other the keys below `end`.
+    `revision` 0 means the current one.
+    """
 
     key: bytes
     end: bytes = b""
@@ -79,6 +93,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
+    """A write of one key, under a lease unless that is 0."""
+
     key: bytes
     value: bytes
     lease: int = 0
@@ -86,6 +102,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Delete:
+    """A deletion of one key or a range, as in Get."""
+
     key: bytes
     end: bytes = b""
 
@@ -95,6 +113,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Txn:
+    """A transaction: `success` is executed if all comparisons hold, else `failure`."""
+
     compare: tuple[Compare, ...]
     success: tuple[Operation, ...]
     failure: tuple[Operation, ...] = ()
@@ -102,7 +122,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TxnResult:
-    """`found` has the keys of each Get in its place, and what a Delete removed; a Put has an empty one."""
+    """The result of a transaction.
+
+    `found` has one entry for each operation: the keys of a Get, those removed by a Delete, empty for a Put.
+    """
 
     revision: int
     succeeded: bool
@@ -111,7 +134,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreEvent:
-    """A put, or a deletion (`gone`): then `kv` has the key and the revision of the deletion alone."""
+    """A put or a deletion; of a deletion `kv` has only the key and the revision.
+
+    `before` is the key's previous state, if there was one.
+    """
 
     kv: KeyValue
     deleted: bool
@@ -119,38 +145,48 @@
 
 
 def prefix_end(prefix: bytes) -> bytes:
-    """The end of the range of all keys that begin so."""
-    kept = prefix.rstrip(b"\xff")
-    return kept[:-1] + bytes([kept[-1] + 1]) if kept else b"\0"
+    """Return the end of the range of all keys with this prefix."""
+    stripped = prefix.rstrip(b"\xff")
+    return stripped[:-1] + bytes([stripped[-1] + 1]) if stripped else b"\0"
 
 
 def within(key: bytes, first: bytes, end: bytes) -> bool:
+    """Whether a key is in a range, as in Get."""
     return key == first if not end else key >= first and (end == b"\0" or key < end)
 
 
 @dataclass(slots=True)
 class GrantedLease:
+    """A lease as the store has it."""
+
     id: int
     ttl: int  # s
     expires_at: float  # by the store's clock
 
 
 class InMemoryStore:
-    """A store in memory that obeys the contract. `now` is the store's own clock, in s, and passed in."""
+    """A store in memory that implements the contract.
+
+    `now` arguments are the store's own clock, in s. `min_ttl` is in s; `quota` is in bytes, 0 for none.
+    """
 
     def __init__(self, min_ttl: int = 1, quota: int = 0) -> None:
         self.revision = 1
         self.compacted = 0
         self.keys: dict[bytes, KeyValue] = {}
-        self.sorted_keys: list[bytes] = []  # the same keys
-        self.keys_by_lease: dict[int, set[bytes]] = {}  # keys by their lease
-        self.log: list[StoreEvent] = []  # in the order of revisions, from `compacted` on
+        self.sorted_keys: list[bytes] = []  # of `keys`
+        self.keys_by_lease: dict[int, set[bytes]] = {}
+        self.log: list[StoreEvent] = []  # by revision, after `compacted`
         self.leases: dict[int, GrantedLease] = {}
         self.min_ttl, self.quota = min_ttl, quota
         self.next_lease = 1
 
     # reads
     def get(self, request: Get) -> tuple[KeyValue, ...]:
+        """Read one key or a range, in the order of keys.
+
+        Raises StoreError for a future revision and CompactedError for a compacted one.
+        """
         if request.revision > self.revision:
             raise StoreError("mvcc: required revision is a future revision")
         if 0 < request.revision < self.compacted:
@@ -176,7 +212,7 @@
         return keys
 
     def since(self, revision: int, key: bytes, end: bytes = b"") -> list[StoreEvent]:
-        """What a watch from this revision on is told first; raises Compacted."""
+        """Return the past events of a watch from this revision on; raises CompactedError."""
         if revision <= self.compacted:
             raise CompactedError(self.compacted)
         found = []
@@ -189,7 +225,7 @@
 
     # writes
     def txn(self, request: Txn) -> TxnResult:
-        """All or nothing; raises StoreError."""
+        """Execute a transaction atomically; raises StoreError without any effect."""
         for branch in (request.success, request.failure):
             self._check(branch)
         if max(len(request.compare), len(request.success), len(request.failure)) > MAX_TXN_OPERATIONS:
@@ -236,22 +272,23 @@
                 raise StoreError("etcdserver: duplicate key given in txn request")
 
     def _holds(self, compare: Compare) -> bool:
-        held = self.keys.get(compare.key)
+        current = self.keys.get(compare.key)
         if compare.target is Target.VALUE:
-            if held is None:
+            if current is None:
                 return False
-            value: int | bytes = held.value
+            value: int | bytes = current.value
         else:
-            value = 0 if held is None else getattr(held, compare.target.value)
-        one, other = value, compare.operand
+            value = 0 if current is None else getattr(current, compare.target.value)
+        operand = compare.operand
         if compare.relation == "=":
-            return one == other
+            return value == operand
         if compare.relation == "!=":
-            return one != other
-        return one > other if compare.relation == ">" else one < other  # type: ignore[operator]
+            return value != operand
+        return value > operand if compare.relation == ">" else value < operand  # type: ignore[operator]
 
     @property
     def size(self) -> int:
+        """Bytes of all keys and values."""
         return sum(len(kv.key) + len(kv.value) for kv in self.keys.values())
 
     def _put(self, request: Put, revision: int) -> None:
@@ -277,7 +314,7 @@
             self.log.append(StoreEvent(KeyValue(before.key, b"", 0, revision, 0, 0), True, before))
 
     def set_current(self, kv: KeyValue) -> None:
-        """A key as it is now, without an event."""
+        """Set a key's current state without an event."""
         if kv.key not in self.keys:
             insort(self.sorted_keys, kv.key)
         self.keys[kv.key] = kv
@@ -285,13 +322,17 @@
             self.keys_by_lease.setdefault(kv.lease, set()).add(kv.key)
 
     def _detach(self, kv: KeyValue) -> None:
-        """It hangs on its lease no more."""
+        """Detach a key from its lease."""
         if kv.lease in self.keys_by_lease:
             self.keys_by_lease[kv.lease].discard(kv.key)
             if not self.keys_by_lease[kv.lease]:
                 del self.keys_by_lease[kv.lease]
 
     def compact(self, revision: int) -> None:
+        """Drop the events up to a revision.
+
+        Raises CompactedError if it was compacted already, StoreError if it is a future one.
+        """
         if revision <= self.compacted:
             raise CompactedError(self.compacted)
         if revision > self.revision:
@@ -301,6 +342,10 @@
 
     # leases
     def grant(self, ttl: int, now: float, id: int = 0) -> GrantedLease:
+        """Grant a lease, with an unused id unless one is given; raises StoreError if that one exists.
+
+        `ttl` is in s and raised to the store's minimum.
+        """
         if id in self.leases:
             raise StoreError("etcdserver: lease already exists")
         if not id:
@@ -312,7 +357,7 @@
         return lease
 
     def keep_alive(self, id: int, now: float) -> int:
-        """The time to live from now on, in s; 0: there is no such lease."""
+        """Renew a lease and return its time to live in s; 0 if there is no such lease."""
         lease = self.leases.get(id)
         if lease is None:
             return 0
@@ -320,6 +365,7 @@
         return lease.ttl
 
     def revoke(self, id: int) -> None:
+        """End a lease and delete its keys; raises LeaseNotFoundError."""
         if self.leases.pop(id, None) is None:
             raise LeaseNotFoundError
         removed = [self.keys[key] for key in self.attached(id)]
@@ -328,16 +374,20 @@
             self._delete(removed, self.revision)
 
     def attached(self, id: int) -> list[bytes]:
+        """Return the keys under a lease, sorted."""
         return sorted(self.keys_by_lease.get(id, ()))
 
     def expire(self, now: float) -> list[int]:
-        """Ends the leases whose time is over, and with them their keys."""
-        over = sorted(id for id, lease in self.leases.items() if lease.expires_at <= now)
-        for id in over:
+        """Revoke the leases that have expired and return their ids."""
+        expired = sorted(id for id, lease in self.leases.items() if lease.expires_at <= now)
+        for id in expired:
             self.revoke(id)
-        return over
+        return expired
 
     def extend_all(self, now: float) -> None:
-        """A new leader starts each lease anew, since it can't know when it was last kept."""
+        """Extend each lease by its time to live, as a new leader does.
+
+        It cannot know when a lease was last renewed.
+        """
         for lease in self.leases.values():
             lease.expires_at = max(lease.expires_at, now + lease.ttl)
--- a/gladegw/coordination/supervision.py
+++ b/gladegw/coordination/supervision.py
@@ -1,7 +1,7 @@
-"""One proxy's processes under a supervisor: the one that serves and, while it is replaced, another beside it.
-A table without I/O and clock; docs/design/supervise.md has the invariants.
+"""The state machine of a supervisor, which replaces one proxy's process by another started beside it.
 
-`step` is asked again and again with what is seen of both. `current` is who serves; `other` is who may follow.
+Without I/O or clock; docs/design/supervise.md has the invariants. `step` is called repeatedly with the status
+of both processes: `current` serves, `other` may replace it.
 """
 
 from __future__ import annotations
@@ -11,27 +11,33 @@
 
 
 class Phase(Enum):
-    STARTING = "starting"  # nobody serves: the first process, or one after a death, is coming up
+    """The state of the supervision; the values are stored."""
+
+    STARTING = "starting"  # no process serves: the first one or a restarted one is starting
     STEADY = "steady"
-    STARTING_REPLACEMENT = "bringing up"  # another is coming up beside the one that serves
-    VERIFYING = "proving"  # the other is ready and has the new connections; the one before is as it was
-    RETAINING_PREVIOUS = "keeping"  # the other serves; the one before is drained and kept for the way back
-    STOPPING_PREVIOUS = "ending"  # the one before was told to end
-    STOPPING_REPLACEMENT = "giving up"  # the other was told to end; the one before serves on
+    STARTING_REPLACEMENT = "bringing up"  # beside the serving process
+    VERIFYING = "proving"  # the replacement accepts new connections, the previous process is unchanged
+    RETAINING_PREVIOUS = "keeping"  # the replacement serves, the previous process is drained for a rollback
+    STOPPING_PREVIOUS = "ending"
+    STOPPING_REPLACEMENT = "giving up"  # the previous process serves on
 
 
 class Slot(Enum):
+    """Which of the two processes an action concerns."""
+
     CURRENT = "current"
     OTHER = "other"
 
 
 class ActionKind(Enum):
+    """What the supervisor has to do with a process."""
+
     START = "start"
     TERMINATE = "term"
     KILL = "kill"
     DRAIN = "lame"  # drain, and stay
     REJOIN = "rejoin"  # serve again
-    PROMOTE = "swap"  # the other is the current one from here on
+    PROMOTE = "swap"  # the other becomes the current one
 
 
 Action = tuple[ActionKind, Slot]
@@ -40,8 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessStatus:
-    """`bad`: why it must not go on, though it is alive. `why`: what is known of its death. `thin`: it was
-    asked too little for that to be known, though the one before it was asked."""
+    """The observed status of a process.
+
+    `failure` is why a live process must not go on and `exit_reason` what is known of an exit.
+    `insufficient_traffic` means that it received too few requests to verify it, while the previous process
+    received enough.
+    """
 
     alive: bool = False
     ready: bool = False
@@ -55,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Timeouts:
-    """All in s. `again`: after a death, doubled with each in a row, up to `again_most`."""
+    """Timeouts in s; the restart backoff doubles with each consecutive exit up to its maximum."""
 
     ready: float = 30.0
     verify: float = 5.0
@@ -66,10 +76,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Supervision:
-    """`wanted` was asked for under `epoch`. `refused`: what was tried under it and given up, and is not tried
-    again; `tried`: the epoch of the try that is under way, since what failed under an older one says nothing
-    of this. `keep`: the one before is kept, while this is not confirmed for good. `good`: the version that
-    last was steady for as long as a proof takes, to which a start that fails falls back."""
+    """The supervision's state; the field names are stored.
+
+    Version `wanted` was requested under `epoch`. `refused` are versions that failed under it and are not
+    attempted again; `tried` is the epoch of the attempt in progress, since a failure under an older epoch
+    does not count for this one. With `keep` the previous process is retained until the version is confirmed.
+    `good` is the version that was last steady for the verification time, to which failed starts fall back.
+    """
 
     wanted: str
     current: str
@@ -82,19 +95,19 @@
     refused: frozenset[str] = frozenset()
     reason: str = ""
     good: str = ""
-    deaths: int = 0  # in a row, before it was steady again
-    restarts: int = 0  # in all, since this was asked for
-    begun: bool = False  # whether what is starting was started
-    leaving: bool = False  # who served was told to end
+    deaths: int = 0  # consecutive, until it is steady again
+    restarts: int = 0  # since the version was requested
+    begun: bool = False  # the starting process was started
+    leaving: bool = False  # the process that served was told to terminate
     killed: bool = False
 
 
-VERIFY_EXTENSION = 4.0  # times the time of a proof, in which one that is asked too little may be judged still
-DEATHS_BEFORE_FALLBACK = 2  # in a row at a start, after which the good version is taken again
+VERIFY_EXTENSION = 4.0  # factor on the verification time with insufficient traffic
+DEATHS_BEFORE_FALLBACK = 2  # consecutive, at a start
 
 
 def request_version(state: Supervision, version: str, epoch: int, keep: bool = False) -> Supervision:
-    """Another word of who decides on versions; the same one again changes nothing."""
+    """Request a version; a repeated request changes nothing."""
     if epoch == state.epoch and version == state.wanted:
         return state
     return replace(state, wanted=version, epoch=epoch, keep=keep, refused=frozenset(), reason="", restarts=0)
@@ -103,8 +116,8 @@
 def step(
     state: Supervision, current: ProcessStatus, other: ProcessStatus, now: float, bounds: Timeouts
 ) -> tuple[Supervision, Actions]:
-    """What is next, and what to do. Each action is asked for once."""
-    found = {
+    """Return the new state and the actions to take; each action is returned once."""
+    handler = {
         Phase.STARTING: _starting,
         Phase.STEADY: _steady,
         Phase.STARTING_REPLACEMENT: _starting_replacement,
@@ -113,7 +126,7 @@
         Phase.STOPPING_PREVIOUS: _stopping_previous,
         Phase.STOPPING_REPLACEMENT: _stopping_replacement,
     }[state.phase]
-    return found(state, current, other, now, bounds)
+    return handler(state, current, other, now, bounds)
 
 
 def _to(state: Supervision, phase: Phase, now: float, **more: object) -> Supervision:
@@ -134,7 +147,7 @@
     if not state.begun:
         if now < state.since + _restart_backoff(state, bounds):
             return state, ()
-        if state.wanted not in state.refused:  # nobody serves: what is asked for now is as good as any
+        if state.wanted not in state.refused:  # no process serves, so no version is preferable
             state = replace(state, current=state.wanted)
         return _to(state, Phase.STARTING, now, begun=True), ((ActionKind.START, Slot.CURRENT),)
     if not current.alive:
@@ -147,7 +160,7 @@
 
 
 def _died(state: Supervision, why: str, now: float) -> tuple[Supervision, Actions]:
-    """Nobody serves. What was asked for and can't start is given up for what served before."""
+    """Restart after an exit with no process serving; falls back if the version repeatedly cannot start."""
     deaths = state.deaths + 1
     after = _to(state, Phase.STARTING, now, begun=False, leaving=False, deaths=deaths)
     after = replace(after, restarts=state.restarts + 1)
@@ -165,7 +178,7 @@
         return _died(state, current.exit_reason, now)
     if state.leaving and now > state.since + bounds.drain and not state.killed:
         return replace(state, killed=True), ((ActionKind.KILL, Slot.CURRENT),)
-    if current.failure and not state.killed:  # it hangs; what follows is a death
+    if current.failure and not state.killed:  # it hangs; its exit follows
         return replace(state, killed=True, reason=current.failure), ((ActionKind.KILL, Slot.CURRENT),)
     proven = now >= state.since + bounds.verify and current.ready
     if proven and (state.deaths or state.good != state.current):
@@ -182,7 +195,7 @@
 
 
 def _reject_version(state: Supervision, why: str) -> Supervision:
-    """What is coming is no good. It may be one more of the version that serves: that one is not given up."""
+    """Record the failure of the replacement; a version that also serves is not refused."""
     refused = state.refused
     if state.coming != state.current and state.tried == state.epoch:
         refused |= {state.coming}
@@ -190,7 +203,7 @@
 
 
 def _promote(state: Supervision, now: float, ready: bool) -> tuple[Supervision, Actions]:
-    """The one that served is gone, and the other is all there is."""
+    """Make the replacement the current process, since the previous one has exited."""
     phase = Phase.STEADY if ready else Phase.STARTING
     after = _to(state, phase, now, current=state.coming, coming="", begun=True, leaving=False)
     return after, ((ActionKind.PROMOTE, Slot.OTHER),)
@@ -234,7 +247,7 @@
 def _retaining_previous(
     state: Supervision, current: ProcessStatus, other: ProcessStatus, now: float, bounds: Timeouts
 ) -> tuple[Supervision, Actions]:
-    """The way back is the one before, as it was: nothing has to come up for it."""
+    """Roll back to the previous process, if need be, without starting anything."""
     if not current.alive:
         if not other.alive:
             return _died(replace(state, coming=""), other.exit_reason, now)
@@ -258,7 +271,7 @@
         if not other.alive:
             return _died(replace(state, coming=""), other.exit_reason, now)
         return _promote(state, now, True)
-    if not other.alive:  # the one before leaves and can't be called back: another of its kind follows it
+    if not other.alive:  # the previous process is terminating, so another of its version is started
         failed = _reject_version(state, f"{other.exit_reason or 'it ended'} while the one before left")
         after = _to(failed, Phase.STARTING_REPLACEMENT, now, coming=state.current)
         return after, ((ActionKind.START, Slot.OTHER),)
@@ -282,19 +295,23 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionOrder:
-    """What the store has said last of versions to one name. `base`: the others' version while this name is in
-    a stage; without a sign of the rollout for `confirm` s it goes back to that by itself, for this epoch."""
+    """The version in force for one member, as last read from the store; the field names are stored.
+
+    `base` is the other members' version while this one is in a stage; after `confirm` s without a heartbeat
+    of the rollout the member reverts to it by itself, for this epoch.
+    """
 
     epoch: int = -1
     version: str = ""
     base: str = ""
     confirm: float = 0.0
-    heard: float = 0.0  # the last sign, by the own clock, s
-    sign: int = 0  # its revision
-    alone: bool = False
+    heard: float = 0.0  # time of the last heartbeat by the own clock, s
+    sign: int = 0  # revision of the last heartbeat
+    alone: bool = False  # reverted by itself
 
     @property
     def wanted(self) -> str:
+        """The version to run."""
         return self.base if self.alone else self.version
 
 
@@ -309,7 +326,10 @@
     sign: int,
     now: float,
 ) -> VersionOrder:
-    """The store's word. An epoch that is older than one that was heeded changes nothing."""
+    """Apply the store's order of versions and the revision `sign` of the rollout's heartbeat.
+
+    An older epoch than one already applied changes nothing.
+    """
     if epoch < order.epoch:
         return order
     if epoch > order.epoch:
@@ -322,7 +342,7 @@
 
 
 def revert_unconfirmed(order: VersionOrder, now: float) -> VersionOrder:
-    """Back by itself, where nobody has conducted this stage for too long; it stays there for the epoch."""
+    """Revert to the base version, for this epoch, if the stage had no heartbeat for `confirm` s."""
     if order.base and not order.alone and order.confirm and now > order.heard + order.confirm:
         return replace(order, alone=True)
     return order
--- a/tests/coordination/test_policy_commit.py
+++ b/tests/coordination/test_policy_commit.py
@@ -59,7 +59,7 @@
     ) -> Decision:
         told = {
             "change": change,
-            "force": force,
+            "committed": force,
             "proposed_with": proposed,
             "registered": registered,
             "votes": votes,
