--- a/gladegw/control/__init__.py
+++ b/gladegw/control/__init__.py
@@ -1,1 +1,4 @@
-"""What talks to the store that all proxies reach. Imported only where the settings have its block."""
+"""Coordination of a fleet of proxies through a shared store.
+
+Imported only if the settings configure a store.
+"""
--- a/gladegw/control/backoff.py
+++ b/gladegw/control/backoff.py
@@ -1,25 +1,30 @@
-"""How long to wait before the store is asked again."""
+"""Delays between retries of requests to the store."""
 
 from __future__ import annotations
 
 from random import Random
 
-INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.1, 5.0  # s
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.1, 5.0
 
 
 class Backoff:
-    """Capped, doubled, and jittered by half, so that forty that lost the store don't return at once."""
+    """Capped exponential backoff.
+
+    Each delay is jittered by up to half, so that many processes do not return at once.
+    """
 
     def __init__(self, random: Random) -> None:
         self.random, self.delay = random, INITIAL_BACKOFF_S
 
     def next_delay(self) -> float:
-        pause, self.delay = self.delay, min(MAX_BACKOFF_S, 2 * self.delay)
-        return pause * self.random.uniform(0.5, 1.0)
+        """Return the delay before the next retry, in seconds, and double the one after it."""
+        delay, self.delay = self.delay, min(MAX_BACKOFF_S, 2 * self.delay)
+        return delay * self.random.uniform(0.5, 1.0)
 
     def max_delay(self) -> float:
-        """For what no further try will mend soon."""
+        """Return a delay for faults that a retry is unlikely to resolve soon, in seconds."""
         return MAX_BACKOFF_S * self.random.uniform(0.5, 1.0)
 
     def reset(self) -> None:
+        """Return to the initial delay after a success."""
         self.delay = INITIAL_BACKOFF_S
--- a/gladegw/control/clock.py
+++ b/gladegw/control/clock.py
@@ -1,4 +1,4 @@
-"""The clock by which holding is proven: monotonic, and counting the time that the machine is suspended."""
+"""Clock of lease bounds: monotonic, and including the time that the machine is suspended."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def boot_time() -> float:
-    """S since the machine started."""
+    """Return the seconds since the machine started."""
     return time.clock_gettime(BOOT_CLOCK)
--- a/gladegw/control/errors.py
+++ b/gladegw/control/errors.py
@@ -1,22 +1,25 @@
-"""What can go wrong between a process and the store."""
+"""Errors of the store client and of rollout plans."""
 
 from __future__ import annotations
 
 
 class StoreClientError(Exception):
-    """One line."""
+    """Base class of the store client's errors; the message is one line."""
 
 
 class StoreUnreachableError(StoreClientError):
-    """No member of the store answered; nothing is known of what was sent: a write may have been done."""
+    """No store endpoint answered.
+
+    The outcome of the request is unknown: a write may have been applied.
+    """
 
 
 class StoreRejectedError(StoreClientError):
-    """The store answered that it won't: nothing was done."""
+    """The store rejected the request; nothing was written."""
 
 
 class WatchLostError(StoreClientError):
-    """A watch ended; `compacted` if what it missed is not kept any more."""
+    """A watch ended; `compacted` if the missed revisions are no longer available."""
 
     def __init__(self, reason: str, compacted: bool = False) -> None:
         super().__init__(reason)
@@ -24,4 +27,4 @@
 
 
 class PlanError(Exception):
-    """A rollout's plan can't be used; the message is one line with file, line and reason."""
+    """A rollout plan is invalid; the message is one line with file, line and reason."""
--- a/gladegw/control/leader_election.py
+++ b/gladegw/control/leader_election.py
@@ -1,4 +1,4 @@
-"""One duty at this process: its machine's actions carried out against the store."""
+"""Leader election for one duty: executes the actions of the duty's state machine against the store."""
 
 from __future__ import annotations
 
@@ -6,30 +6,28 @@
 import logging
 import time
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 from gladegw.control.duties.base import DutyWork, NotHolderError
 from gladegw.control.errors import StoreClientError
+from gladegw.control.interfaces import ElectionHost
 from gladegw.coordination import duty as duties
 from gladegw.coordination.duty import Action, Duty, Event, Phase
 from gladegw.coordination.records import DutyHolderRecord, SuccessorRecord, encode
 from gladegw.coordination.store import Compare, Get, KeyValue, Operation, Put, TxnResult
 
-if TYPE_CHECKING:
-    from gladegw.control.member import FleetMember
-
 log = logging.getLogger(__name__)
 
-RETRY_INTERVAL_S = (
-    0.2  # s until a request whose outcome is not known is looked into again, and a step that failed
-)
+RETRY_INTERVAL_S = 0.2  # after a request with unknown outcome, or a failed step
 
 
 class LeaderElection:
-    """`told` is called with (token, begun) at each begin and end, for the record of a test or a rig."""
+    """Election, holding and release of one duty at this process.
+
+    `on_change` is called with the duty's name, the token, and whether the work starts or stops.
+    """
 
     def __init__(
-        self, member: FleetMember, work: DutyWork, on_change: Callable[[str, int, bool], None]
+        self, member: ElectionHost, work: DutyWork, on_change: Callable[[str, int, bool], None]
     ) -> None:
         self.member, self.work, self.on_change = member, work, on_change
         self.key = member.keys.duty(work.name)
@@ -38,25 +36,27 @@
         self.pending_requests: set[asyncio.Task[None]] = set()
         self.work_task: asyncio.Task[None] | None = None
         self.claim_timer: asyncio.TimerHandle | None = None
-        self.released = False  # handed over for good: no further claim
+        self.released = False  # no further claims until reset
 
     @property
     def token(self) -> int:
+        """Fencing token of the duty: the revision at which it was claimed."""
         return self.duty.token
 
     @property
     def idle(self) -> bool:
-        """Whether another holds it and nothing is asked: news of other keys change nothing."""
+        """Whether another member holds the duty and no claim is due; changes of other keys have no effect."""
         return self.duty.phase is Phase.IDLE and self.key in self.cache.entries and self.claim_timer is None
 
-    # what the store says
+    # store updates
     def on_key(self, found: KeyValue | None, revision: int) -> None:
-        """The key as some word of the store has it, at this revision."""
-        token, held_by = (found.create_revision, found.lease) if found is not None else (0, 0)
-        event = duties.event_of_key(token, held_by, self.member.lease)
+        """Process the state of the duty's key as of a store revision."""
+        token, lease = (found.create_revision, found.lease) if found is not None else (0, 0)
+        event = duties.event_of_key(token, lease, self.member.lease)
         self.on_event(event, token, revision)
 
     def on_event(self, event: Event, token: int = 0, revision: int = 0) -> None:
+        """Step the state machine and execute its actions."""
         before = self.duty
         self.duty, actions = duties.step(before, event, token, revision)
         for action in actions:
@@ -69,7 +69,7 @@
         self.schedule_claim()
 
     def schedule_claim(self) -> None:
-        """Whether it is this process's turn to claim, now or in a moment."""
+        """Start the claim timer if the duty is vacant and may be claimed here, else cancel the timer."""
         vacant = (
             self.key not in self.cache.entries
             and self.cache.known_revision(self.member.keys.claims) >= self.duty.seen_revision
@@ -95,47 +95,53 @@
         task.add_done_callback(self.pending_requests.discard)
 
     async def _request(self, action: Action) -> None:
-        agent = self.member
-        lease = agent.lease.id
+        member = self.member
+        lease = member.lease.id
         try:
             if action is Action.READ:
                 await asyncio.sleep(RETRY_INTERVAL_S)
-                revision, found = await agent.client.get(Get(self.key))  # linearizable: a claim hangs on it
+                # Linearizable, as a claim depends on it.
+                revision, found = await member.client.get(Get(self.key))
                 self.on_key(found[0] if found else None, revision)
                 return
             if action is Action.CLAIM:
-                record = DutyHolderRecord(holder=agent.name, incarnation=agent.incarnation, since=time.time())
-                done = await agent.client.txn(duties.claim(self.key, encode(record), lease))
+                record = DutyHolderRecord(
+                    holder=member.name, incarnation=member.incarnation, since=time.time()
+                )
+                done = await member.client.txn(duties.claim(self.key, encode(record), lease))
                 if done.succeeded:
-                    event = duties.event_of_key(done.revision, lease, agent.lease)
+                    event = duties.event_of_key(done.revision, lease, member.lease)
                     self.on_event(event, done.revision, done.revision)
                     return
             else:
-                heir = agent.successor(self.work.name)
-                also = (
-                    (Put(agent.keys.successor(self.work.name), encode(SuccessorRecord(name=heir))),)
-                    if heir
+                successor = member.successor(self.work.name)
+                appointment = (
+                    (Put(member.keys.successor(self.work.name), encode(SuccessorRecord(name=successor))),)
+                    if successor
                     else ()
                 )
-                done = await agent.client.txn(duties.release(self.key, lease, also))
+                done = await member.client.txn(duties.release(self.key, lease, appointment))
                 if done.succeeded:
                     self.on_event(Event.VACANT, 0, done.revision)
                     return
             self.on_key(done.found[0][0] if done.found[0] else None, done.revision)
         except StoreClientError as fault:
-            agent.log_fault(f"{self.work.name}: {action.value}: {fault}")
+            member.log_fault(f"{self.work.name}: {action.value}: {fault}")
             if action is Action.RELEASE:
                 await asyncio.sleep(RETRY_INTERVAL_S)
             self.on_event(Event.UNKNOWN)
 
     # the work
     async def grant(self, ttl: int) -> int:
+        """Create a lease that is not renewed; see `DutyContext`."""
         return (await self.member.client.grant(ttl))[0]
 
     async def names(self, first: bytes, end: bytes) -> list[bytes]:
+        """Return the keys of a range; see `DutyContext`."""
         return await self.member.client.names(first, end)
 
     async def effect(self, *operations: Operation, compares: tuple[Compare, ...] = ()) -> TxnResult:
+        """Execute fenced operations; see `DutyContext`."""
         token = self.duty.token
         if not duties.may_act(self.duty, self.member.lease, self.member.clock()):
             raise NotHolderError(self.work.name)
@@ -157,9 +163,9 @@
         self.member.reported_watch.want(self.work.name, False)
         self.member.live_watch.want(self.work.name, False)
         log.warning("coordination: holds %s no more, token %d", self.work.name, token)
-        working, self.work_task = self.work_task, None
-        if working is not None:
-            working.cancel()
+        task, self.work_task = self.work_task, None
+        if task is not None:
+            task.cancel()
         self.work.end()
 
     async def _run_work(self, token: int) -> None:
@@ -177,7 +183,7 @@
                 await self.work.step(self)
                 pause = self.work.period
             except NotHolderError:
-                pause = RETRY_INTERVAL_S  # what it was is heard of by the same answer, or found by the bound
+                pause = RETRY_INTERVAL_S  # the loss is processed by `on_key`, or when the lease expires
             except StoreClientError as fault:
                 pause = RETRY_INTERVAL_S
                 self.member.log_fault(f"{self.work.name}: {fault}")
@@ -187,14 +193,17 @@
             await asyncio.sleep(max(pause, self.work.period))
 
     def release(self) -> None:
+        """Hand the duty over and make no further claim."""
         self.released = True
         self.on_event(Event.RELEASE)
 
     @property
     def settled(self) -> bool:
+        """Whether the duty is idle without pending requests."""
         return self.duty.phase is Phase.IDLE and not self.pending_requests
 
     def stop(self) -> None:
+        """Cancel all tasks and timers."""
         for task in (*self.pending_requests, *([self.work_task] if self.work_task is not None else [])):
             task.cancel()
         if self.claim_timer is not None:
--- a/gladegw/control/member.py
+++ b/gladegw/control/member.py
@@ -13,7 +13,6 @@
 import threading
 import time
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
 from random import Random
 from typing import TYPE_CHECKING
 
@@ -23,11 +22,14 @@
 from gladegw.control.clock import boot_time
 from gladegw.control.duties.base import DutyWork
 from gladegw.control.errors import StoreClientError, StoreRejectedError
+from gladegw.control.interfaces import OnChange
 from gladegw.control.keys import KeyRange, Keys
 from gladegw.control.leader_election import LeaderElection
+from gladegw.control.policy_participant import PolicyParticipant, ServingHost
 from gladegw.control.store_cache import StoreCache
 from gladegw.control.store_client import StoreClient
-from gladegw.control.store_watcher import MAX_RANKED_MEMBERS, LiveWatch, OnChange, ReportedWatch, StoreWatcher
+from gladegw.control.store_options import LOG_INTERVAL_S, StoreOptions
+from gladegw.control.store_watcher import MAX_RANKED_MEMBERS, LiveWatch, ReportedWatch, StoreWatcher
 from gladegw.coordination import election_order
 from gladegw.coordination import lease as leases
 from gladegw.coordination.duty import Event
@@ -37,7 +39,6 @@
 from gladegw.coordination.store import StoreEvent as Change
 
 if TYPE_CHECKING:
-    from gladegw.control.policy_participant import PolicyParticipant, ServingHost
     from gladegw.coordination.serving_lease import ServingLease
 
 log = logging.getLogger(__name__)
@@ -45,19 +46,9 @@
 CLAIM_INTERVAL_S = 0.05  # s that each member of a duty's order leaves to the one before it
 METRICS_INTERVAL_S = 2.0  # s between looks whether own figures have changed
 MIN_LEASE_CHECK_INTERVAL_S = 0.02  # s between looks at the own bound, at least
-LOG_INTERVAL_S = 10.0  # s between two lines about the same kind of trouble
 HANDOVER_TIMEOUT_S = 1.5  # s that a hand-over may take
 
 
-@dataclass(frozen=True, slots=True)
-class StoreOptions:
-    endpoints: tuple[tuple[str, int], ...]
-    prefix: str
-    ttl: int  # s
-    timeout: float  # s for a call
-    token_file: str = ""
-
-
 class FleetMember:
     """`figures` is asked for own counts, from this thread. All else happens on it."""
 
@@ -98,8 +89,6 @@
         )
         self.participant: PolicyParticipant | None = None
         if host is not None:
-            from gladegw.control.policy_participant import PolicyParticipant
-
             self.participant = PolicyParticipant(self, host)
         self.ready = threading.Event()
         self.revoking: set[asyncio.Task[None]] = set()
@@ -205,12 +194,12 @@
             await self.client.do(Put(self.keys.known_member(self.name), encode(known)))
             await self.client.revoke(self.lease.id)
 
-    def log_fault(self, what: str) -> None:
+    def log_fault(self, message: str) -> None:
         """One line for each kind of trouble, every SAID s at most."""
-        kind, now = what.partition(":")[0], time.monotonic()
+        kind, now = message.partition(":")[0], time.monotonic()
         if now > self.last_logged.get(kind, -LOG_INTERVAL_S) + LOG_INTERVAL_S:
             self.last_logged[kind] = now
-            log.warning("coordination: %s", " ".join(what.split()))
+            log.warning("coordination: %s", " ".join(message.split()))
 
     # lease and record
     @property
@@ -378,3 +367,6 @@
                 last = now
             except StoreClientError as fault:
                 self.log_fault(f"figures: {fault}")
+
+
+__all__ = ["FleetMember", "StoreOptions"]
--- a/gladegw/control/policy_participant.py
+++ b/gladegw/control/policy_participant.py
@@ -8,13 +8,14 @@
 import math
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import msgspec
 
 from gladegw.control import policy_bundle
 from gladegw.control.backoff import Backoff
 from gladegw.control.errors import StoreClientError, StoreRejectedError
+from gladegw.control.interfaces import ParticipantHost
 from gladegw.control.policy_bundle import BundleError
 from gladegw.coordination import policy_commit, rollout
 from gladegw.coordination.lease import MAX_CLOCK_DRIFT
@@ -31,9 +32,6 @@
 from gladegw.coordination.serving_lease import ServingLease
 from gladegw.coordination.store import Compare, Delete, Get, KeyValue, Put, Target, Txn
 
-if TYPE_CHECKING:
-    from gladegw.control.member import FleetMember
-
 log = logging.getLogger(__name__)
 
 REFUSE, SERVE = "refuse", "serve"
@@ -81,7 +79,7 @@
 
 
 class PolicyParticipant:
-    def __init__(self, member: FleetMember, host: ServingHost) -> None:
+    def __init__(self, member: ParticipantHost, host: ServingHost) -> None:
         self.member, self.host, self.keys = member, host, member.keys
         self.state = Participant()
         self.prepared_tables: dict[str, Any] = {}  # what was prepared, by digest
--- a/gladegw/control/startup.py
+++ b/gladegw/control/startup.py
@@ -13,7 +13,8 @@
 from typing import TYPE_CHECKING, Any
 
 from gladegw.control.duties import ALL
-from gladegw.control.member import FleetMember, StoreOptions
+from gladegw.control.member import FleetMember
+from gladegw.control.store_options import StoreOptions
 from gladegw.coordination.records import MemberMetricsRecord, MemberRecord
 from gladegw.net.config import Config
 from gladegw.net.features import CoordinationSettings
--- a/gladegw/control/store_cache.py
+++ b/gladegw/control/store_cache.py
@@ -1,4 +1,4 @@
-"""What a process knows of the store's keys: one copy, kept up by whole reads and the watches behind them."""
+"""Local copy of the watched keys of the store, updated by snapshots and watches."""
 
 from __future__ import annotations
 
@@ -26,8 +26,11 @@
 
 
 class StoreCache:
-    """Each range of keys is known up to a revision of its own. Records are decoded once for each change of
-    their key, and not before somebody asks."""
+    """Cache of store entries by key.
+
+    Each range of keys is known up to a revision of its own. Records are decoded on first use after each
+    change of their key.
+    """
 
     def __init__(self, keys: Keys) -> None:
         self.keys = keys
@@ -38,7 +41,7 @@
         self.changed = asyncio.Event()  # set at each change
 
     def known_revision(self, part: KeyRange) -> int:
-        """The revision up to which all of this range is known."""
+        """Return the revision up to which a range is completely known; 0 if it is not."""
         first, end = part
         return max(
             (known for over, known in self.known_revisions.items() if over[0] <= first and over[1] >= end),
@@ -46,16 +49,17 @@
         )
 
     def load_snapshot(self, part: KeyRange, revision: int, found: Iterable[KeyValue]) -> None:
-        """All that stands in this range."""
-        there = {kv.key: kv for kv in found}
-        for key in [key for key in self.entries if within(key, *part) and key not in there]:
+        """Replace a range by a complete read of it at a revision."""
+        by_key = {kv.key: kv for kv in found}
+        for key in [key for key in self.entries if within(key, *part) and key not in by_key]:
             self._remove(key)
-        for kv in there.values():
+        for kv in by_key.values():
             self._put(kv)
         self.known_revisions[part] = revision
         self.changed.set()
 
     def apply_events(self, part: KeyRange, revision: int, events: Iterable[StoreEvent]) -> None:
+        """Apply the events of a watched range up to a revision."""
         for event in events:
             if event.deleted:
                 self._remove(event.kv.key)
@@ -65,12 +69,12 @@
         self.changed.set()
 
     def drop_range(self, part: KeyRange) -> None:
-        """It is not watched any more."""
+        """Remove a range that is no longer watched."""
         self.load_snapshot(part, 0, ())
         del self.known_revisions[part]
 
     def retain_ranges(self, *parts: KeyRange) -> None:
-        """Nothing but these is watched from now on; what is known of others within them stays a while."""
+        """Forget the known revisions of all other ranges; their entries remain until the next snapshot."""
         self.known_revisions = {part: known for part, known in self.known_revisions.items() if part in parts}
 
     def _put(self, kv: KeyValue) -> None:
@@ -83,19 +87,19 @@
             self.decoded.pop(key, None)
 
     def read(self, key: bytes, form: type[R]) -> R | None:
-        """None: there is none, or none that can be read."""
-        held = self.entries.get(key)
-        if held is None:
+        """Return the decoded record of a key; None if it is missing or invalid."""
+        entry = self.entries.get(key)
+        if entry is None:
             return None
         known = self.decoded.get(key)
-        if known is None or known[0] != held.mod_revision:
+        if known is None or known[0] != entry.mod_revision:
             record: Record | None = None
             try:
-                record = records.decode(held.value, form)
+                record = records.decode(entry.value, form)
             except RecordError as fault:
                 log.warning("coordination: %s can't be read: %s", key.decode("utf-8", "replace"), fault)
-            known = self.decoded[key] = (held.mod_revision, record)
-        return cast("R | None", known[1])  # a key has records of one form
+            known = self.decoded[key] = (entry.mod_revision, record)
+        return cast("R | None", known[1])  # a key's records have one type
 
     def _records_of_kind(self, kind: str, form: type[R]) -> Iterator[tuple[KeyValue, R]]:
         for key in sorted(self.keys_by_kind.get(kind, ())):
@@ -104,7 +108,7 @@
                 yield self.entries[key], record
 
     def records(self, *kind: str, form: type[R]) -> list[tuple[list[str], R]]:
-        """All below these parts, each with the parts behind them."""
+        """Return all records below a key prefix, each with the remaining parts of its key."""
         found = []
         for key in sorted(self.keys_by_kind.get(kind[0], ())):
             parts = self.keys.split(key)
@@ -114,22 +118,27 @@
         return found
 
     def members(self) -> list[tuple[KeyValue, MemberRecord]]:
+        """Return the member records with their entries."""
         return list(self._records_of_kind("members", MemberRecord))
 
     def known_members(self) -> list[tuple[KeyValue, KnownMemberRecord]]:
+        """Return the records of all members that have existed, with their entries."""
         return list(self._records_of_kind("known", KnownMemberRecord))
 
     def duty_holders(self) -> list[tuple[KeyValue, DutyHolderRecord]]:
+        """Return the duty holders with their entries."""
         return list(self._records_of_kind("duties", DutyHolderRecord))
 
     def member_metrics(self) -> dict[str, MemberMetricsRecord]:
-        return {figures.name: figures for _, figures in self._records_of_kind("figures", MemberMetricsRecord)}
+        """Return the reported metrics by member name."""
+        return {metrics.name: metrics for _, metrics in self._records_of_kind("figures", MemberMetricsRecord)}
 
     def successor(self, duty: str) -> str:
+        """Return the designated successor of a duty, or an empty string."""
         found = self.read(self.keys.successor(duty), SuccessorRecord)
         return found.name if found is not None else ""
 
     def missing_members(self) -> list[KnownMemberRecord]:
-        """Who was here and is not, with no process of that name."""
+        """Return the known members without a live process of their name."""
         live = {member.name for _, member in self.members()}
         return [known for _, known in self.known_members() if known.name not in live]
--- a/gladegw/control/store_client.py
+++ b/gladegw/control/store_client.py
@@ -1,7 +1,7 @@
-"""A client of the store over the etcd v3 API (etcd.io/docs, "API reference"), by gRPC.
+"""Store client over the etcd v3 API by gRPC (etcd.io/docs, "API reference").
 
-All reads are linearizable: each is asked of a quorum, and a store that has none answers nobody. Where a read
-may be old, as for a page that a person looks at, `serializable` says so at its use.
+Reads are linearizable unless `serializable` is set: they need a quorum of the store. Serializable reads may
+return an older state, which is enough for pages and reports.
 """
 
 from __future__ import annotations
@@ -24,24 +24,28 @@
 
 log = logging.getLogger(__name__)
 
-# What a member says of itself, or of the way to the leader: another member may do better, and whether a write
-# was done is not known. Any other code is the store's own word on the request.
+# Faults of one endpoint or of its connection to the leader: another endpoint may answer, and the outcome of a
+# write is unknown. Any other status is the store's decision on the request.
 ELSEWHERE = (Status.UNAVAILABLE, Status.DEADLINE_EXCEEDED, Status.CANCELLED, Status.UNKNOWN, Status.INTERNAL)
 
 T = TypeVar("T")
 
 
 def addresses(endpoints: Iterable[str]) -> tuple[tuple[str, int], ...]:
-    """Of checked endpoints, each `host:port`."""
+    """Split validated endpoints, each `host:port`, into hosts and ports."""
     parts = [endpoint.rpartition(":") for endpoint in endpoints]
     return tuple((host, int(port)) for host, _, port in parts)
 
 
 class StoreClient:
-    """Asks one member at a time and turns to the next when it fails."""
+    """Client that uses one endpoint at a time and the next one after a failure.
+
+    Each call is tried once, for `timeout` seconds at most. Calls raise StoreUnreachableError if the outcome
+    is unknown and StoreRejectedError if the store rejected the request.
+    """
 
     def __init__(self, endpoints: Sequence[tuple[str, int]], timeout: float, token_file: str = "") -> None:
-        """`timeout`: s for each call of one member. The token's file is read for each connection."""
+        """`timeout` is the limit of a call in seconds; the token file is read for each call."""
         self.endpoints, self.timeout, self.token_file = list(endpoints), timeout, token_file
         self.endpoint_index = 0
         self.channel: Channel | None = None
@@ -64,27 +68,28 @@
             ) from None
 
     def use_next_endpoint(self) -> None:
-        """The next call goes to another member."""
+        """Close the connection and use the next endpoint for the next call."""
         self.endpoint_index += 1
         self.close()
 
     def _failed(self, channel: Channel) -> None:
-        """A call that began before another turned elsewhere says nothing of where that one turned to."""
+        """Use the next endpoint, unless another call has already replaced the failed channel."""
         if channel is self.channel:
             self.use_next_endpoint()
 
     def close(self) -> None:
+        """Close the connection; the next call opens a new one."""
         if self.channel is not None:
             self.channel.close()
             self.channel = None
 
-    async def _call(self, ask: Callable[[Channel, dict[str, str]], Awaitable[T]]) -> T:
-        """One try of one member; raises StoreFault."""
+    async def _call(self, request: Callable[[Channel, dict[str, str]], Awaitable[T]]) -> T:
+        """Send one request to one endpoint; raises StoreClientError."""
         self.calls += 1
         channel = self._open()
         try:
             async with asyncio.timeout(self.timeout):
-                return await ask(channel, self._metadata())
+                return await request(channel, self._metadata())
         except GRPCError as fault:
             if fault.status in ELSEWHERE:
                 self._failed(channel)
@@ -98,112 +103,132 @@
             ) from None
         except StoreClientError:
             raise
-        except Exception as fault:  # what came was no answer of the protocol
+        except Exception as fault:  # the response does not follow the protocol
             self._failed(channel)
             raise StoreUnreachableError(f"rubbish: {type(fault).__name__}") from None
 
     async def txn(self, txn: Txn) -> TxnResult:
-        asked = store_messages.txn_message(txn)
-        reply = await self._call(lambda channel, told: services.KVStub(channel).Txn(asked, metadata=told))
+        """Execute a transaction."""
+        message = store_messages.txn_message(txn)
+        reply = await self._call(
+            lambda channel, metadata: services.KVStub(channel).Txn(message, metadata=metadata)
+        )
         found = tuple(store_messages.key_values_in(part) for part in reply.responses)
         return TxnResult(reply.header.revision, reply.succeeded, found)
 
     async def do(self, *operations: Operation) -> TxnResult:
+        """Execute operations unconditionally in one transaction."""
         return await self.txn(Txn((), operations))
 
     async def get(self, request: Get, serializable: bool = False) -> tuple[int, tuple[KeyValue, ...]]:
-        """The store's revision and what it has."""
+        """Return the store's revision and the entries of a key or range."""
         message = pb.RangeRequest(
             key=request.key, range_end=request.end, revision=request.revision, serializable=serializable
         )
-        reply = await self._call(lambda channel, told: services.KVStub(channel).Range(message, metadata=told))
+        reply = await self._call(
+            lambda channel, metadata: services.KVStub(channel).Range(message, metadata=metadata)
+        )
         return reply.header.revision, tuple(store_messages.key_value(kv) for kv in reply.kvs)
 
     async def count(self, first: bytes, end: bytes) -> int:
-        """How many keys there are."""
+        """Return the number of keys in a range."""
         message = pb.RangeRequest(key=first, range_end=end, count_only=True)
-        reply = await self._call(lambda channel, told: services.KVStub(channel).Range(message, metadata=told))
+        reply = await self._call(
+            lambda channel, metadata: services.KVStub(channel).Range(message, metadata=metadata)
+        )
         return int(reply.count)
 
     async def names(self, first: bytes, end: bytes) -> list[bytes]:
-        """The keys alone."""
+        """Return the keys of a range without their values."""
         message = pb.RangeRequest(key=first, range_end=end, keys_only=True)
-        reply = await self._call(lambda channel, told: services.KVStub(channel).Range(message, metadata=told))
+        reply = await self._call(
+            lambda channel, metadata: services.KVStub(channel).Range(message, metadata=metadata)
+        )
         return [kv.key for kv in reply.kvs]
 
     async def grant(self, ttl: int) -> tuple[int, int]:
-        """A lease's id, and the time to live that the store gives: no less than it likes to."""
+        """Create a lease; return its id and the granted time to live in seconds.
+
+        The store may grant a longer time than requested.
+        """
         message = pb.LeaseGrantRequest(TTL=ttl)
         reply = await self._call(
-            lambda channel, told: services.LeaseStub(channel).LeaseGrant(message, metadata=told)
+            lambda channel, metadata: services.LeaseStub(channel).LeaseGrant(message, metadata=metadata)
         )
         return reply.ID, reply.TTL
 
     async def keep_alive(self, id: int) -> int:
-        """The time to live from now on; 0: there is no such lease."""
+        """Renew a lease; return its time to live in seconds, or 0 if the lease does not exist."""
 
-        async def ask(channel: Channel, told: dict[str, str]) -> int:
+        async def request(channel: Channel, metadata: dict[str, str]) -> int:
             method = services.LeaseStub(channel).LeaseKeepAlive
-            async with method.open(metadata=told) as stream:
+            async with method.open(metadata=metadata) as stream:
                 await stream.send_message(pb.LeaseKeepAliveRequest(ID=id), end=True)
                 reply = await stream.recv_message()
                 if reply is None:
                     raise StoreUnreachableError("a renewal was not answered")
                 return int(reply.TTL)
 
-        return await self._call(ask)
+        return await self._call(request)
 
     async def revoke(self, id: int) -> None:
+        """Revoke a lease, which deletes its keys."""
         message = pb.LeaseRevokeRequest(ID=id)
         await self._call(
-            lambda channel, told: services.LeaseStub(channel).LeaseRevoke(message, metadata=told)
+            lambda channel, metadata: services.LeaseStub(channel).LeaseRevoke(message, metadata=metadata)
         )
 
     async def status(self) -> Any:
+        """Return the status message of the endpoint."""
         return await self._call(
-            lambda channel, told: services.MaintenanceStub(channel).Status(pb.StatusRequest(), metadata=told)
+            lambda channel, metadata: services.MaintenanceStub(channel).Status(
+                pb.StatusRequest(), metadata=metadata
+            )
         )
 
     async def watch(
         self, key: bytes, end: bytes, revision: int, silence: float
     ) -> AsyncIterator[tuple[int, list[StoreEvent]]]:
-        """What changes from this revision on: the store's revision and the events that lead up to it. Raises
-        WatchLost when it ends, or when nothing came for `silence` s although the store was asked: a watch
-        that is cut off looks like one with nothing to tell; then the next call goes to another member."""
+        """Yield the changes of a range from a revision on.
+
+        Each item is the store's revision and the events up to it. Raises WatchLostError when the watch ends,
+        or when nothing arrives for `silence` seconds although progress was requested: a broken connection is
+        otherwise indistinguishable from a range without changes. The next call then uses the next endpoint.
+        """
         create = pb.WatchCreateRequest(
             key=key, range_end=end, start_revision=revision, progress_notify=True, prev_kv=True
         )
         channel = self._open()
         stub = services.WatchStub(channel)
-        held: list[StoreEvent] = []
+        pending: list[StoreEvent] = []
         try:
             async with stub.Watch.open(metadata=self._metadata()) as stream:
                 await stream.send_message(pb.WatchRequest(create_request=create))
-                asked = False
+                progress_requested = False
                 while True:
                     try:
                         async with asyncio.timeout(silence / 2):
                             reply = await stream.recv_message()
                     except TimeoutError:
-                        if asked:
+                        if progress_requested:
                             self._failed(channel)
                             raise WatchLostError("it fell silent") from None
-                        asked = True
+                        progress_requested = True
                         progress = pb.WatchProgressRequest()
                         await stream.send_message(pb.WatchRequest(progress_request=progress))
                         continue
-                    asked = False
+                    progress_requested = False
                     if reply is None:
                         self._failed(channel)
                         raise WatchLostError("it ended")
                     if reply.canceled:
                         why = reply.cancel_reason or "it was cancelled"
                         raise WatchLostError(why, bool(reply.compact_revision))
-                    held += [store_messages.event(event) for event in reply.events]
+                    pending += [store_messages.event(event) for event in reply.events]
                     if reply.fragment or reply.created:
                         continue
-                    told, held = held, []
-                    yield reply.header.revision, told
+                    complete, pending = pending, []
+                    yield reply.header.revision, complete
         except (GRPCError, OSError, ProtocolError, StreamTerminatedError) as fault:
             self._failed(channel)
             why = (fault.message or "") if isinstance(fault, GRPCError) else " ".join(str(fault).split())
--- a/gladegw/control/store_messages.py
+++ b/gladegw/control/store_messages.py
@@ -1,5 +1,7 @@
-"""The contract's operations as messages of the published protocol, and back. The stand-in and the client
-share it, so the stand-in is checked by clients that others wrote, too."""
+"""Conversion between the store's operations and messages of the etcd v3 API.
+
+The client and the stand-in server share it.
+"""
 
 from __future__ import annotations
 
@@ -9,15 +11,23 @@
 from gladegw.coordination import store
 from gladegw.coordination.store import Compare, Delete, Get, KeyValue, Operation, Put, Target, Txn
 
-TARGETS = [Target.VERSION, Target.CREATE, Target.MOD, Target.VALUE, Target.LEASE]  # by their numbers
+TARGETS = [
+    Target.VERSION,
+    Target.CREATE,
+    Target.MOD,
+    Target.VALUE,
+    Target.LEASE,
+]  # indexed by the number in the protocol
 RELATIONS = ["=", ">", "<", "!="]
 
 
 def key_value(kv: Any) -> KeyValue:
+    """Convert an entry message."""
     return KeyValue(kv.key, kv.value, kv.create_revision, kv.mod_revision, kv.version, kv.lease)
 
 
 def key_value_message(kv: KeyValue, keys_only: bool = False) -> Any:
+    """Build an entry message; without its value if `keys_only`."""
     return pb.KeyValue(
         key=kv.key,
         value=b"" if keys_only else kv.value,
@@ -29,6 +39,7 @@
 
 
 def operation_message(operation: Operation) -> Any:
+    """Build the message of an operation."""
     if isinstance(operation, Get):
         asked = pb.RangeRequest(key=operation.key, range_end=operation.end, revision=operation.revision)
         return pb.RequestOp(request_range=asked)
@@ -41,6 +52,7 @@
 
 
 def txn_message(txn: Txn) -> Any:
+    """Build the message of a transaction."""
     return pb.TxnRequest(
         compare=[_compare_message(compare) for compare in txn.compare],
         success=[operation_message(operation) for operation in txn.success],
@@ -59,7 +71,10 @@
 
 
 def compare(message: Any) -> Compare:
-    """Raises StoreError for what the contract has no word for."""
+    """Convert a comparison message.
+
+    Raises StoreError for a comparison over a range, which is not supported.
+    """
     if message.range_end:
         raise store.StoreError("etcdserver: a compare over a range is not served here")
     target = TARGETS[message.target]
@@ -68,7 +83,10 @@
 
 
 def operation(message: Any) -> Operation:
-    """Raises StoreError."""
+    """Convert an operation message.
+
+    Raises StoreError for operations and options that are not supported.
+    """
     kind = message.WhichOneof("request")
     if kind == "request_range":
         asked = message.request_range
@@ -84,6 +102,7 @@
 
 
 def txn(message: Any) -> Txn:
+    """Convert a transaction message; raises StoreError as `compare` and `operation` do."""
     return Txn(
         tuple(compare(item) for item in message.compare),
         tuple(operation(item) for item in message.success),
@@ -92,7 +111,7 @@
 
 
 def key_values_in(message: Any) -> tuple[KeyValue, ...]:
-    """What a part of a transaction's answer holds."""
+    """Return the entries in one response of a transaction."""
     kind = message.WhichOneof("response")
     if kind == "response_range":
         return tuple(key_value(kv) for kv in message.response_range.kvs)
@@ -102,5 +121,6 @@
 
 
 def event(message: Any) -> store.StoreEvent:
+    """Convert a watch event message."""
     before = key_value(message.prev_kv) if message.HasField("prev_kv") else None
     return store.StoreEvent(key_value(message.kv), message.type == pb.Event.DELETE, before)
--- a/gladegw/control/store_watcher.py
+++ b/gladegw/control/store_watcher.py
@@ -1,32 +1,33 @@
-"""Keeps ranges of the view up: a whole read, then the watch behind it, and again when that is lost; and says
-which ranges a member needs: in a large fleet not everybody's record of everybody."""
+"""Watchers of key ranges, and the selection of the ranges that a member watches.
+
+A watcher reads its range, follows the changes from that revision on, and starts again when the watch is lost.
+In a large fleet a member that holds no duty does not watch the member records.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 from gladegw.control.backoff import Backoff
 from gladegw.control.errors import StoreClientError, StoreRejectedError, WatchLostError
+from gladegw.control.interfaces import OnChange, WatchHost
 from gladegw.control.keys import KeyRange
 from gladegw.control.store_cache import StoreCache
 from gladegw.control.store_client import StoreClient
 from gladegw.coordination.store import Get, StoreEvent
 
-if TYPE_CHECKING:
-    from gladegw.control.member import FleetMember
-
-MAX_RANKED_MEMBERS = 64  # members up to which each knows all
-MAX_WATCHED_MEMBERS = 2 * MAX_RANKED_MEMBERS  # of them, from which one that knew all does no more
-RECOUNT_INTERVAL_S = 30.0  # s between looks how many there are, where they are not all known
-
-OnChange = Callable[[list[StoreEvent] | None], None]  # None: all of it was read anew
+MAX_RANKED_MEMBERS = 64  # members up to which each watches all
+MAX_WATCHED_MEMBERS = 2 * MAX_RANKED_MEMBERS  # hysteresis: members above which watching all ends
+RECOUNT_INTERVAL_S = 30.0  # between counts of the members where they are not all watched
 
 
 class StoreWatcher:
-    """`silence`: s without a word of the watch, though it was asked, after which it counts as lost."""
+    """Keeps one key range of the cache current.
+
+    A watch counts as lost after `silence` seconds without a response, although progress was requested.
+    """
 
     def __init__(
         self,
@@ -42,9 +43,10 @@
         self.backoff, self.log_fault, self.on_change = backoff, log_fault, on_change
 
     async def run(self) -> None:
+        """Read and watch the range until cancelled; faults are logged and retried."""
         while True:
             try:
-                # Linearizable: claims hang on it.
+                # Linearizable, as claims depend on it.
                 revision, found = await self.client.get(Get(*self.key_range))
                 self.cache.load_snapshot(self.key_range, revision, found)
                 self.backoff.reset()
@@ -63,74 +65,81 @@
 
 
 class ReportedWatch:
-    """Follows `told/` while some duty that reads it is held."""
+    """Watch of the reported keys (`told/`) while a duty that reads them is held."""
 
-    def __init__(self, agent: FleetMember) -> None:
-        self.agent = agent
+    def __init__(self, host: WatchHost) -> None:
+        self.host = host
         self.wanted: set[str] = set()
         self.loaded = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
 
     def want(self, duty: str, wanted: bool) -> None:
+        """Start the watch if a held duty needs it, or stop it after the last one."""
         if wanted:
             self.wanted.add(duty)
         else:
             self.wanted.discard(duty)
-        agent = self.agent
+        host = self.host
         if self.wanted and self.task is None:
-            follower = agent.watcher_of(agent.keys.reported, lambda _: self.loaded.set())
-            self.task = agent.loop.create_task(follower.run())
+            watcher = host.watcher_of(host.keys.reported, lambda _: self.loaded.set())
+            self.task = host.loop.create_task(watcher.run())
         elif not self.wanted and self.task is not None:
             self.stop()
-            agent.cache.drop_range(agent.keys.reported)
+            host.cache.drop_range(host.keys.reported)
 
     async def wait_loaded(self) -> None:
-        """Once all of it was read since it was wanted."""
+        """Wait until the range has been read since it was requested."""
         await self.loaded.wait()
 
     def stop(self) -> None:
-        following, self.task = self.task, None
-        if following is not None:
-            following.cancel()
+        """Stop the watch."""
+        task, self.task = self.task, None
+        if task is not None:
+            task.cancel()
         self.loaded.clear()
 
 
 class LiveWatch:
-    """Follows `live/`: all of it in a small fleet, and while some duty is held; else what is claimed and the
-    policy alone. Each member's record sent to each is what grows with the square of a fleet, and who holds
-    nothing needs but their number."""
+    """Watch of the live keys (`live/`).
+
+    All of them are watched in a small fleet and while a duty is held, else only the duty holders and the
+    policy: watching all member records at all members grows with the square of the fleet, and a member
+    without duties needs only their number.
+    """
 
-    def __init__(self, agent: FleetMember, on_change: OnChange) -> None:
-        self.agent, self.on_change = agent, on_change
+    def __init__(self, host: WatchHost, on_change: OnChange) -> None:
+        self.host, self.on_change = host, on_change
         self.held_duties: set[str] = set()
         self.member_count = 0
-        self.complete = asyncio.Event()  # all of it is known, and kept up
+        self.complete = asyncio.Event()  # set while the whole range is known and watched
         self.resize_needed = asyncio.Event()
         self.watches_all = False
         self.tasks: list[asyncio.Task[None]] = []
 
     @property
     def key_ranges(self) -> list[KeyRange]:
-        keys = self.agent.keys
+        """Ranges that are watched at present."""
+        keys = self.host.keys
         if self.watches_all:
             return [keys.live]
-        return [keys.claims] if self.agent.participant is None else [keys.claims, keys.policy]
+        return [keys.claims] if self.host.participant is None else [keys.claims, keys.policy]
 
     @property
     def informed(self) -> bool:
-        """Whether what claims hang on is known."""
-        return bool(self.tasks) and all(self.agent.cache.known_revision(part) for part in self.key_ranges)
+        """Whether all watched ranges, on which claims depend, are known."""
+        return bool(self.tasks) and all(self.host.cache.known_revision(part) for part in self.key_ranges)
 
     @property
     def members(self) -> int:
-        """Members that are there, about."""
+        """Approximate number of live members."""
         return (
-            len(self.agent.cache.keys_by_kind.get("members", ()))
+            len(self.host.cache.keys_by_kind.get("members", ()))
             if self.complete.is_set()
             else self.member_count
         )
 
     def want(self, duty: str, held: bool) -> None:
+        """Record whether a duty is held and reconsider the watched ranges."""
         if held:
             self.held_duties.add(duty)
         else:
@@ -138,26 +147,27 @@
         self.resize_needed.set()
 
     async def run(self) -> None:
-        agent = self.agent
-        backoff = Backoff(agent.random)
+        """Select and run the watchers until cancelled."""
+        host = self.host
+        backoff = Backoff(host.random)
         try:
             while True:
                 self.resize_needed.clear()
                 try:
                     if not self.complete.is_set():
-                        self.member_count = await agent.client.count(*agent.keys.members)
+                        self.member_count = await host.client.count(*host.keys.members)
                     backoff.reset()
                 except StoreClientError as fault:
-                    agent.log_fault(f"the store is not reached: {fault}")
+                    host.log_fault(f"the store is not reached: {fault}")
                     await asyncio.sleep(backoff.next_delay())
-                    if not self.tasks:  # unknown: as a small one
+                    if not self.tasks:  # size unknown: treat the fleet as small
                         self._start(True)
                     continue
                 most = MAX_WATCHED_MEMBERS if self.watches_all else MAX_RANKED_MEMBERS
                 self.member_count = self.members
                 self._start(bool(self.held_duties) or self.member_count <= most)
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(RECOUNT_INTERVAL_S * agent.random.uniform(0.7, 1.0)):
+                    async with asyncio.timeout(RECOUNT_INTERVAL_S * host.random.uniform(0.7, 1.0)):
                         await self.resize_needed.wait()
         finally:
             self._stop()
@@ -167,12 +177,12 @@
             return
         self._stop()
         self.watches_all = wide
-        agent = self.agent
+        host = self.host
         if not wide:
-            agent.cache.load_snapshot(agent.keys.members, 0, ())
-        agent.cache.retain_ranges(*self.key_ranges, agent.keys.reported)
+            host.cache.load_snapshot(host.keys.members, 0, ())
+        host.cache.retain_ranges(*self.key_ranges, host.keys.reported)
         self.tasks = [
-            agent.loop.create_task(agent.watcher_of(part, self._on_update).run()) for part in self.key_ranges
+            host.loop.create_task(host.watcher_of(part, self._on_update).run()) for part in self.key_ranges
         ]
 
     def _on_update(self, events: list[StoreEvent] | None) -> None:
--- a/gladegw/control/supervisor_client.py
+++ b/gladegw/control/supervisor_client.py
@@ -14,9 +14,9 @@
 from gladegw.control.clock import boot_time
 from gladegw.control.errors import StoreClientError, StoreRejectedError
 from gladegw.control.keys import Keys
-from gladegw.control.member import LOG_INTERVAL_S, StoreOptions
 from gladegw.control.store_cache import StoreCache
 from gladegw.control.store_client import StoreClient
+from gladegw.control.store_options import LOG_INTERVAL_S, StoreOptions
 from gladegw.control.store_watcher import StoreWatcher
 from gladegw.coordination.records import ProgramRecord, SupervisorRecord, encode
 from gladegw.coordination.store import Put
--- a/tests/control/test_bundles.py
+++ b/tests/control/test_bundles.py
@@ -124,7 +124,7 @@
         ended = ChangeOutcomeRecord(id=f"{number}", epoch=1, digest="d", outcome="nowhere", at=float(number))
         held.put(held.keys.change_outcome(f"{number}"), ended)
     asyncio.run(BundleCollection().step(held))
-    left = [ended.id for _, ended in held.view.records("policy", "ended", form=ChangeOutcomeRecord)]
+    left = [ended.id for _, ended in held.cache.records("policy", "ended", form=ChangeOutcomeRecord)]
     assert len(left) == MAX_OUTCOMES and "4" not in left and "5" in left
 
 
