--- a/gladegw/control/member.py
+++ b/gladegw/control/member.py
@@ -1,7 +1,7 @@
-"""This process as a member of the fleet: its lease, its record, its view of the others, and its duties.
+"""Membership of this process in the fleet: its lease, its record, its view of the others, and its duties.
 
-It runs on a thread of its own, as operators' calls do, so that a serving loop that is busy for longer than a
-renewal may take does not lose the lease. It touches nothing of the serving loop but counts that it reads.
+It runs on a thread of its own, so that a busy serving loop does not delay the renewal of the lease. From the
+serving side it only reads metrics.
 """
 
 from __future__ import annotations
@@ -43,14 +43,17 @@
 
 log = logging.getLogger(__name__)
 
-CLAIM_INTERVAL_S = 0.05  # s that each member of a duty's order leaves to the one before it
-METRICS_INTERVAL_S = 2.0  # s between looks whether own figures have changed
-MIN_LEASE_CHECK_INTERVAL_S = 0.02  # s between looks at the own bound, at least
-HANDOVER_TIMEOUT_S = 1.5  # s that a hand-over may take
+CLAIM_INTERVAL_S = 0.05  # head start of each member over the next one in the claim order
+METRICS_INTERVAL_S = 2.0  # between checks whether the own metrics have changed
+MIN_LEASE_CHECK_INTERVAL_S = 0.02  # least interval between checks of the lease's bound
+HANDOVER_TIMEOUT_S = 1.5
 
 
 class FleetMember:
-    """`figures` is asked for own counts, from this thread. All else happens on it."""
+    """Member of the fleet.
+
+    `metrics` is called on the member's thread, as is everything else unless stated otherwise.
+    """
 
     def __init__(
         self,
@@ -66,7 +69,7 @@
         self.incarnation = member.incarnation or secrets.token_hex(8)
         self.works = [work() for work in works]
         can = tuple(work.name for work in self.works)
-        knows = tuple(word for work in self.works for word in work.capabilities)
+        knows = tuple(capability for work in self.works for capability in work.capabilities)
         self.record = msgspec.structs.replace(
             member, incarnation=self.incarnation, can=can, knows=knows, since=time.time()
         )
@@ -84,40 +87,41 @@
         self.random = Random(self.incarnation)
         self.thread: threading.Thread | None = None
         self.registered_at = 0  # revision
-        self.stored_record: MemberRecord | None = (
-            None  # what the store has of this process, as far as it has answered
-        )
+        self.stored_record: MemberRecord | None = None  # last record that the store has confirmed
         self.participant: PolicyParticipant | None = None
         if host is not None:
             self.participant = PolicyParticipant(self, host)
         self.ready = threading.Event()
         self.revoking: set[asyncio.Task[None]] = set()
 
-    # from other threads
+    # called from other threads
     @property
     def serving_lease(self) -> ServingLease | None:
+        """Serving lease; None if the member takes no part in changes of policy."""
         return self.participant.host.serving_lease if self.participant is not None else None
 
     @property
     def may_serve(self) -> bool:
+        """Whether requests may be served now."""
         return self.serving_lease is None or self.serving_lease.open
 
     def info(self) -> tuple[str, ...]:
-        """For operators' INFO."""
-        policies = self.participant
-        if policies is None:
+        """Return the policy fields of the operators' INFO command."""
+        participant = self.participant
+        if participant is None:
             return ()
-        member = policies.state
-        told = f"policy.epoch={policies.serving_epoch}", f"policy.digest={member.digest}"
-        return (*told, f"policy.way_back={member.fallback}") if member.fallback else told
+        state = participant.state
+        fields = f"policy.epoch={participant.serving_epoch}", f"policy.digest={state.digest}"
+        return (*fields, f"policy.way_back={state.fallback}") if state.fallback else fields
 
     def start(self) -> None:
+        """Start the thread and wait until the member runs."""
         self.thread = threading.Thread(target=self._main, name="agent", daemon=True)
         self.thread.start()
         self.ready.wait()
 
     def _main(self) -> None:
-        """Whatever ends it, the process serves on."""
+        """Run the member; the process continues to serve whatever ends it."""
         try:
             asyncio.run(self.run())
         except Exception:
@@ -126,21 +130,22 @@
             self.ready.set()
 
     def set_lifecycle_state(self, state: str) -> None:
-        """The life-cycle's: lame members hand their duties over, and say so in their record."""
+        """Publish the life-cycle state; draining (lame) members also hand their duties over."""
         if self.thread is not None and self.thread.is_alive():
             self.loop.call_soon_threadsafe(self._on_lifecycle_state, state)
 
     def shut_down(self) -> None:
-        """Hands over and signs off, for at most LEAVING s."""
+        """Hand all duties over, sign off and end the thread, within HANDOVER_TIMEOUT_S and a margin."""
         if self.thread is not None and self.thread.is_alive():
             self.loop.call_soon_threadsafe(self.stopping.set)
             self.thread.join(HANDOVER_TIMEOUT_S + 0.5)
 
-    # on the thread
+    # called on the member's thread
     async def run(self) -> None:
+        """Run until shut down, then hand over and sign off."""
         self.loop = asyncio.get_running_loop()
         self.stopping = asyncio.Event()
-        self.store_reached = asyncio.Event()  # the store has answered
+        self.store_reached = asyncio.Event()  # set once the store has answered
         self.reported_watch = ReportedWatch(self)
         self.elections = [LeaderElection(self, work, self.on_duty_change) for work in self.works]
         self.live_watch = LiveWatch(self, self._on_update)
@@ -163,8 +168,8 @@
         running += self.revoking
         for task in running:
             task.cancel()
-        for keeper in self.elections:
-            keeper.stop()
+        for election in self.elections:
+            election.stop()
         self.reported_watch.stop()
         if self.participant is not None:
             self.participant.stop()
@@ -174,20 +179,20 @@
 
     def _on_lifecycle_state(self, state: str) -> None:
         self.record = msgspec.structs.replace(self.record, state=state)
-        lame = state in ("lame", "leaving")
-        for keeper in self.elections:
-            if lame:
-                keeper.release()
+        draining = state in ("lame", "leaving")
+        for election in self.elections:
+            if draining:
+                election.release()
             else:
-                keeper.released = False
-                keeper.schedule_claim()
+                election.released = False
+                election.schedule_claim()
         self.loop.create_task(self._register())
 
     async def _hand_over(self) -> None:
         self.shutting_down = True
-        for keeper in self.elections:
-            keeper.release()
-        while not all(keeper.settled for keeper in self.elections):
+        for election in self.elections:
+            election.release()
+        while not all(election.settled for election in self.elections):
             await asyncio.sleep(MIN_LEASE_CHECK_INTERVAL_S / 4)
         if self.lease.id:
             known = KnownMemberRecord(name=self.name, zone=self.record.zone, left=True)
@@ -195,7 +200,7 @@
             await self.client.revoke(self.lease.id)
 
     def log_fault(self, message: str) -> None:
-        """One line for each kind of trouble, every SAID s at most."""
+        """Log a fault, at most every LOG_INTERVAL_S for each kind: the part before the first colon."""
         kind, now = message.partition(":")[0], time.monotonic()
         if now > self.last_logged.get(kind, -LOG_INTERVAL_S) + LOG_INTERVAL_S:
             self.last_logged[kind] = now
@@ -204,7 +209,7 @@
     # lease and record
     @property
     def may_claim(self) -> bool:
-        """Whether it may claim: its lease is good, and it has seen the store as it is under it."""
+        """Whether duties may be claimed: the lease is valid, and the store's state under it is known."""
         return (
             self.registered
             and self.live_watch.informed
@@ -228,7 +233,7 @@
             except StoreClientError as fault:
                 self.log_fault(f"the store is not reached: {fault}")
                 self.store_reached.clear()
-                with contextlib.suppress(TimeoutError):  # unless another call is answered before
+                with contextlib.suppress(TimeoutError):  # retry at once if another call is answered
                     async with asyncio.timeout(backoff.next_delay()):
                         await self.store_reached.wait()
 
@@ -241,13 +246,13 @@
         await self._register()
 
     async def _register(self) -> None:
-        """The own record under the lease; a fault leaves it to the next renewal."""
+        """Write the own record under the lease; after a fault the next renewal tries again."""
         if not self.lease.id or self.shutting_down:
             return
-        telling = self.record
+        record = self.record
         known = self.keys.known_member(self.name)
         operations = (
-            Put(self.keys.member(self.name, self.incarnation), encode(telling), self.lease.id),
+            Put(self.keys.member(self.name, self.incarnation), encode(record), self.lease.id),
             Put(known, encode(KnownMemberRecord(name=self.name, zone=self.record.zone))),
         )
         try:
@@ -257,17 +262,17 @@
             return
         except StoreClientError:
             return
-        self.stored_record = telling
+        self.stored_record = record
         if not self.registered:
             self.registered, self.registered_at = True, done.revision
             if self.participant is not None:
                 self.participant.on_rejoin()
                 self.participant.on_update()
-        for keeper in self.elections:
-            keeper.schedule_claim()
+        for election in self.elections:
+            election.schedule_claim()
 
     async def publish_record(self) -> None:
-        """The own record anew; a fault leaves it to the next renewal."""
+        """Write the changed record; after a fault the next renewal tries again."""
         await self._register()
 
     async def _renew(self) -> None:
@@ -280,7 +285,10 @@
             await self._register()
 
     async def _watch_lease_bound(self) -> None:
-        """Ends what is under way when the bound has passed. No safeguard: each effect asks by itself."""
+        """Stop the duties once the lease has expired.
+
+        Safety does not depend on it: each effect checks the lease itself.
+        """
         while True:
             left = self.lease.until - self.clock() if self.lease.id else self.ttl / 10
             await asyncio.sleep(max(MIN_LEASE_CHECK_INTERVAL_S, min(left, METRICS_INTERVAL_S)))
@@ -288,12 +296,15 @@
                 self._on_lease_expired()
 
     def _on_lease_expired(self) -> None:
-        """A lease whose bound has passed is not taken up again: what hung on it may be another's by now. It
-        is given back: where the store hears this member and its answers don't come, renewals went on
-        arriving, and nobody else could have what hung on it until the last one's time was over."""
+        """Give up an expired lease and revoke it.
+
+        It is not renewed, as its duties may have been claimed by others. It is revoked because
+        the store may still receive renewals while its responses are lost; others would have to wait for the
+        last one.
+        """
         over, self.lease, self.registered = self.lease.id, Lease(), False
-        for keeper in self.elections:
-            keeper.on_event(Event.EXPIRED)
+        for election in self.elections:
+            election.on_event(Event.EXPIRED)
         if over:
             task = self.loop.create_task(self._revoke(over))
             self.revoking.add(task)
@@ -303,14 +314,18 @@
         with contextlib.suppress(StoreClientError):
             await self.client.revoke(id)
 
-    # the others
+    # other members
     def watcher_of(self, part: KeyRange, changed: OnChange) -> StoreWatcher:
+        """Create the watcher of a range; `changed` is called after each change of it."""
         silence = max(2.0, self.options.ttl / 2)
         backoff = Backoff(self.random)
         return StoreWatcher(self.watch_client, self.cache, part, silence, backoff, self.log_fault, changed)
 
     def _on_update(self, events: list[Change] | None) -> None:
-        """A fleet is told of each of its members by each: what costs by the fleet's size is not done here."""
+        """Process changes of live keys.
+
+        It runs at each member for each change, so its cost must not grow with the size of the fleet.
+        """
         now = self.clock()
         keys = [event.kv.key for event in events if not event.deleted] if events is not None else None
         for key in self.cache.keys_by_kind.get("members", ()) if keys is None else keys:
@@ -323,31 +338,34 @@
         if self.participant is not None:
             self.participant.on_update()
         touched = {event.kv.key for event in events} if events is not None else None
-        for keeper in self.elections:
-            if touched is None or keeper.key in touched or not keeper.idle:
-                keeper.on_key(self.cache.entries.get(keeper.key), self.cache.known_revision(self.keys.claims))
+        for election in self.elections:
+            if touched is None or election.key in touched or not election.idle:
+                election.on_key(
+                    self.cache.entries.get(election.key), self.cache.known_revision(self.keys.claims)
+                )
 
     def _weights(self, duty: str) -> dict[str, float]:
         members = [m for _, m in self.cache.members() if duty in m.can and m.state in ("ready", "starting")]
         return self.flap_detector.weights({member.name for member in members}, self.clock())
 
     def claim_delay(self, duty: str) -> float:
-        """S to leave to others; none for whom the last holder named, who goes first whatever the order."""
-        heir = self.cache.successor(duty)
-        if heir == self.name:
+        """Return the seconds to wait before a claim; 0 for the designated successor."""
+        successor = self.cache.successor(duty)
+        if successor == self.name:
             return 0.0
         there = self.live_watch.members
         if there > MAX_RANKED_MEMBERS or not self.live_watch.complete.is_set():
             own = self.flap_detector.weights((self.name,), self.clock())[self.name]
             return election_order.estimated_claim_delay(duty, self.name, own, there, CLAIM_INTERVAL_S) + (
-                CLAIM_INTERVAL_S if heir else 0.0
+                CLAIM_INTERVAL_S if successor else 0.0
             )
         weights = self._weights(duty)
         return election_order.claim_delay(duty, self.name, weights, CLAIM_INTERVAL_S) + (
-            CLAIM_INTERVAL_S if heir in weights else 0.0
+            CLAIM_INTERVAL_S if successor in weights else 0.0
         )
 
     def successor(self, duty: str) -> str:
+        """Return the member that should hold the duty next, or an empty string."""
         return election_order.successor(duty, self.name, self._weights(duty))
 
     async def _publish_metrics(self) -> None:
@@ -358,12 +376,12 @@
             now = self.metrics()
             if now is None or not self.registered or (now == last and under == self.lease.id):
                 continue
-            if self.record.state in ("lame", "leaving"):  # another of its name may serve, and tell its own
+            if self.record.state in ("lame", "leaving"):  # its successor of the same name may report metrics
                 continue
             try:
                 under = self.lease.id
-                told = encode(msgspec.structs.replace(now, incarnation=self.incarnation))
-                await self.client.do(Put(self.keys.member_metrics(self.name), told, under))
+                value = encode(msgspec.structs.replace(now, incarnation=self.incarnation))
+                await self.client.do(Put(self.keys.member_metrics(self.name), value, under))
                 last = now
             except StoreClientError as fault:
                 self.log_fault(f"figures: {fault}")
--- a/gladegw/control/policy_bundle.py
+++ b/gladegw/control/policy_bundle.py
@@ -1,4 +1,4 @@
-"""A policy as one immutable bundle of files, named by its digest, and as the pieces that the store takes."""
+"""Policy bundles: immutable sets of files, identified by digest and stored in chunks."""
 
 from __future__ import annotations
 
@@ -8,29 +8,35 @@
 
 import msgspec
 
-CHUNK_BYTES = 256 * 1024  # bytes: four fit into one request with room to spare
-MAX_BUNDLE_BYTES = 16 << 20  # bytes of all files
+CHUNK_BYTES = 256 * 1024  # four fit into one request
+MAX_BUNDLE_BYTES = 16 << 20  # of all files
 SUFFIX = ".routes.hcl"
 
 
 class BundleError(ValueError):
-    """What can't be a bundle, or is not the one that it should be; the message is one line."""
+    """A bundle is invalid or does not match its digest; the message is one line."""
 
 
 def pack(files: Mapping[str, str]) -> bytes:
+    """Encode files as a bundle, sorted by name."""
     return msgspec.json.encode({name: files[name] for name in sorted(files)})
 
 
 def digest_of(raw: bytes) -> str:
+    """Return the digest that identifies a bundle."""
     return hashlib.blake2b(raw, digest_size=12).hexdigest()
 
 
 def split_chunks(raw: bytes) -> list[bytes]:
+    """Split a bundle into chunks of at most CHUNK_BYTES."""
     return [raw[at : at + CHUNK_BYTES] for at in range(0, len(raw), CHUNK_BYTES)]
 
 
 def assemble(digest: str, parts: Iterable[bytes]) -> dict[str, str]:
-    """Raises BundleError where it is cut, foreign or changed."""
+    """Return the files of a bundle by name.
+
+    Raises BundleError if chunks are missing, or the content is invalid or does not match the digest.
+    """
     raw = b"".join(parts)
     if not raw:
         raise BundleError(f"bundle {digest} is not in the store")
@@ -43,7 +49,7 @@
 
 
 def read_files(folder: str) -> dict[str, str]:
-    """The files of a folder, or one file; raises BundleError."""
+    """Read the route files of a folder, or one file; raises BundleError."""
     path = Path(folder)
     files = sorted(path.glob(f"*{SUFFIX}")) if path.is_dir() else [path]
     if not files:
@@ -62,8 +68,10 @@
 
 
 def select_file(files: Mapping[str, str], own: str) -> tuple[str, str]:
-    """Name and text of the file that a proxy serves by: the one named like its own, or the only one. Raises
-    BundleError."""
+    """Return name and text of the file that a proxy uses: the one named like its own, or the only one.
+
+    Raises BundleError if there is none.
+    """
     name = PurePath(own).name
     if name in files:
         return name, files[name]
--- a/gladegw/control/policy_participant.py
+++ b/gladegw/control/policy_participant.py
@@ -1,5 +1,9 @@
-"""A member's part in changes of policy: what the store says goes to the table, and the table's actions are
-carried out beside the serving loop, which learns of a new policy by `take` and of its right by the gate."""
+"""A member's part in policy changes.
+
+States of the store are passed to the state machine of `policy_commit`, whose actions are executed on the
+member's thread. The serving side receives a new policy by `ServingHost.activate` and its permission to serve
+by the serving lease.
+"""
 
 from __future__ import annotations
 
@@ -35,23 +39,23 @@
 log = logging.getLogger(__name__)
 
 REFUSE, SERVE = "refuse", "serve"
-EXTEND_INTERVAL_S = 0.2  # s between two extensions of the gate
-MAX_STALL_S = 1.0  # s without one after which the store is asked first
-PROBATION_S = 5.0  # s of serving by a bundle after which it counts as survived
-MAX_BUNDLE_ATTEMPTS = 2  # deaths with a bundle, after which it is not tried again for
-ATTEMPTS_TTL_S = 60  # s, by the store's clock
-PREPARE_RETRY_INTERVAL_S = 5.0  # s until what is in force and could not be prepared is tried again
-CRASHED = "ended"  # of processes of this name, with a bundle that they had begun
-RETRY_INTERVAL_S = 0.2  # s until what the store did not answer is tried again
+EXTEND_INTERVAL_S = 0.2  # between extensions of the serving lease
+MAX_STALL_S = 1.0  # without an extension, after which the store is read first
+PROBATION_S = 5.0  # of serving with a bundle, after which the attempt counts as survived
+MAX_BUNDLE_ATTEMPTS = 2  # failed attempts, after which the bundle is rejected for ATTEMPTS_TTL_S
+ATTEMPTS_TTL_S = 60  # by the store's clock
+PREPARE_RETRY_INTERVAL_S = 5.0  # after a committed policy could not be prepared
+CRASHED = "ended"  # first word of the reason for such a rejection
+RETRY_INTERVAL_S = 0.2  # after a request without an answer
 
-Prepare = Callable[[Mapping[str, str]], Any]  # files to what `take` gets; raises ValueError; in a thread
-Activate = Callable[[int, str, Any, Callable[[], None]], None]  # epoch, digest, what was prepared, done
-OnPrepared = Callable[[int, str, Any], None]  # epoch, digest, what was prepared; without: no more
+Prepare = Callable[[Mapping[str, str]], Any]  # files to prepared tables; raises ValueError; runs in a thread
+Activate = Callable[[int, str, Any, Callable[[], None]], None]  # epoch, digest, prepared tables, callback
+OnPrepared = Callable[[int, str, Any], None]  # epoch, digest, prepared tables or None
 
 
 @dataclass(frozen=True, slots=True)
 class ServingHost:
-    """What the serving side does."""
+    """Functions of the serving side that the participant uses."""
 
     prepare: Prepare
     activate: Activate
@@ -61,7 +65,7 @@
 
 
 def own_digests(record: PolicyRecord | PolicyChangeRecord, name: str) -> tuple[str, str]:
-    """The bundle that a member of this name serves by, and that of the others where it is in a stage."""
+    """Return the digest that a member serves with, and the fallback's digest if it is in a rollout stage."""
     mine = rollout.digest_for(name, record.digest, record.new, record.named)
     return mine, record.digest if mine != record.digest else ""
 
@@ -69,113 +73,118 @@
 def parse_store_state(
     force: KeyValue | None, change: KeyValue | None, name: str
 ) -> tuple[CommittedPolicy, OpenChange | None, PolicyRecord]:
-    """The store's records as the tables of this member want them; raises RecordError."""
-    told = decode(force.value, PolicyRecord) if force is not None else PolicyRecord(epoch=0, digest="")
-    asked = decode(change.value, PolicyChangeRecord) if change is not None else None
+    """Return the committed policy and the open change as they apply to a member, and the policy record.
+
+    Raises RecordError if a record is invalid.
+    """
+    committed = decode(force.value, PolicyRecord) if force is not None else PolicyRecord(epoch=0, digest="")
+    proposed = decode(change.value, PolicyChangeRecord) if change is not None else None
     opened = None
-    if change is not None and asked is not None:
-        opened = OpenChange(change.create_revision, asked.epoch, *own_digests(asked, name))
-    return CommittedPolicy(told.epoch, *own_digests(told, name)), opened, told
+    if change is not None and proposed is not None:
+        opened = OpenChange(change.create_revision, proposed.epoch, *own_digests(proposed, name))
+    return CommittedPolicy(committed.epoch, *own_digests(committed, name)), opened, committed
 
 
 class PolicyParticipant:
+    """Participant of the policy commit protocol at one member."""
+
     def __init__(self, member: ParticipantHost, host: ServingHost) -> None:
         self.member, self.host, self.keys = member, host, member.keys
         self.state = Participant()
-        self.prepared_tables: dict[str, Any] = {}  # what was prepared, by digest
-        self.attempted: set[str] = set()  # digests whose count of tries stands in the store for this process
-        self.serving_epoch = -1  # epoch that the serving loop works by
-        self.confirmed_until = -math.inf  # until when what is in force is known for certain
+        self.prepared_tables: dict[str, Any] = {}  # by digest
+        self.attempted: set[str] = set()  # digests with an attempt of this process counted in the store
+        self.serving_epoch = -1  # epoch that is active in the serving loop
+        self.confirmed_until = -math.inf  # until when the committed policy is certain
         self.extended_at = -math.inf
         self.tasks: set[asyncio.Task[None]] = set()
-        self.retry_timer: asyncio.TimerHandle | None = None  # of what could not be prepared
-        self.heartbeat_timeout = 0.0  # s that a stage is served by without a sign; 0: for ever
-        self.heartbeat_revision, self.heartbeat_at = (
-            0,
-            -math.inf,
-        )  # the newest sign's revision, and when it was heard
-
-    # the store's word
+        self.retry_timer: asyncio.TimerHandle | None = None  # of a policy that could not be prepared
+        self.heartbeat_timeout = 0.0  # seconds to serve a stage without a heartbeat; 0: no limit
+        self.heartbeat_revision = 0  # of the newest heartbeat
+        self.heartbeat_at = -math.inf  # when the newest heartbeat was received
+
+    # store updates
     def on_update(self) -> None:
-        """The view has changed."""
+        """Process a change of the cached policy records."""
         view, keys = self.member.cache, self.keys
-        force, change, sign = (
+        force, change, heartbeat = (
             view.entries.get(key) for key in (keys.committed_policy, keys.open_change, keys.rollout_heartbeat)
         )
-        self._apply_store_state(force, change, sign, view.known_revision(keys.policy))
+        self._apply_store_state(force, change, heartbeat, view.known_revision(keys.policy))
 
     def _apply_store_state(
-        self, force: KeyValue | None, change: KeyValue | None, sign: KeyValue | None, revision: int
+        self, force: KeyValue | None, change: KeyValue | None, heartbeat: KeyValue | None, revision: int
     ) -> None:
-        """Who does not serve yet heeds words from its registration on alone, so that whoever decides counts
-        it or it has read the decision. Who serves heeds each: it may be what ends that."""
-        agent = self.member
-        if not (self.state.joined or (agent.registered and revision >= agent.registered_at)):
+        """Pass a state of the store to the state machine.
+
+        Before it has joined, a member ignores states older than its registration, so that a coordinator
+        either counts it or has decided before it reads. Afterwards each state counts, as it may end serving.
+        """
+        member = self.member
+        if not (self.state.joined or (member.registered and revision >= member.registered_at)):
             return
         try:
-            told, opened, record = parse_store_state(force, change, agent.name)
+            committed, opened, record = parse_store_state(force, change, member.name)
         except ValueError as fault:
             self.member.log_fault(f"policy: {fault}")
             return
-        if sign is not None and sign.mod_revision > self.heartbeat_revision:
-            self.heartbeat_revision, self.heartbeat_at = sign.mod_revision, agent.clock()
-        if told.epoch > self.state.epoch:
-            self.heartbeat_timeout, self.heartbeat_at = float(record.confirm_s), agent.clock()
-        if told.epoch < self.state.epoch:
-            self.member.log_fault(f"policy: epoch {told.epoch} in the store after {self.state.epoch}")
-        self._apply(*policy_commit.on_store_update(self.state, told, opened, revision))
+        if heartbeat is not None and heartbeat.mod_revision > self.heartbeat_revision:
+            self.heartbeat_revision, self.heartbeat_at = heartbeat.mod_revision, member.clock()
+        if committed.epoch > self.state.epoch:
+            self.heartbeat_timeout, self.heartbeat_at = float(record.confirm_s), member.clock()
+        if committed.epoch < self.state.epoch:
+            self.member.log_fault(f"policy: epoch {committed.epoch} in the store after {self.state.epoch}")
+        self._apply(*policy_commit.on_store_update(self.state, committed, opened, revision))
 
     def on_rejoin(self) -> None:
-        goes_on = self.host.when_cut_off == SERVE
-        self._apply(policy_commit.on_rejoin(self.state, goes_on), (Action.DISCARD_PREPARED,))
+        """Process a new registration after the lease was lost."""
+        continue_serving = self.host.when_cut_off == SERVE
+        self._apply(policy_commit.on_rejoin(self.state, continue_serving), (Action.DISCARD_PREPARED,))
 
     async def confirm_with_store(self) -> None:
-        """A linearizable read; raises StoreFault."""
+        """Read the policy records linearizably and process them; raises StoreClientError."""
         sent = self.member.clock()
         revision, found = await self.member.client.get(Get(*self.keys.policy))
         self.member.store_reached.set()
         by_key = {kv.key: kv for kv in found}
         keys = self.keys
-        force, change, sign = (
+        force, change, heartbeat = (
             by_key.get(key) for key in (keys.committed_policy, keys.open_change, keys.rollout_heartbeat)
         )
-        self._apply_store_state(force, change, sign, revision)
+        self._apply_store_state(force, change, heartbeat, revision)
         if self.member.registered and self.state.may_serve:
             self.confirmed_until = sent + self.member.ttl * (1 - MAX_CLOCK_DRIFT)
 
     # actions
-    def _apply(self, member: Participant, actions: tuple[Action, ...]) -> None:
-        before, self.state = self.state, member
-        if Action.VOTE_YES in actions:  # nothing is decided before this vote is there, so until now it knows
+    def _apply(self, state: Participant, actions: tuple[Action, ...]) -> None:
+        before, self.state = self.state, state
+        if Action.VOTE_YES in actions:  # no decision can precede this vote
             self.confirmed_until = max(
                 self.confirmed_until, self.member.clock() + self.member.ttl * (1 - MAX_CLOCK_DRIFT)
             )
         for action in actions:
             if action is Action.PREPARE:
-                self._spawn(self._prepare(member.preparing))
+                self._spawn(self._prepare(state.preparing))
             elif action is Action.ACTIVATE:
-                self._activate(member.epoch, member.digest)
+                self._activate(state.epoch, state.digest)
             elif action is Action.PREPARE_FALLBACK:
-                self._spawn(self._prepare_fallback(member.committed.baseline))
+                self._spawn(self._prepare_fallback(state.committed.baseline))
             elif action is Action.DISCARD_PREPARED:
-                self.host.on_prepared(member.epoch, "", None)
-                kept = (member.digest, member.fallback)
+                self.host.on_prepared(state.epoch, "", None)
+                retained = (state.digest, state.fallback)
                 self.prepared_tables = {
-                    digest: one for digest, one in self.prepared_tables.items() if digest in kept
+                    digest: tables for digest, tables in self.prepared_tables.items() if digest in retained
                 }
             else:
-                if (
-                    action is Action.VOTE_YES and member.open_change is not None
-                ):  # others may serve by it from here on
-                    change = member.open_change
+                if action is Action.VOTE_YES and state.open_change is not None:
+                    change = state.open_change  # others may serve with it from now on
                     self.host.on_prepared(
-                        change.epoch, change.fleet_digest, self.prepared_tables[member.prepared]
+                        change.epoch, change.fleet_digest, self.prepared_tables[state.prepared]
                     )
                 self._spawn(self._vote(action is Action.VOTE_YES, ""))
-        for digest in self.attempted - {member.preparing, member.prepared, member.digest, member.fallback}:
+        for digest in self.attempted - {state.preparing, state.prepared, state.digest, state.fallback}:
             self._spawn(self._clear_attempts(digest, 0.0))
-        if before.phase is not member.phase:
-            log.info("policy: %s, epoch %d", member.phase.value, member.epoch)
+        if before.phase is not state.phase:
+            log.info("policy: %s, epoch %d", state.phase.value, state.epoch)
         self._extend_serving_lease()
 
     def _spawn(self, work: Any) -> None:
@@ -191,7 +200,7 @@
                 return
             files = policy_bundle.assemble(digest, (kv.value for kv in found))
             self.prepared_tables[digest] = await asyncio.to_thread(self.host.prepare, files)
-        except ValueError as fault:  # also what is wrong with a bundle or its routes
+        except ValueError as fault:  # includes invalid bundles and routes
             reason = " ".join(str(fault).split()) or type(fault).__name__
         except Exception as fault:
             log.exception("policy: %s could not be prepared", digest)
@@ -215,32 +224,36 @@
         self._apply(*policy_commit.retry_prepare(self.state))
 
     async def _fetch_bundle(self, digest: str) -> tuple[KeyValue, ...] | None:
-        """The bundle's pieces; None: it is wanted no more. In the same transaction this process's try is
-        counted in the store, before anything of the bundle is touched; raises BundleError where processes of
-        this name have died with it too often lately."""
-        agent, key = self.member, self.keys.bundle_attempts(digest, self.member.name)
+        """Return the bundle's chunks, or None if the bundle is no longer needed.
+
+        The same transaction counts this process's attempt, before the bundle is used. Raises BundleError if
+        too many recent processes of this name ended during an attempt.
+        """
+        member, key = self.member, self.keys.bundle_attempts(digest, self.member.name)
         pieces = Get(*self.keys.bundle(digest))
-        lease = count = revision = 0  # what stands in the store, as far as it is known
-        backoff = Backoff(agent.random)
+        lease = count = revision = 0  # state in the store, as far as known
+        backoff = Backoff(member.random)
         while self.state.preparing == digest:
             try:
                 if digest in self.attempted:
-                    return (await agent.client.get(pieces))[1]
-                lease = lease or (await agent.client.grant(ATTEMPTS_TTL_S))[0]
-                tried = Put(key, encode(BundleAttemptsRecord(count=count + 1, last=agent.incarnation)), lease)
+                    return (await member.client.get(pieces))[1]
+                lease = lease or (await member.client.grant(ATTEMPTS_TTL_S))[0]
+                tried = Put(
+                    key, encode(BundleAttemptsRecord(count=count + 1, last=member.incarnation)), lease
+                )
                 as_known = Compare(key, Target.MOD, "=", revision)
-                done = await agent.client.txn(Txn((as_known,), (tried, pieces), (Get(key), pieces)))
+                done = await member.client.txn(Txn((as_known,), (tried, pieces), (Get(key), pieces)))
             except StoreClientError as fault:
                 if isinstance(fault, StoreRejectedError):
-                    lease = 0  # it may have run out meanwhile
-                agent.log_fault(f"policy: bundle {digest}: {fault}")
+                    lease = 0  # it may have expired
+                member.log_fault(f"policy: bundle {digest}: {fault}")
                 await asyncio.sleep(backoff.next_delay())
                 continue
             stands = () if done.succeeded else done.found[0]
             before = (
                 decode(stands[0].value, BundleAttemptsRecord) if stands else BundleAttemptsRecord(count=0)
             )
-            if done.succeeded or before.last == agent.incarnation:
+            if done.succeeded or before.last == member.incarnation:
                 self.attempted.add(digest)
                 return done.found[1]
             if before.count >= MAX_BUNDLE_ATTEMPTS:
@@ -249,7 +262,7 @@
         return None
 
     async def _prepare_fallback(self, digest: str) -> None:
-        """The way back of one that began within a stage: with the store gone by then, there is no other."""
+        """Prepare the fallback of a member that started within a stage, before the store may be lost."""
         while self.state.committed.baseline == digest and self.state.fallback != digest:
             try:
                 _, found = await self.member.client.get(Get(*self.keys.bundle(digest)))
@@ -277,27 +290,27 @@
             self.member.log_fault(f"policy: bundle {digest}: {fault}")
 
     async def _vote(self, yes: bool, reason: str) -> None:
-        """Sent again until it is there or the change is over; a vote that came through twice is one."""
+        """Write the vote, repeated until it is confirmed or the change is closed; the write is idempotent."""
         change = self.state.open_change
         while change is not None and self.state.open_change == change:
-            agent = self.member
-            if not agent.registered:  # a vote stands under the lease, and ends with it
+            member = self.member
+            if not member.registered:  # the vote is bound to the lease
                 await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
             ballot = VoteRecord(change=change.id, digest=change.digest, yes=yes, reason=reason)
-            key = self.keys.vote(agent.name, agent.incarnation)
+            key = self.keys.vote(member.name, member.incarnation)
             try:
-                await agent.client.do(Put(key, encode(ballot), agent.lease.id))
+                await member.client.do(Put(key, encode(ballot), member.lease.id))
                 return
             except StoreClientError as fault:
-                agent.log_fault(f"policy: vote: {fault}")
+                member.log_fault(f"policy: vote: {fault}")
                 await asyncio.sleep(RETRY_INTERVAL_S)
 
     def _activate(self, epoch: int, digest: str) -> None:
-        agent = self.member
+        member = self.member
 
         def done() -> None:  # on the serving loop
-            agent.loop.call_soon_threadsafe(self._on_activated, epoch, digest)
+            member.loop.call_soon_threadsafe(self._on_activated, epoch, digest)
 
         log.warning("policy: epoch %d (%s) takes hold", epoch, digest or "the own file")
         self.host.activate(epoch, self.state.committed.fleet_digest, self.prepared_tables.get(digest), done)
@@ -308,24 +321,24 @@
         if epoch < self.serving_epoch:
             return
         self.serving_epoch = epoch
-        agent = self.member
-        agent.record = msgspec.structs.replace(agent.record, epoch=epoch, digest=digest)
-        self._spawn(agent.publish_record())
+        member = self.member
+        member.record = msgspec.structs.replace(member.record, epoch=epoch, digest=digest)
+        self._spawn(member.publish_record())
         self._extend_serving_lease()
 
-    # the right to serve
+    # serving lease
     def _extend_serving_lease(self) -> None:
-        gate, member, now = self.host.serving_lease, self.state, self.member.clock()
-        if not member.may_serve:
-            gate.close()
-        elif self.serving_epoch == member.epoch and now < self.extended_at + MAX_STALL_S:
+        serving_lease, state, now = self.host.serving_lease, self.state, self.member.clock()
+        if not state.may_serve:
+            serving_lease.close()
+        elif self.serving_epoch == state.epoch and now < self.extended_at + MAX_STALL_S:
             until = now + MAX_STALL_S
-            if self.host.when_cut_off == REFUSE or policy_commit.in_doubt(member):
+            if self.host.when_cut_off == REFUSE or policy_commit.in_doubt(state):
                 until = min(until, self.member.lease.until, self.confirmed_until)
-            gate.until = until
+            serving_lease.until = until
 
     async def run(self) -> None:
-        """Extends the gate as long as this process runs. After it stood still the store is asked first."""
+        """Extend the serving lease until cancelled; after a stall the store is read first."""
         while True:
             now = self.member.clock()
             refuse = self.host.when_cut_off == REFUSE or policy_commit.in_doubt(self.state)
@@ -350,8 +363,11 @@
             await asyncio.sleep(EXTEND_INTERVAL_S)
 
     async def _confirm_with_retries(self, retry_for: float) -> None:
-        """Once at least, and until the store has answered: right after a standstill calls of before it fail
-        and take the connection with them. If the process stood still again meanwhile, all of it anew."""
+        """Read the policy from the store, with retries for `retry_for` seconds.
+
+        Right after a stall, pending calls fail and close the connection, so one attempt is not enough.
+        Another stall meanwhile restarts the time.
+        """
         clock, timeout = self.member.clock, self.member.options.timeout
         until = clock() + retry_for
         while True:
@@ -368,6 +384,7 @@
             await asyncio.sleep(EXTEND_INTERVAL_S / 4)
 
     def stop(self) -> None:
+        """Cancel all tasks and timers."""
         for task in self.tasks:
             task.cancel()
         if self.retry_timer is not None:
@@ -375,7 +392,7 @@
 
 
 def member_state(member: MemberRecord, force: PolicyRecord) -> str:
-    """What `policy status` says of a member."""
+    """Return the state of a member as `policy status` shows it."""
     if member.epoch < 0:
         return "unknown"
     if member.epoch != force.epoch:
