--- a/gladegw/control/duties/__init__.py
+++ b/gladegw/control/duties/__init__.py
@@ -1,4 +1,4 @@
-"""The duties that there are. One more is a file with a class and its line here."""
+"""Duties that every fleet has; a new one is a module with a class and an entry here."""
 
 from __future__ import annotations
 
--- a/gladegw/control/duties/base.py
+++ b/gladegw/control/duties/base.py
@@ -1,4 +1,4 @@
-"""What a duty is: begun when it is held, stepped through while it is, ended when it is not any more."""
+"""Base class of duties: work that one elected member does for the fleet."""
 
 from __future__ import annotations
 
@@ -10,49 +10,59 @@
 
 
 class NotHolderError(Exception):
-    """The duty is not held (any more). `begun`: the effect was sent, and the store refused its token."""
+    """The duty is not, or no longer, held by this member.
+
+    `started` is set if the effect was sent and the store rejected its fencing token or a comparison.
+    """
 
     def __init__(self, duty: str, begun: bool = False) -> None:
-        super().__init__(duty)
+        super().__init__(f"duty {duty} is not held by this member")
         self.started = begun
 
 
 class DutyContext(Protocol):
-    """What a duty may do while it is held under `token`."""
+    """Operations that a duty may use while it is held."""
 
     @property
-    def token(self) -> int: ...
+    def token(self) -> int:
+        """Fencing token of the duty."""
 
     @property
-    def cache(self) -> StoreCache: ...
+    def cache(self) -> StoreCache:
+        """Local copy of the watched keys."""
 
     async def grant(self, ttl: int) -> int:
-        """A lease of the store's that nobody keeps alive; raises StoreFault."""
+        """Create a lease of `ttl` seconds that is not renewed; return its id. Raises StoreClientError."""
 
     async def names(self, first: bytes, end: bytes) -> list[bytes]:
-        """Keys of a range that is not watched; raises StoreFault."""
+        """Return the keys of a range that is not watched; raises StoreClientError."""
 
     async def effect(self, *operations: Operation, compares: tuple[Compare, ...] = ()) -> TxnResult:
-        """Writes to the store, if the duty is held right before and, by the store's word, in the same
-        transaction. Raises NotHeld, also where one of `compares` fails, or StoreFault where the outcome is
-        not known."""
+        """Execute operations in one transaction that is fenced by the duty's token.
+
+        Raises NotHolderError if the duty is not held or one of `compares` fails, and StoreClientError if the
+        outcome is unknown.
+        """
 
 
 class DutyWork(ABC):
-    """`period`: s from the end of one step to the begin of the next. `reads`: its steps need what stands
-    under `told/`, which only holders read. A duty that is not held has nothing under way: `end` is called
-    once its step is cancelled."""
+    """Work of a duty, executed in steps while the duty is held.
+
+    `period` is the time between two steps in seconds. `reads_reported` is set if the steps need the reported
+    keys. When the duty is lost, the current step is cancelled and `end` is called.
+    """
 
     name = ""
     period = 1.0
     reads_reported = False
-    capabilities: tuple[str, ...] = ()  # kinds of its work that an older program would get wrong
+    capabilities: tuple[str, ...] = ()  # abilities that members of older versions lack
 
-    async def begin(self, holding: DutyContext) -> None:  # noqa: B027
-        """Before the first step of a holder."""
+    async def begin(self, context: DutyContext) -> None:  # noqa: B027
+        """Prepare for the first step after the duty was claimed."""
 
     @abstractmethod
-    async def step(self, holding: DutyContext) -> None: ...
+    async def step(self, context: DutyContext) -> None:
+        """Do one step of the work."""
 
     def end(self) -> None:  # noqa: B027
-        """What was kept for the steps can be forgotten; nothing is written any more."""
+        """Discard the state of the steps after the duty was lost; nothing may be written."""
--- a/gladegw/control/duties/fleet_summary.py
+++ b/gladegw/control/duties/fleet_summary.py
@@ -1,4 +1,4 @@
-"""`digest`: one record of the whole fleet out of every member's figures."""
+"""Duty `digest`: summarizes all members' metrics in one record."""
 
 from __future__ import annotations
 
@@ -10,33 +10,36 @@
 MAX_WORST = 5
 
 
-def unserved_fraction(figures: dict[str, int]) -> float:
-    """Share of the requests that ended and were not served; 0 where none ended."""
-    ended = {
-        end: sum(value for name, value in figures.items() if name.endswith("." + end))
+def unserved_fraction(metrics: dict[str, int]) -> float:
+    """Return the fraction of the finished requests that were not served; 0 if there are none."""
+    finished = {
+        end: sum(value for name, value in metrics.items() if name.endswith("." + end))
         for end in ("passed", "dropped", "bad_gateway")
     }
-    total = sum(ended.values())
-    return 1 - ended["passed"] / total if total else 0.0
+    total = sum(finished.values())
+    return 1 - finished["passed"] / total if total else 0.0
 
 
 def summarize(view: StoreCache, token: int) -> FleetSummaryRecord:
+    """Summarize the metrics of all live members."""
     members = sorted({member.name for _, member in view.members()})
-    told: dict[str, MemberMetricsRecord] = view.member_metrics()
+    reported: dict[str, MemberMetricsRecord] = view.member_metrics()
     totals: dict[str, int] = {}
     for name in members:
-        for figure, value in told[name].figures.items() if name in told else ():
+        for figure, value in reported[name].figures.items() if name in reported else ():
             totals[figure] = totals.get(figure, 0) + value
     ranked = sorted(
-        ((name, round(unserved_fraction(told[name].figures), 4)) for name in members if name in told),
+        ((name, round(unserved_fraction(reported[name].figures), 4)) for name in members if name in reported),
         key=lambda entry: (-entry[1], entry[0]),
     )
     worst = tuple(entry for entry in ranked[:MAX_WORST] if entry[1] > 0)
-    silent = tuple(name for name in members if name not in told)
+    silent = tuple(name for name in members if name not in reported)
     return FleetSummaryRecord(token=token, members=len(members), totals=totals, worst=worst, silent=silent)
 
 
 class FleetSummary(DutyWork):
+    """Summary of the fleet's metrics."""
+
     name = "digest"
     period = 1.0
     reads_reported = True
@@ -44,11 +47,13 @@
     def __init__(self) -> None:
         self.last: FleetSummaryRecord | None = None
 
-    async def step(self, holding: DutyContext) -> None:
-        fleet = summarize(holding.cache, holding.token)
+    async def step(self, context: DutyContext) -> None:
+        """Write the summary if it has changed."""
+        fleet = summarize(context.cache, context.token)
         if fleet != self.last:
-            await holding.effect(Put(holding.cache.keys.fleet_record("digest"), encode(fleet)))
+            await context.effect(Put(context.cache.keys.fleet_record("digest"), encode(fleet)))
             self.last = fleet
 
     def end(self) -> None:
+        """Discard the state of the steps; see `DutyWork.end`."""
         self.last = None
--- a/gladegw/control/duties/member_cleanup.py
+++ b/gladegw/control/duties/member_cleanup.py
@@ -1,4 +1,4 @@
-"""`sweeper`: notes when a member was lost, and removes what the long dead left."""
+"""Duty `sweeper`: records when members were lost and removes the records of long-lost ones."""
 
 from __future__ import annotations
 
@@ -10,32 +10,37 @@
 from gladegw.coordination.records import encode
 from gladegw.coordination.store import Delete, Operation, Put
 
-LOST_MEMBER_RETENTION_S = 24 * 3600.0  # s for which a member that was lost is missed
-MAX_WRITES_PER_STEP = 32  # members looked after in one step, well below the operations of one transaction
+LOST_MEMBER_RETENTION_S = 24 * 3600.0  # then a lost member is forgotten
+MAX_WRITES_PER_STEP = 32  # below the operations of one transaction
 
 
-class MemberCleanup(
-    DutyWork
-):  # where policies change, a name that did not sign off is an operator's to remove
+class MemberCleanup(DutyWork):
+    """Update of the known members' records.
+
+    In a fleet with a committed policy only operators remove members that did not sign off.
+    """
+
     name = "sweeper"
     period = 1.0
     reads_reported = True
 
-    async def step(self, holding: DutyContext) -> None:
-        """`lost` is shown to people; nothing is decided by it but when a name is forgotten, which harms
-        nobody: a member that comes back is known again."""
-        view, now = holding.cache, time.time()
+    async def step(self, context: DutyContext) -> None:
+        """Update or delete records of known members, at most MAX_WRITES_PER_STEP of them.
+
+        The time of loss is only displayed and used to forget members; a returning member is recorded again.
+        """
+        view, now = context.cache, time.time()
         live = {member.name for _, member in view.members()}
-        done: list[Operation] = []
+        operations: list[Operation] = []
         for kv, known in view.known_members():
             if known.name in live:
                 if known.lost:
-                    done.append(Put(kv.key, encode(msgspec.structs.replace(known, lost=0.0), kv.value)))
+                    operations.append(Put(kv.key, encode(msgspec.structs.replace(known, lost=0.0), kv.value)))
             elif not known.lost:
-                done.append(Put(kv.key, encode(msgspec.structs.replace(known, lost=now), kv.value)))
+                operations.append(Put(kv.key, encode(msgspec.structs.replace(known, lost=now), kv.value)))
             elif now - known.lost > LOST_MEMBER_RETENTION_S and (
                 known.left or view.keys.committed_policy not in view.entries
             ):
-                done.append(Delete(kv.key))
-        if done:
-            await holding.effect(*done[:MAX_WRITES_PER_STEP])
+                operations.append(Delete(kv.key))
+        if operations:
+            await context.effect(*operations[:MAX_WRITES_PER_STEP])
--- a/gladegw/control/duties/rollout_controller.py
+++ b/gladegw/control/duties/rollout_controller.py
@@ -1,5 +1,7 @@
-"""`rollout`: conducts the change in stages that is under way. What it decides by stands in the store; it
-keeps only what the window that is open has seen."""
+"""Duty `rollout`: controls the current rollout.
+
+All state on which decisions depend is in the store, except for the samples of the open window.
+"""
 
 from __future__ import annotations
 
@@ -39,15 +41,17 @@
 
 log = logging.getLogger(__name__)
 
-WINDOW_S = 2.0  # s, as often as members tell their figures
-MIN_BASELINE_WINDOWS = 6  # windows before the first stage, that tell what is usual
-POLL_INTERVAL_S = 0.2  # s
-MAX_DENSE_POINTS = 300  # windows of a stage that are all kept for its page
-SPARSE_POINT_STRIDE = 10  # beyond, each so manieth
-HEARTBEATS_PER_TIMEOUT = 3  # signs in the time after which members go back
+WINDOW_S = 2.0  # the interval at which members report metrics
+MIN_BASELINE_WINDOWS = 6  # before the first stage
+POLL_INTERVAL_S = 0.2
+MAX_DENSE_POINTS = 300  # windows of a stage whose points are all stored
+SPARSE_POINT_STRIDE = 10  # beyond MAX_DENSE_POINTS
+HEARTBEATS_PER_TIMEOUT = 3  # heartbeats in the time after which members revert
 
 
 class RolloutController(DutyWork):
+    """Controller of policy and program rollouts."""
+
     name = "rollout"
     period = 0.0
     reads_reported = True
@@ -56,12 +60,13 @@
     def __init__(self) -> None:
         self.id = ""
         self.windows = SampleWindows()
-        self.opened_at = 0.0  # the window
+        self.opened_at = 0.0  # start of the window, on the monotonic clock
         self.heartbeat_at = -1e9
-        self.program_seen = (-1, 0.0)  # revision of the program's record, and when it was seen first
+        self.program_seen = (-1, 0.0)  # revision of the program record, time first seen
 
-    async def step(self, holding: DutyContext) -> None:
-        view = holding.cache
+    async def step(self, context: DutyContext) -> None:
+        """Evaluate the rollout and execute the next action of its state machine."""
+        view = context.cache
         kv, record = view.entries.get(view.keys.rollout), view.read(view.keys.rollout, RolloutRecord)
         if kv is None or record is None:
             self.id = ""
@@ -70,30 +75,30 @@
         if record.id != self.id:
             self.id = record.id
             self._open_window(view)
-        weighed = view.read(view.keys.rollout_evidence, EvidenceRecord)
-        if weighed is None or weighed.rollout != record.id:
-            weighed = EvidenceRecord(rollout=record.id, stage=0)
-        await self._close_window(holding, kv, record, weighed)
-        judged = self._evaluate(record, weighed)
+        stored = view.read(view.keys.rollout_evidence, EvidenceRecord)
+        if stored is None or stored.rollout != record.id:
+            stored = EvidenceRecord(rollout=record.id, stage=0)
+        await self._close_window(context, kv, record, stored)
+        evaluation = self._evaluate(record, stored)
         world = replace(
             self._observe(view, record), in_blackout=blackout_windows.in_blackout(record.quiet, time.time())
         )
-        after, do = step(
+        after, action = step(
             to_rollout(record),
             world,
-            judged.verdict if judged is not None else None,
-            judged.reason if judged is not None else "",
+            evaluation.verdict if evaluation is not None else None,
+            evaluation.reason if evaluation is not None else "",
         )
         await self._perform(
-            holding, kv, record, msgspec.structs.replace(record, **record_changes(after)), do, weighed
+            context, kv, record, msgspec.structs.replace(record, **record_changes(after)), action, stored
         )
         await asyncio.sleep(POLL_INTERVAL_S)
 
     def _observe(self, view: StoreCache, record: RolloutRecord) -> Observation:
         if record.kind != program_rollouts.KIND:
             return observe(view, record)
-        held = view.entries.get(view.keys.program)
-        now, written = time.monotonic(), held.mod_revision if held is not None else 0
+        entry = view.entries.get(view.keys.program)
+        now, written = time.monotonic(), entry.mod_revision if entry is not None else 0
         if self.program_seen[0] != written:
             self.program_seen = written, now
         return program_rollouts.observe(view, record, now - self.program_seen[1])
@@ -103,127 +108,129 @@
         self.windows.next(view.member_metrics())
         self.opened_at = time.monotonic()
 
-    def _evaluate(self, record: RolloutRecord, weighed: EvidenceRecord) -> Evaluation | None:
-        if record.phase != Phase.BAKING.value or weighed.stage != record.stage:
+    def _evaluate(self, record: RolloutRecord, stored: EvidenceRecord) -> Evaluation | None:
+        if record.phase != Phase.BAKING.value or stored.stage != record.stage:
             return None
-        baked = weighed.baked_s >= record.bake_s
-        found = canary_analysis.evaluate(evidence_of(weighed), limits_of(record), baked)
-        if found.verdict is Verdict.INCONCLUSIVE and weighed.baked_s >= record.most_s:
+        baked = stored.baked_s >= record.bake_s
+        found = canary_analysis.evaluate(evidence_of(stored), limits_of(record), baked)
+        if found.verdict is Verdict.INCONCLUSIVE and stored.baked_s >= record.most_s:
             if record.on_thin == "go on":
                 return Evaluation(Verdict.NOT_WORSE, found.reason, found.e_values)
             return Evaluation(Verdict.WORSE, f"not enough evidence: {found.reason}", found.e_values)
         return found
 
     async def _close_window(
-        self, holding: DutyContext, kv: KeyValue, record: RolloutRecord, weighed: EvidenceRecord
+        self, context: DutyContext, kv: KeyValue, record: RolloutRecord, stored: EvidenceRecord
     ) -> None:
-        """Weighs the window that is over, once it is."""
-        now, view = time.monotonic(), holding.cache
+        """Add the window to the evidence once it has ended."""
+        now, view = time.monotonic(), context.cache
         if now < self.opened_at + WINDOW_S:
             return
         lasted, self.opened_at = now - self.opened_at, now
         window = self.windows.next(view.member_metrics())
-        evidence, baked = evidence_of(weighed), weighed.baked_s
-        shown: tuple[Operation, ...] = ()
+        evidence, baked = evidence_of(stored), stored.baked_s
+        points: tuple[Operation, ...] = ()
         if (
             record.phase == Phase.ADVANCING.value
             and record.stage == 0
             and view.keys.open_change not in view.entries
         ):
             evidence = canary_analysis.add_baseline_window(evidence, window)
-        elif record.phase == Phase.BAKING.value and not record.paused and weighed.stage == record.stage:
+        elif record.phase == Phase.BAKING.value and not record.paused and stored.stage == record.stage:
             named = record.stages[record.stage]
             evidence = canary_analysis.add_canary_window(evidence, window, named, limits_of(record))
             baked += lasted
             if evidence.windows <= MAX_DENSE_POINTS or evidence.windows % SPARSE_POINT_STRIDE == 0:
                 point = timeline_point(record, evidence, window, baked)
-                shown = (
+                points = (
                     Put(view.keys.timeline_point(record.id, record.stage, evidence.windows), encode(point)),
                 )
         else:
             return
-        told = Put(view.keys.rollout_evidence, encode(evidence_record(record, evidence, baked)))
-        await self._effect(holding, kv, told, *shown)
+        put_evidence = Put(view.keys.rollout_evidence, encode(evidence_record(record, evidence, baked)))
+        await self._effect(context, kv, put_evidence, *points)
 
     # steps
     async def _effect(
-        self, holding: DutyContext, kv: KeyValue, *done: Operation, compares: tuple[Compare, ...] = ()
+        self, context: DutyContext, kv: KeyValue, *done: Operation, compares: tuple[Compare, ...] = ()
     ) -> None:
-        """Only while the rollout's record is what was looked at."""
-        same = Compare(holding.cache.keys.rollout, Target.MOD, "=", kv.mod_revision)
-        await holding.effect(*done, compares=(same, *compares))
+        """Execute operations if the rollout record is unchanged."""
+        same = Compare(context.cache.keys.rollout, Target.MOD, "=", kv.mod_revision)
+        await context.effect(*done, compares=(same, *compares))
 
     async def _perform(
         self,
-        holding: DutyContext,
+        context: DutyContext,
         kv: KeyValue,
         record: RolloutRecord,
         after: RolloutRecord,
-        do: Step,
-        weighed: EvidenceRecord,
+        action: Step,
+        stored: EvidenceRecord,
     ) -> None:
-        view = holding.cache
+        view = context.cache
         put = Put(view.keys.rollout, encode(after, kv.value))
         program = record.kind == program_rollouts.KIND
-        if do is Step.HEARTBEAT or (do is Step.WAIT and program):  # who comes up waits for signs, too
-            await self._send_heartbeat(holding, kv, record)
-        elif do is Step.PROPOSE or (do is Step.FINISH and after.phase == record.phase):
-            if do is Step.PROPOSE and record.stage == 0 and not self._has_baseline(weighed):
+        if action is Step.HEARTBEAT or (
+            action is Step.WAIT and program
+        ):  # starting processes wait for heartbeats, too
+            await self._send_heartbeat(context, kv, record)
+        elif action is Step.PROPOSE or (action is Step.FINISH and after.phase == record.phase):
+            if action is Step.PROPOSE and record.stage == 0 and not self._has_baseline(stored):
                 return
-            await self._send_heartbeat(holding, kv, record)
+            await self._send_heartbeat(context, kv, record)
             if program:
                 done, compares = program_rollouts.stage_writes(view, record)
-                await self._effect(holding, kv, *done, compares=compares)
+                await self._effect(context, kv, *done, compares=compares)
             else:
-                await self._propose(holding, kv, record)
-        elif do in (Step.NEXT, Step.FINISH):
+                await self._propose(context, kv, record)
+        elif action in (Step.NEXT, Step.FINISH):
             log.warning("rollout %s: stage %d is not worse", record.id, record.stage + 1)
-            await self._effect(holding, kv, put)
-        elif do is Step.BAKE:
+            await self._effect(context, kv, put)
+        elif action is Step.BAKE:
             log.warning("rollout %s: stage %d bakes", record.id, record.stage + 1)
-            fresh = Evidence(baseline_levels=weighed.base, baseline_rates=weighed.usual, history=weighed.past)
-            told = Put(view.keys.rollout_evidence, encode(evidence_record(record, fresh, 0.0)))
-            await self._effect(holding, kv, put, told)
+            fresh = Evidence(baseline_levels=stored.base, baseline_rates=stored.usual, history=stored.past)
+            put_evidence = Put(view.keys.rollout_evidence, encode(evidence_record(record, fresh, 0.0)))
+            await self._effect(context, kv, put, put_evidence)
             self._open_window(view)
-        elif do is Step.ROLL_BACK:
+        elif action is Step.ROLL_BACK:
             done, compares = rollback_writes(view, after)
-            if not done and after == record:  # it is in force, and not all have gone over yet
+            if not done and after == record:  # already committed, but not all members serve it yet
                 return
             log.warning("rollout %s: back: %s", record.id, after.reason)
-            await self._effect(holding, kv, put, *done, compares=compares)
-        elif do is Step.END:
+            await self._effect(context, kv, put, *done, compares=compares)
+        elif action is Step.END:
             log.warning("rollout %s: %s", record.id, after.phase)
-            await self._effect(holding, kv, *end_writes(view, after))
+            await self._effect(context, kv, *end_writes(view, after))
 
-    def _has_baseline(self, weighed: EvidenceRecord) -> bool:
-        counts = [count for levels in weighed.base.values() for _, count in levels.values()]
+    def _has_baseline(self, stored: EvidenceRecord) -> bool:
+        counts = [count for levels in stored.base.values() for _, count in levels.values()]
         return max(counts, default=0) >= MIN_BASELINE_WINDOWS
 
-    async def _send_heartbeat(self, holding: DutyContext, kv: KeyValue, record: RolloutRecord) -> None:
+    async def _send_heartbeat(self, context: DutyContext, kv: KeyValue, record: RolloutRecord) -> None:
         now = time.monotonic()
         if now >= self.heartbeat_at + record.confirm_s / HEARTBEATS_PER_TIMEOUT:
             await self._effect(
-                holding,
+                context,
                 kv,
-                Put(holding.cache.keys.rollout_heartbeat, encode(HeartbeatRecord(rollout=record.id))),
+                Put(context.cache.keys.rollout_heartbeat, encode(HeartbeatRecord(rollout=record.id))),
             )
             self.heartbeat_at = now
 
-    async def _propose(self, holding: DutyContext, kv: KeyValue, record: RolloutRecord) -> None:
-        """The stage, or the new bundle for all, to the vote."""
-        view = holding.cache
-        held = view.entries.get(view.keys.committed_policy)
+    async def _propose(self, context: DutyContext, kv: KeyValue, record: RolloutRecord) -> None:
+        """Propose the stage, or the new bundle for all members, as a policy change."""
+        view = context.cache
+        entry = view.entries.get(view.keys.committed_policy)
         force = view.read(view.keys.committed_policy, PolicyRecord)
-        if held is None or force is None:
+        if entry is None or force is None:
             return
-        whole = record.phase == Phase.FINISHING.value
+        fleet_wide = record.phase == Phase.FINISHING.value
         members = tuple(sorted(f"{one.name}#{one.incarnation}" for _, one in view.members()))
         change = PolicyChangeRecord(
             id=change_id(record),
             epoch=force.epoch + 1,
-            digest=record.new if whole else record.old,
-            new="" if whole else record.new,
-            named=() if whole else record.stages[record.stage],
+            digest=record.new if fleet_wide else record.old,
+            new="" if fleet_wide else record.new,
+            named=() if fleet_wide else record.stages[record.stage],
             rollout=record.id,
             confirm_s=record.confirm_s,
             members=members,
@@ -232,19 +239,21 @@
             why=record.why,
             at=time.time(),
         )
-        lease = await holding.grant(record.deadline_s)
+        lease = await context.grant(record.deadline_s)
         absent = Compare(view.keys.open_change, Target.CREATE, "=", 0)
-        same = Compare(view.keys.committed_policy, Target.MOD, "=", held.mod_revision)
+        same = Compare(view.keys.committed_policy, Target.MOD, "=", entry.mod_revision)
         put = Put(view.keys.open_change, encode(change), lease)
-        await self._effect(holding, kv, put, compares=(absent, same))
+        await self._effect(context, kv, put, compares=(absent, same))
 
     def end(self) -> None:
+        """Discard the state of the steps; see `DutyWork.end`."""
         self.__init__()  # type: ignore[misc]
 
 
 def timeline_point(
     record: RolloutRecord, evidence: Evidence, window: Mapping[str, Sample], baked: float
 ) -> TimelinePointRecord:
+    """Return the timeline point of a window that has ended; `baked` is in seconds."""
     named = set(record.stages[record.stage])
     new = [sample for name, sample in window.items() if name in named]
     others = [sample for name, sample in window.items() if name not in named]
@@ -260,11 +269,15 @@
 
 
 def limits_of(record: RolloutRecord) -> Limits:
-    told = record.limits
-    return Limits(told.failed, told.refused, told.late, told.level, told.alpha, told.least_requests)
+    """Return the limits of a rollout."""
+    limits = record.limits
+    return Limits(
+        limits.failed, limits.refused, limits.late, limits.level, limits.alpha, limits.least_requests
+    )
 
 
 def evidence_of(record: EvidenceRecord) -> Evidence:
+    """Convert stored evidence."""
     return Evidence(
         record.wagers,
         record.peaks,
@@ -280,6 +293,7 @@
 
 
 def evidence_record(record: RolloutRecord, evidence: Evidence, baked: float) -> EvidenceRecord:
+    """Build the record of a stage's evidence; `baked` is in seconds."""
     base = {name: dict(levels) for name, levels in evidence.baseline_levels.items()}
     return EvidenceRecord(
         rollout=record.id,
