--- a/gladegw/control/errors.py
+++ b/gladegw/control/errors.py
@@ -28,3 +28,7 @@
 
 class PlanError(Exception):
     """A rollout plan is invalid; the message is one line with file, line and reason."""
+
+
+class ChangeRejectedError(ValueError):
+    """A policy change or program rollout cannot be started; nothing was changed. The message is one line."""
--- a/gladegw/control/policy_proposals.py
+++ b/gladegw/control/policy_proposals.py
@@ -1,4 +1,4 @@
-"""What an operator does with policies: propose, look, call off, remove who is gone for good."""
+"""Operators' actions on policies: propose, inspect, cancel, and remove lost members."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from gladegw.control import policy_bundle
 from gladegw.control.duties.policy_coordinator import current_decision, registered, vote_summary, votes
-from gladegw.control.errors import StoreClientError, StoreRejectedError
+from gladegw.control.errors import ChangeRejectedError, StoreClientError, StoreRejectedError
 from gladegw.control.fleet_status import read
 from gladegw.control.keys import Keys
 from gladegw.control.policy_participant import member_state
@@ -28,14 +28,14 @@
 from gladegw.coordination.store import Compare, Delete, Get, Put, Target, Txn
 
 T = TypeVar("T")
-POLL_INTERVAL_S = 0.02  # s between looks at what became of a change
-OUTCOME_GRACE_S = 5.0  # s beyond its deadline in which the store has ended it
-RETRY_INTERVAL_S = 0.2  # s
+POLL_INTERVAL_S = 0.02  # between reads of a change's outcome
+OUTCOME_GRACE_S = 5.0  # beyond the deadline, for the store to expire the lease
+RETRY_INTERVAL_S = 0.2
 
 
 @dataclass(slots=True)
 class ProposalResult:
-    """`votes`: member, vote, reason."""
+    """Outcome of a proposal; each of `votes` has the keys member, vote and reason."""
 
     outcome: str
     epoch: int
@@ -45,6 +45,7 @@
 
 
 def vote_rows(cast: Mapping[str, Mapping[str, str]], awaited: tuple[str, ...] = ()) -> list[dict[str, str]]:
+    """Return votes and awaited votes as rows, sorted by member."""
     found = [
         {"member": who.partition("#")[0], "vote": one["vote"], "reason": one["reason"]}
         for who, one in cast.items()
@@ -54,22 +55,27 @@
 
 
 def names(whom: tuple[str, ...]) -> str:
+    """Return the member names of processes (`name#incarnation`), separated by commas."""
     return ", ".join(sorted({who.partition("#")[0] for who in whom}))
 
 
 def committed_policy(view: StoreCache) -> PolicyRecord:
+    """Return the committed policy, or epoch 0 if there is none."""
     return view.read(view.keys.committed_policy, PolicyRecord) or PolicyRecord(epoch=0, digest="")
 
 
 class PolicyOperator:
-    """One store, asked until it answers or `patience` s have passed; then StoreFault is raised."""
+    """Operator's access to the policies of one installation.
+
+    Idempotent calls are retried for `timeout` seconds; then StoreClientError is raised.
+    """
 
     def __init__(self, client: StoreClient, prefix: str, timeout: float = 5.0) -> None:
         self.client, self.prefix, self.timeout = client, prefix, timeout
         self.keys = Keys(prefix)
 
     async def retry(self, call: Callable[[], Awaitable[T]]) -> T:
-        """What does no harm when it is done twice, until the store has answered."""
+        """Retry an idempotent call until the store has answered or the time has passed."""
         end = time.monotonic() + self.timeout
         while True:
             try:
@@ -82,10 +88,11 @@
                 await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def view(self) -> StoreCache:
+        """Read the fleet's records from the store."""
         return await self.retry(lambda: read(self.client, self.prefix))
 
     async def upload(self, files: Mapping[str, str]) -> str:
-        """The bundle into the store; its digest. What is there already is left: it can only be the same."""
+        """Store a bundle and return its digest; chunks that exist already are identical and not rewritten."""
         raw = policy_bundle.pack(files)
         digest = policy_bundle.digest_of(raw)
         at = self.keys
@@ -98,12 +105,18 @@
     async def propose(
         self, digest: str, deadline: int, everyone: bool, who: str, why: str, dry: bool
     ) -> PolicyChangeRecord:
-        """Raises ValueError where another change is open, StoreFault where the store does not say."""
+        """Open a policy change that expires after `deadline` seconds.
+
+        Raises ChangeRejectedError if a rollout or another change is open or the committed policy has changed,
+        and StoreClientError if the outcome is unknown.
+        """
         view = await self.view()
         force, at = committed_policy(view), view.keys
         rollout = view.read(at.rollout, RolloutRecord)
         if rollout is not None:
-            raise ValueError(f"rollout {rollout.id} is under way: wait for its end, or `rollout back`")
+            raise ChangeRejectedError(
+                f"rollout {rollout.id} is under way: wait for its end, or `rollout back`"
+            )
         change = PolicyChangeRecord(
             id=secrets.token_hex(8),
             epoch=force.epoch + 1,
@@ -125,34 +138,38 @@
         try:
             done = await self.client.txn(Txn(compares, (Put(at.open_change, encode(change), lease),)))
             taken = done.succeeded
-        except StoreClientError:  # whether it was done is asked
+        except StoreClientError:  # the outcome is unknown: read it
             found = (await self.view()).read(at.open_change, PolicyChangeRecord)
             taken = found is not None and found.id == change.id
         if not taken:
             await self.retry(lambda: self.client.revoke(lease))
             open_one = (await self.view()).read(at.open_change, PolicyChangeRecord)
             if open_one is None:
-                raise ValueError("what is in force, or the bundle in the store, has changed meanwhile")
-            raise ValueError(f"change {open_one.id} of {open_one.who or 'somebody'} is open")
+                raise ChangeRejectedError(
+                    "what is in force, or the bundle in the store, has changed meanwhile"
+                )
+            raise ChangeRejectedError(f"change {open_one.id} of {open_one.who or 'somebody'} is open")
         return change
 
     async def outcome(self, change: PolicyChangeRecord, deadline: int) -> ProposalResult:
-        """Waits until it is decided, refused, called off or ended by its lease. Two keys are looked at again
-        and again, not the fleet: that is what has to hear of the change meanwhile."""
+        """Wait until the change is decided, cancelled or expired.
+
+        Only two keys are polled, to leave the store to the members, which process the change meanwhile.
+        """
         at, end = self.keys, time.monotonic() + deadline + OUTCOME_GRACE_S
-        opened = 0  # its revision, once it was seen
+        opened = 0  # revision of the change once it was seen
         while True:
             done = await self.retry(
                 lambda: self.client.do(Get(at.change_outcome(change.id)), Get(at.open_change))
             )
-            ended, stands = done.found
+            ended, opened_entries = done.found
             if ended:
-                told_of = decode(ended[0].value, ChangeOutcomeRecord)
-                cast = vote_rows(told_of.votes)
-                return ProposalResult(told_of.outcome, change.epoch, change.digest, told_of.reason, cast)
-            open_one = decode(stands[0].value, PolicyChangeRecord) if stands else None
+                record = decode(ended[0].value, ChangeOutcomeRecord)
+                cast = vote_rows(record.votes)
+                return ProposalResult(record.outcome, change.epoch, change.digest, record.reason, cast)
+            open_one = decode(opened_entries[0].value, PolicyChangeRecord) if opened_entries else None
             if open_one is not None and open_one.id == change.id:
-                opened = stands[0].create_revision
+                opened = opened_entries[0].create_revision
             else:
                 return await self._undecided(change, opened, "its deadline passed")
             if time.monotonic() > end:
@@ -160,7 +177,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _undecided(self, change: PolicyChangeRecord, opened: int, reason: str) -> ProposalResult:
-        """Nowhere, and nobody has written why: what is known of its votes."""
+        """Build the result of a change that ended without an outcome record."""
         view = await self.view()
         found, given = current_decision(view, change, opened)
         if found.awaited:
@@ -169,7 +186,7 @@
         return ProposalResult("nowhere", change.epoch, change.digest, reason, cast)
 
     async def cancel(self, who: str) -> PolicyChangeRecord | None:
-        """None: there is none, or it was decided meanwhile."""
+        """Cancel the open change and return it; None if there is none or it was decided meanwhile."""
         view = await self.view()
         kv, change = (
             view.entries.get(view.keys.open_change),
@@ -197,7 +214,7 @@
         return change if done.succeeded else None
 
     async def forget_member(self, name: str) -> str:
-        """Why not; empty: the name is forgotten, and nothing waits for it any more."""
+        """Remove a lost member's name; return the reason if it cannot be removed, else an empty string."""
         view = await self.view()
         if any(member.name == name for _, member in view.members()):
             return f"{name} is there"
@@ -208,13 +225,14 @@
         return ""
 
     async def files(self, digest: str) -> dict[str, str]:
-        """Raises BundleError."""
+        """Return the files of a stored bundle; raises BundleError if it is missing or invalid."""
         at = self.keys
         _, found = await self.retry(lambda: self.client.get(Get(*at.bundle(digest))))
         return policy_bundle.assemble(digest, (kv.value for kv in found))
 
 
 def status(view: StoreCache) -> dict[str, Any]:
+    """Return the policy, the open change and the members' states, as `policy status` shows them."""
     force = committed_policy(view)
     kv, change = view.entries.get(view.keys.open_change), view.read(view.keys.open_change, PolicyChangeRecord)
     open_one = None
@@ -250,6 +268,7 @@
 
 
 def history(view: StoreCache) -> list[dict[str, Any]]:
+    """Return the stored committed epochs, in order."""
     return [
         {"epoch": one.epoch, "digest": one.digest, "who": one.who, "why": one.why, "at": one.at}
         for _, one in view.records("policy", "history", form=PolicyRecord)
--- a/gladegw/control/rollout_plan.py
+++ b/gladegw/control/rollout_plan.py
@@ -1,4 +1,4 @@
-"""A rollout's plan, as a file with one block `rollout`; checked before anything starts."""
+"""Rollout plans: HCL files with one block `rollout`, validated before the rollout starts."""
 
 from __future__ import annotations
 
@@ -16,12 +16,15 @@
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
-    """`bundle`: a folder or file of routes, from the plan's own folder; or `program`: a version that each
-    supervisor's file names, which may take `move_s` to come up at a stage's names. `stages`: counts, shares,
-    zones, each with all before it; the last is 100%. Times in s. `failed`, `refused`,
-    `late` (answered, but not within the class's aim): rates of a class by which the new ones may be worse;
-    `level`: the share by which times, attempts, CPU and memory may be. `quiet`: times in which nothing moves
-    but back (`coordination.quiet`)."""
+    """Settings of a rollout; the field names are the keys of the HCL block.
+
+    `bundle` is a folder or file of routes relative to the plan's folder. Alternatively, `program` is a
+    version that each supervisor's file names, and `move_s` the time for it to start at a stage's members.
+    `stages` are counts, percentages or zones, each including all before it; the last is 100%. Times are in
+    seconds. `failed`, `refused` and `late` (answered, but above the class's latency target) are the rates per
+    class by which the new version may be worse; `level` is the relative margin for times, attempts, CPU and
+    memory. `quiet` lists blackout windows, in which a rollout can only roll back.
+    """
 
     bundle: str = ""
     program: str = ""
@@ -42,6 +45,7 @@
 
     @property
     def limits(self) -> RolloutLimitsRecord:
+        """Limits of the rollout as its record holds them."""
         return RolloutLimitsRecord(
             failed=self.failed,
             refused=self.refused,
@@ -67,12 +71,14 @@
 
 
 def _checked(path: str, text: str, block: Block) -> Plan:
-    def wrong(key: str, why: str) -> PlanError:
+    """Validate the block of a plan; raises PlanError."""
+
+    def plan_error(key: str, why: str) -> PlanError:
         return PlanError(f"{path}:{block.line_of(text, key)}: {why}")
 
     for key in block.values:
         if key not in Plan.__struct_fields__:
-            raise wrong(key, f"unknown setting {key}")
+            raise plan_error(key, f"unknown setting {key}")
     if ("bundle" in block.values) == ("program" in block.values):
         what = "bundle must name a folder or a file of routes, or program a version"
         raise PlanError(f"{path}:{block.line}: {what}, one of them")
@@ -80,30 +86,30 @@
         try:
             msgspec.convert({key: value}, Plan)
         except msgspec.ValidationError as fault:
-            raise wrong(key, f"{key}: {fault}") from None
+            raise plan_error(key, f"{key}: {fault}") from None
     plan = msgspec.convert(block.values, Plan)
-    for key, (least, most) in RANGES.items():
-        if not least <= getattr(plan, key) <= most:
-            raise wrong(key, f"{key} must be {least:g} to {most:g}, not {getattr(plan, key):g}")
+    for key, (low, high) in RANGES.items():
+        if not low <= getattr(plan, key) <= high:
+            raise plan_error(key, f"{key} must be {low:g} to {high:g}, not {getattr(plan, key):g}")
     for key, allowed in (("on_worse", WORSE), ("on_thin", THIN)):
         if getattr(plan, key) not in allowed:
-            raise wrong(key, f"{key} must be {' or '.join(allowed)}, not {getattr(plan, key)}")
+            raise plan_error(key, f"{key} must be {' or '.join(allowed)}, not {getattr(plan, key)}")
     for span in plan.quiet:
         try:
             blackout_windows.parse_window(span)
         except ValueError as fault:
-            raise wrong("quiet", f"quiet: {fault}") from None
+            raise plan_error("quiet", f"quiet: {fault}") from None
     if plan.most_s < plan.bake_s:
-        raise wrong("most_s", "most_s must not be less than bake_s")
+        raise plan_error("most_s", "most_s must not be less than bake_s")
     try:
         plan_stages({"any": ""}, [size for size in plan.stages if size.strip() == "100%"])
     except ValueError as fault:
-        raise wrong("stages", f"stages: {fault}") from None
+        raise plan_error("stages", f"stages: {fault}") from None
     return plan
 
 
 def read(path: str) -> Plan:
-    """Raises PlanError: one line with file, line and reason."""
+    """Read and validate a plan; raises PlanError with file, line and reason."""
     try:
         raw = Path(path).read_bytes()
         if len(raw) > LARGEST:
--- a/gladegw/control/rollouts.py
+++ b/gladegw/control/rollouts.py
@@ -1,4 +1,4 @@
-"""Rollouts as the store has them: to the tables and back, and what an operator does with them."""
+"""Rollout records: conversion, writes, and operators' actions on rollouts."""
 
 from __future__ import annotations
 
@@ -29,11 +29,12 @@
 from gladegw.coordination.rollout import Observation, Phase
 from gladegw.coordination.store import Compare, Delete, Get, Operation, Put, Target, Txn
 
-POLL_INTERVAL_S = 0.1  # s
-MAX_UPDATE_ATTEMPTS = 20  # at a write that another's overtakes
+POLL_INTERVAL_S = 0.1
+MAX_UPDATE_ATTEMPTS = 20  # of a write after concurrent changes
 
 
 def to_rollout(record: RolloutRecord) -> table.Rollout:
+    """Convert a record to the state of the state machine."""
     return table.Rollout(
         record.id,
         record.old,
@@ -48,17 +49,18 @@
 
 
 def record_changes(after: table.Rollout) -> dict[str, Any]:
-    """What a step has changed."""
+    """Return the fields of the record that a step may change."""
     return {"stage": after.stage, "phase": after.phase.value, "paused": after.paused, "reason": after.reason}
 
 
 def observe(view: StoreCache, record: RolloutRecord) -> Observation:
+    """Return the observation of a policy rollout for its state machine."""
     force = view.read(view.keys.committed_policy, PolicyRecord) or PolicyRecord(epoch=0, digest="")
     change = view.read(view.keys.open_change, PolicyChangeRecord)
     over = view.read(view.keys.change_outcome(change_id(record)), ChangeOutcomeRecord)
     refused = over.reason or "refused" if over is not None and over.outcome != "everywhere" else ""
     staged = (force.rollout, force.named) if force.new else None
-    gone_back = [
+    reverted = [
         member.name
         for _, member in view.members()
         if staged is not None
@@ -66,16 +68,16 @@
         and member.digest not in ("", own_digests(force, member.name)[0])
     ]
     opened = change.rollout if change is not None else None
-    return Observation(force.digest, staged, opened, refused, tuple(sorted(set(gone_back))))
+    return Observation(force.digest, staged, opened, refused, tuple(sorted(set(reverted))))
 
 
 def change_id(record: RolloutRecord) -> str:
-    """Of the stage's change of policy, or of the last one: it tells what became of it."""
+    """Return the id of the policy change of the current stage, or of the final one."""
     return f"{record.id}.{'all' if record.phase == Phase.FINISHING.value else record.stage}"
 
 
 def cancel_writes(view: StoreCache, record: RolloutRecord) -> tuple[list[Operation], tuple[Compare, ...]]:
-    """The end of the stage that is open; that none is, or another's, holds when it is written."""
+    """Return writes that cancel the rollout's open change, and comparisons that it is still the open one."""
     key = view.keys.open_change
     change, kv = view.read(key, PolicyChangeRecord), view.entries.get(key)
     if kv is None:
@@ -85,12 +87,14 @@
 
 
 def rollback_writes(view: StoreCache, record: RolloutRecord) -> tuple[list[Operation], tuple[Compare, ...]]:
-    """The writes that make the old bundle the policy of all, and end the stage that is open. They need
-    nobody's vote: whoever is in a stage holds the old table, and whoever starts reads before it serves."""
+    """Return writes and comparisons that commit the old version for all members and cancel the open change.
+
+    No vote is needed: members of a stage hold the old table, and starting members read before they serve.
+    """
     at = view.keys
     if record.kind == program_rollouts.KIND:
         return program_rollouts.rollback_writes(view, record)
-    force, held = view.read(at.committed_policy, PolicyRecord), view.entries.get(at.committed_policy)
+    force, entry = view.read(at.committed_policy, PolicyRecord), view.entries.get(at.committed_policy)
     done, compares = cancel_writes(view, record)
     if force is not None and force.new and force.rollout == record.id:
         back = PolicyRecord(
@@ -101,11 +105,12 @@
             why=f"rollout {record.id} is taken back: {record.reason}",
         )
         done += [Put(at.committed_policy, encode(back)), Put(at.history(back.epoch), encode(back))]
-    same = Compare(at.committed_policy, Target.MOD, "=", held.mod_revision if held is not None else 0)
+    same = Compare(at.committed_policy, Target.MOD, "=", entry.mod_revision if entry is not None else 0)
     return done, (*compares, same)
 
 
 def end_writes(view: StoreCache, record: RolloutRecord) -> list[Operation]:
+    """Return the writes that end a rollout and store its final record."""
     over = msgspec.structs.replace(record, ended_at=time.time())
     return [
         Delete(view.keys.rollout),
@@ -115,10 +120,12 @@
 
 
 class RolloutRejectedError(ValueError):
-    """It could not be done, and nothing was changed; the message is one line."""
+    """An action on a rollout was rejected and nothing was changed; the message is one line."""
 
 
 class RolloutOperator:
+    """Operator's access to the rollouts of one installation."""
+
     def __init__(self, operator: PolicyOperator) -> None:
         self.operator = operator
 
@@ -132,14 +139,18 @@
         who: str,
         why: str,
     ) -> RolloutRecord:
-        """Raises Refused, StoreFault."""
+        """Start a rollout of a bundle or a program version.
+
+        `confirm` is the heartbeat timeout and `deadline` the limit of each stage's vote, in seconds. Raises
+        RolloutRejectedError, or StoreClientError if the outcome is unknown.
+        """
         if plan.program:
             return await self._start_program(plan, confirm, who, why)
         new = await self.operator.upload(files)
         view = await self.operator.view()
-        at, held = view.keys, view.entries.get(view.keys.committed_policy)
+        at, entry = view.keys, view.entries.get(view.keys.committed_policy)
         force = view.read(at.committed_policy, PolicyRecord)
-        if force is None or held is None or not force.digest:
+        if force is None or entry is None or not force.digest:
             raise RolloutRejectedError("no policy is in force that it could go back to: propose one first")
         if force.new:
             raise RolloutRejectedError(
@@ -177,7 +188,7 @@
                     Compare(at.rollout, Target.CREATE, "=", 0),
                     Compare(at.open_change, Target.CREATE, "=", 0),
                     Compare(at.bundle_chunk(new, 0), Target.CREATE, ">", 0),
-                    Compare(at.committed_policy, Target.MOD, "=", held.mod_revision),
+                    Compare(at.committed_policy, Target.MOD, "=", entry.mod_revision),
                 ),
                 (Put(at.rollout, encode(record)),),
             )
@@ -200,7 +211,7 @@
         return record
 
     async def outcome(self, id: str) -> RolloutRecord:
-        """Waits until it is over."""
+        """Wait until the rollout has ended and return its final record."""
         while True:
             view = await self.operator.view()
             over = view.read(view.keys.finished_rollout(id), RolloutRecord)
@@ -209,10 +220,11 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def pause(self, paused: bool) -> RolloutRecord:
+        """Pause or resume the rollout."""
         return await self._update(lambda record: msgspec.structs.replace(record, paused=paused))
 
     async def stop(self, why: str, back: bool) -> RolloutRecord:
-        """At once, whether anybody conducts it or not: the way back is in the same transaction."""
+        """Stop the rollout, or roll it back, in one transaction that does not depend on a controller."""
 
         def changed(record: RolloutRecord) -> RolloutRecord:
             if not back:
@@ -235,19 +247,19 @@
             done: list[Operation] = [Put(at.rollout, encode(after, kv.value))]
             compares: tuple[Compare, ...] = (Compare(at.rollout, Target.MOD, "=", kv.mod_revision),)
             if back:
-                more, also = rollback_writes(view, after)
-                done, compares = [*done, *more], (*compares, *also)
+                more, more_compares = rollback_writes(view, after)
+                done, compares = [*done, *more], (*compares, *more_compares)
             elif after.phase == Phase.STOPPED.value:
-                more, also = cancel_writes(view, after) if not record.kind else ([], ())
-                done, compares = [*end_writes(view, after), *more], (*compares, *also)
-            told = await self.operator.client.txn(Txn(compares, tuple(done)))
-            if told.succeeded:
+                more, more_compares = cancel_writes(view, after) if not record.kind else ([], ())
+                done, compares = [*end_writes(view, after), *more], (*compares, *more_compares)
+            result = await self.operator.client.txn(Txn(compares, tuple(done)))
+            if result.succeeded:
                 return after
         raise RolloutRejectedError("it changes faster than it can be asked to")
 
     async def _roll_back_leftover_stage(self, view: StoreCache, back: bool) -> RolloutRecord:
-        """A stage that a stop has left in force."""
-        at, held = view.keys, view.entries.get(view.keys.committed_policy)
+        """Roll back a stage that a stopped rollout has left committed."""
+        at, entry = view.keys, view.entries.get(view.keys.committed_policy)
         program, force = (
             program_rollouts.committed_program(view),
             view.read(view.keys.committed_policy, PolicyRecord),
@@ -264,7 +276,7 @@
             if force is not None and force.rollout
             else None
         )
-        if not back or over is None or force is None or not force.new or held is None:
+        if not back or over is None or force is None or not force.new or entry is None:
             raise RolloutRejectedError("no rollout is under way")
         return await self._roll_back_finished(view, over)
 
@@ -274,28 +286,29 @@
             over, phase=Phase.ROLLED_BACK.value, reason="taken back by an operator"
         )
         done, compares = rollback_writes(view, after)
-        told = await self.operator.client.txn(
+        result = await self.operator.client.txn(
             Txn(compares, (*done, Put(at.finished_rollout(after.id), encode(after))))
         )
-        if not told.succeeded:
+        if not result.succeeded:
             raise RolloutRejectedError("what is in force has changed meanwhile")
         return after
 
 
 def latest(view: StoreCache) -> RolloutRecord | None:
-    """The one that is under way, or the one that ended last."""
+    """Return the current rollout, or the one that ended last."""
     now = view.read(view.keys.rollout, RolloutRecord)
     over = sorted(history(view), key=lambda one: one.ended_at)
     return now or (over[-1] if over else None)
 
 
 def history(view: StoreCache) -> list[RolloutRecord]:
+    """Return the ended rollouts by start time."""
     found = [one for _, one in view.records("rollout", "ended", form=RolloutRecord)]
     return sorted(found, key=lambda one: one.at)
 
 
 async def timeline(operator: PolicyOperator, id: str) -> list[TimelinePointRecord]:
-    """The course of a rollout, as far as it is kept; raises StoreFault."""
+    """Return the stored timeline of a rollout; raises StoreClientError."""
     _, found = await operator.client.get(Get(*operator.keys.timeline(id)))
     return [decode(kv.value, TimelinePointRecord) for kv in sorted(found, key=lambda kv: kv.key)]
 
@@ -312,7 +325,10 @@
 
 
 def status(view: StoreCache, record: RolloutRecord | None) -> dict[str, Any]:
-    """`members`: name and the bundle that it serves by; `log_e`: the evidence by figure, 0 is none."""
+    """Return the status of a rollout as `rollout status` shows it.
+
+    `members` are names with the version that each serves; `log_e` is the evidence by metric, 0 for none.
+    """
     if record is not None and record.kind == program_rollouts.KIND:
         members = [
             {"name": one.name, "version": one.version} for one in program_rollouts.newest(view).values()
@@ -324,14 +340,14 @@
         return {"state": "none", "stage": 0, "stages": 0, "verdict": "", "members": members}
     phase = Phase(record.phase)
     state = "paused" if record.paused and STATES[phase] == "running" else STATES[phase]
-    weighed = view.read(view.keys.rollout_evidence, EvidenceRecord)
-    figures, baked = {}, 0.0
-    if weighed is not None and weighed.rollout == record.id and weighed.stage == record.stage:
-        figures, baked = dict(weighed.peaks), weighed.baked_s
-    whole = phase in (Phase.FINISHING, Phase.DONE)
+    stored = view.read(view.keys.rollout_evidence, EvidenceRecord)
+    peaks, baked = {}, 0.0
+    if stored is not None and stored.rollout == record.id and stored.stage == record.stage:
+        peaks, baked = dict(stored.peaks), stored.baked_s
+    fleet_wide = phase in (Phase.FINISHING, Phase.DONE)
     return {
         "state": state,
-        "stage": len(record.stages) + 1 if whole else record.stage + 1,
+        "stage": len(record.stages) + 1 if fleet_wide else record.stage + 1,
         "stages": len(record.stages) + 1,
         "verdict": record.reason,
         "members": members,
@@ -341,5 +357,5 @@
         "new": record.new,
         "baked_s": round(baked, 1),
         "named": list(record.stages[record.stage]) if record.stages else [],
-        "log_e": {name: round(value, 2) for name, value in sorted(figures.items())},
+        "log_e": {name: round(value, 2) for name, value in sorted(peaks.items())},
     }
