--- a/gladegw/balancing/admission.py
+++ b/gladegw/balancing/admission.py
@@ -1,7 +1,6 @@
-"""How many calls may be out, which arrivals are dropped, and what is learned of each class. Pure; part of the
-decisions.
+"""Admission control: concurrency window, admission threshold and per-class latency statistics.
 
-Seconds throughout.
+All times are in seconds. Pure: no I/O, no clock.
 """
 
 from __future__ import annotations
@@ -14,25 +13,25 @@
 from gladegw.balancing.events import RequestClass
 from gladegw.balancing.parameters import INITIAL_WINDOW, RATE_MEMORY_S
 
-MIN_SAMPLES = 10  # calls, below which procQ and H say nothing and nothing is refused
-HISTORY_SIZE = 300  # worths kept in H: the cut's error is then about 3 points of 100
-BUDGET_HISTORY_SIZE = 64  # time budgets of a class that are kept to know the usual one
-TARGET = 0.35  # share of the aim that all but LATE_SHARE of the answers should take
-TARGET_LATE_FRACTION = 0.2  # share of answers past the target at which W stands still
-BASE_RATIO = 1.75  # unhurried mean latencies that the target is at least: a long tail passes less
-BASE_SAMPLES = 20  # answers before the unhurried latency is taken from them
-BASE_MEMORY_S = 60.0  # s in which the unhurried latency follows a lasting rise
-MAX_TARGET_FRACTION = 0.9  # share of the aim that the target stays within, and where it starts
-MIN_WINDOW = 2.0  # calls; W does not recover well from less
+MIN_SAMPLES = 10  # calls; with fewer nothing is rejected
+HISTORY_SIZE = 300  # priority weights: the threshold's error is then about 3 points of 100
+BUDGET_HISTORY_SIZE = 64  # time budgets retained for each class
+TARGET = 0.35  # fraction of the latency objective that most answers should stay within
+TARGET_LATE_FRACTION = 0.2  # fraction of late answers at which the window is stable
+BASE_RATIO = 1.75  # minimum target in unloaded mean latencies: latencies have a long tail
+BASE_SAMPLES = 20  # answers needed to measure the unloaded latency
+BASE_MEMORY_S = 60.0  # time in which the unloaded latency follows a lasting rise
+MAX_TARGET_FRACTION = 0.9  # of the latency objective: limit and start of the target
+MIN_WINDOW = 2.0  # calls; the window does not recover well from less
 MIN_WINDOW_PER_SERVER = (
-    2.0  # calls for each server that the first tier's instances share, if these are the more
+    2.0  # calls per server over all first-tier instances, where these outnumber the servers
 )
-MAX_STEP_FRACTION = 0.3  # share of W that one call moves it by at most
-SUNK_WORK_FACTOR = 0.5  # added to ST's weight per tier above: work done there is lost by a refusal here
+MAX_STEP_FRACTION = 0.3  # of the window, moved by one answer
+SUNK_WORK_FACTOR = 0.5  # per tier above: a rejection here wastes the work done there
 
 
 class ClassState:
-    """A class of requests with what was learned of it."""
+    """A request class with the statistics learned for it."""
 
     def __init__(self, cls: RequestClass, stage: int) -> None:
         self.priority_weight, self.latency_objective, self.deadline, self.effect = (
@@ -45,32 +44,35 @@
         self.counts_late = cls.late_weight_fraction > 0
         # The target of an inner call: a caller makes about two calls, one after another, at each tier.
         self.min_target = TARGET * cls.latency_objective / 2**stage
-        # Until the unhurried latency is known the target is the loosest: where an instance sees a call a
-        # second, a guess of the unhurried latency that is too low closes W on a quiet day and keeps it shut.
+        # The loosest target until the unloaded latency is known: too low a guess would close the window
+        # without load and keep it closed.
         self.target = MAX_TARGET_FRACTION * cls.latency_objective
-        self.unloaded_latency = math.inf  # s, the mean latency when little is in the way
+        self.unloaded_latency = math.inf  # mean latency without load
         self.mean = Mean(self.min_target / 2)
         self.budgets: deque[float] = deque(maxlen=BUDGET_HISTORY_SIZE)
         self.median_budget, self.fresh_budgets = 0.0, 0
-        self.recent_arrivals = 0.0  # arrivals, fading
+        self.recent_arrivals = 0.0  # exponentially decayed count
 
     def learn_base(self, span: float) -> None:
-        """A target below what an unhurried call takes would close W on a quiet day."""
+        """Update the unloaded latency and the latency target; `span` is the time since the last update.
+
+        The target stays above the unloaded latency: a lower one would close the window without load.
+        """
         mean = self.mean
         if mean.count >= BASE_SAMPLES:
-            creep = (
+            increase = (
                 0.0
                 if math.isinf(self.unloaded_latency)
                 else (mean.value - self.unloaded_latency) * span / BASE_MEMORY_S
             )
-            self.unloaded_latency = min(mean.value, self.unloaded_latency + creep)
+            self.unloaded_latency = min(mean.value, self.unloaded_latency + increase)
             self.target = max(
                 self.min_target,
                 min(BASE_RATIO * self.unloaded_latency, MAX_TARGET_FRACTION * self.latency_objective),
             )
 
     def typical_budget(self, budget: float) -> float:
-        """The median of the recent budgets, renewed now and then."""
+        """Add a budget and return the median of the recent ones, which is recomputed periodically."""
         self.budgets.append(budget)
         self.fresh_budgets += 1
         if self.fresh_budgets >= BUDGET_HISTORY_SIZE // 4 or len(self.budgets) < BUDGET_HISTORY_SIZE // 4:
@@ -80,7 +82,7 @@
 
 
 class Mean:
-    """A running mean of the last few samples, from a prior."""
+    """Running mean over the last few samples, starting from a prior."""
 
     __slots__ = ("count", "value")
 
@@ -89,88 +91,106 @@
         self.count = 0.0
 
     def add(self, sample: float, memory: float) -> None:
+        """Add a sample; at most `memory` samples carry weight."""
         self.count = min(self.count + 1, memory)
         self.value += (sample - self.value) / self.count
 
 
 class Admission:
-    """procQ, the arrival rate, the history H of worths, the window W and the cut that follows from them."""
+    """Concurrency window and admission threshold of one instance.
+
+    The threshold follows from the processing time, the arrival rate, the recent priority weights and the
+    window.
+    """
 
     def __init__(self, stage: int, random: Random) -> None:
         self.stage = stage
         self.random = random
         self.latency = Mean(0.0)  # of the calls that were answered
-        self.mix_latency = 0.0  # s, mean latency of the calls that come, refused ones among them
-        self.in_flight_age = 0.0  # mean age of the calls out, in mean latencies of their class
+        self.mix_latency = 0.0  # mean over all arriving calls, rejected ones included
+        self.in_flight_age = 0.0  # mean, in mean latencies of the class
         self.rate = 0.0
         self.rate_span = 0.0
         self.history: deque[float] = deque(maxlen=HISTORY_SIZE)
         self.window = INITIAL_WINDOW
-        self.available_fraction = 1.0  # share of the capacity that W was learned on which stands now
+        self.available_fraction = 1.0  # of the capacity that the window was learned on
         self.overload_limit = (
             math.inf
-        )  # calls of this instance that crowd what stands now, if all hold as many
+        )  # calls of this instance that overload the available servers if all instances hold as many
         self.min_window = MIN_WINDOW
-        self.in_startup = True  # W doubles each round until the first bad sign
+        self.in_startup = True  # the window grows faster until the first late answer
         self.threshold, self.tie_reject_fraction = -math.inf, 0.0
-        self.last_draw: float | None = None  # by which the last tie was told apart
+        self.last_draw: float | None = None  # the draw that decided the last tie
 
     @property
     def processing_time(self) -> float:
-        # A hung server finishes nothing, so the ages of what is out count too. In units of their class: long
-        # calls are out the longest, so that their ages in seconds say more of the mix than of the servers.
+        """Estimated processing time of a call, in seconds."""
+        # A hung server finishes nothing, so the ages of calls in flight count too, relative to their class:
+        # ages in seconds would reflect the mix of classes more than the servers.
         return self.mix_latency * max(1.0, 0.5 * self.in_flight_age)
 
     def observe_rate(self, arrivals: int, span: float) -> None:
+        """Update the arrival rate with the arrivals of the last `span` seconds."""
         self.rate_span = min(self.rate_span + span, RATE_MEMORY_S)
         self.rate += (arrivals / span - self.rate) * min(1.0, span / self.rate_span)
 
     def observe_mix(self, classes: Collection[ClassState], span: float) -> None:
-        """What is refused must weigh too: a cut leaves the worthiest, which are the heaviest here, and with
-        the latency of these alone the servers seem to do ever fewer calls, so ever more are refused."""
-        total = sum(kind.recent_arrivals for kind in classes)
+        """Update the mean latency of the arriving mix of classes, rejected calls included.
+
+        The threshold admits the calls of highest priority weight, which are the longest here. With their
+        latency alone the servers would seem to complete fewer calls, and ever more would be rejected.
+        """
+        total = sum(cls.recent_arrivals for cls in classes)
         if total > 0:
-            self.mix_latency = sum(kind.recent_arrivals * kind.mean.value for kind in classes) / total
-        for kind in classes:
-            kind.recent_arrivals *= max(0.0, 1 - span / RATE_MEMORY_S)
+            self.mix_latency = sum(cls.recent_arrivals * cls.mean.value for cls in classes) / total
+        for cls in classes:
+            cls.recent_arrivals *= max(0.0, 1 - span / RATE_MEMORY_S)
 
     def observe_latency(self, latency: float) -> None:
+        """Add the latency of an answered call."""
         self.latency.add(latency, max(MIN_SAMPLES, self.rate * RATE_MEMORY_S))
 
     def set_min_window(self, servers: int, balancers: int) -> None:
-        """With more instances than servers, two calls of each would crowd every server. Inner tiers keep
-        the floor: a refusal there loses the work above."""
+        """Set the floor of the window for the number of servers and instances.
+
+        With more instances than servers, two calls of each instance would overload every server. Inner tiers
+        keep the default floor: a rejection there wastes the work done above.
+        """
         if self.stage == 0:
             self.min_window = min(MIN_WINDOW, max(1.0, MIN_WINDOW_PER_SERVER * servers / balancers))
 
     @property
     def limit(self) -> float:
-        """W as far as the servers that it was learned on still stand."""
+        """The window, scaled to the share of the capacity that is still available."""
         return min(
             self.window, max(self.window * self.available_fraction, self.overload_limit, self.min_window)
         )
 
     def step(self) -> float:
+        """Return the amount by which one answer moves the window."""
         return min(MAX_STEP_FRACTION * self.window, 1 / math.sqrt(self.window))
 
     def on_good_answer(self, busy: float) -> None:
-        """An answer within its target. W grows only while it is what limits."""
+        """Process an answer within its target: the window grows only while it is the limit."""
         if busy + 1 >= 0.8 * self.limit:
             self.window += (
                 0.5 if self.in_startup else TARGET_LATE_FRACTION / (1 - TARGET_LATE_FRACTION) * self.step()
             )
 
     def on_late_answer(self) -> None:
+        """Process an answer beyond its target: the window shrinks, and startup ends."""
         self.in_startup = False
         self.window = max(self.min_window, self.window - self.step())
 
     def target_drop_rate(self) -> float:
+        """Return the fraction of arrivals to reject, 0 while there are too few samples."""
         if self.latency.count < MIN_SAMPLES or len(self.history) < MIN_SAMPLES or self.rate <= 0:
             return 0.0
         supported = self.limit / max(self.processing_time, 1e-6) * (1 + SUNK_WORK_FACTOR * self.stage)
         return max(0.0, 1 - supported / self.rate)
 
     def update_threshold(self) -> None:
+        """Set the admission threshold from the target drop rate and the recent priority weights."""
         target = self.target_drop_rate()
         if target <= 0:
             self.threshold, self.tie_reject_fraction = -math.inf, 0.0
@@ -178,20 +198,22 @@
         count = len(self.history)
         below = 0.0
         counts: dict[float, int] = {}
-        for worth in self.history:
-            counts[worth] = counts.get(worth, 0) + 1
-        for worth in sorted(counts):
-            share = counts[worth] / count
-            if below + share >= target - 1e-12:
-                # Worth has few levels: ties at the cut are refused by chance, up to the target.
-                self.threshold, self.tie_reject_fraction = worth, (target - below) / share
+        for weight in self.history:
+            counts[weight] = counts.get(weight, 0) + 1
+        for weight in sorted(counts):
+            fraction = counts[weight] / count
+            if below + fraction >= target - 1e-12:
+                # Weights have few levels: ties at the threshold are rejected at random up to the target.
+                self.threshold, self.tie_reject_fraction = weight, (target - below) / fraction
                 return
-            below += share
+            below += fraction
 
     def draw(self) -> float:
+        """Return a random number in [0, 1) that decides a tie at the threshold."""
         return self.random.random()
 
     def admits(self, priority_weight: float) -> bool:
+        """Return whether a call of this priority weight is admitted."""
         self.last_draw = None
         if priority_weight == self.threshold:
             self.last_draw = self.draw()
--- a/gladegw/balancing/subsetting.py
+++ b/gladegw/balancing/subsetting.py
@@ -1,8 +1,8 @@
-"""Which servers an instance uses, out of thousands: a bounded pool, so that probes and connections do not
-grow as instances times servers. Pure; part of the decisions.
+"""Subsetting: which servers an instance uses, out of thousands.
 
-Each zone's servers form a ring, in the order of their numbers, which is the same at every instance;
-instances start at places spread evenly by their number.
+The pool is bounded, so that probes and connections do not grow as instances times servers. Each zone's
+servers form a ring in the order of their ids, which is the same at every instance; instances start at
+positions spread evenly by their number. Pure: no I/O, no clock.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class RingServer(Protocol):
-    """What a ring asks of a server."""
+    """The attributes of a server that a ring uses."""
 
     id: int
     zone: str
@@ -27,7 +27,7 @@
 
 
 def build_rings(serving: Iterable[T]) -> dict[str, list[T]]:
-    """The rings of these servers by zone."""
+    """Return the serving servers by zone, each zone ordered by server id."""
     rings: dict[str, list[T]] = {}
     for server in sorted(serving, key=lambda server: server.id):
         rings.setdefault(server.zone, []).append(server)
@@ -35,28 +35,31 @@
 
 
 def select_pool(rings: dict[str, list[T]], zone: str, instance: int) -> list[T]:
-    """The pool of the instance of this zone and number: its own zone's servers, then the others' in turn."""
-    place = instance * GOLDEN_RATIO % 1.0
+    """Return the pool of the instance with this zone and number.
+
+    Servers of the instance's own zone come first, then those of the other zones in rotation.
+    """
+    position = instance * GOLDEN_RATIO % 1.0
     pool: list[T] = []
     others: list[list[T]] = []
     for name in sorted(rings):
         ring = rings[name]
-        start = int(place * len(ring))
+        start = int(position * len(ring))
         if name == zone:
             pool = _first_usable(ring, start, MAX_LOCAL_SERVERS)
         else:
             others.append(_first_usable(ring, start, MAX_SERVERS))
-    turn = 0
-    while len(pool) < MAX_SERVERS and any(len(ring) > turn for ring in others):
+    index = 0
+    while len(pool) < MAX_SERVERS and any(len(ring) > index for ring in others):
         for ring in others:
-            if len(ring) > turn and len(pool) < MAX_SERVERS:
-                pool.append(ring[turn])
-        turn += 1
+            if len(ring) > index and len(pool) < MAX_SERVERS:
+                pool.append(ring[index])
+        index += 1
     return pool
 
 
 def _first_usable(ring: list[T], start: int, limit: int) -> list[T]:
-    """The first servers from a place of a ring on, ejected ones behind all others."""
+    """Return up to `limit` servers from position `start` of a ring, ejected ones last."""
     found: list[T] = []
     ejected: list[T] = []
     for step in range(len(ring)):
