--- a/gladegw/balancing/balancer.py
+++ b/gladegw/balancing/balancer.py
@@ -1,8 +1,8 @@
-"""All decisions of a gladegw instance. What goes in and out is defined in gladegw/balancing/events.py.
+"""All decisions of a gladegw instance; its inputs and outputs are defined in gladegw/balancing/events.py.
 
 The Balancer takes events and returns actions; `requests`, `admission`, `server_selection`,
-`endpoint_freshness` and `subsetting` hold its parts. One unit of time: seconds. No I/O, no clock, no mutable
-globals; random numbers come from its own seeded source.
+`endpoint_freshness` and `subsetting` hold its parts. All times are in seconds. No I/O, no clock, no mutable
+globals; random numbers come from a seeded source of its own.
 """
 
 from __future__ import annotations
@@ -51,42 +51,33 @@
 
 STALL_S = (
     4 * CONTROL_STEP_S
-)  # s without a turn after which the times of what comes tell of this instance itself
+)  # after a gap this long between batches latencies reflect this instance's own pause
 ANSWER_MARGIN_S = (
     2 * CONTROL_STEP_S
-)  # s before a client's deadline at which a held call is answered at the latest
-MIN_LATENCY_S = 1e-4  # s; no answer counts as quicker, so that means stay above 0
-INITIAL_WINDOW_FRACTION = (
-    0.5  # of the calls that would crowd the listed servers, where W starts if these are more
-)
-SAMPLE_RETENTION = 0.9  # weight of a server's older samples at each new one
-PROBES_PER_CALL = 0.15  # probes per arriving call
-MIN_PROBES_PER_S = 0.3  # probes per s, so that an idle instance still knows its servers
-INITIAL_PROBES = 8.0  # probes at the start, over all zones: an instance that knows no load follows the herd
-MAX_CANDIDATE_PROBE_PRICE = 0.006  # points of price per call that may go to probes sent for that call alone
-CANDIDATES = 3  # servers asked for one call; more gains little over three fresh figures
-CANDIDATE_PROBE_WAIT_S = 0.01  # s that a call waits for their answers
-TAIL_LATENCIES = (
-    2.0  # mean latencies that a held call should have left when its turn comes: work has long tails
-)
-RETRY_BUDGET_FRACTION = (
-    0.15  # further attempts per arriving call: a retry budget stops multiplication through tiers
-)
-RETRY_BUDGET_BURST = 5.0  # further attempts that may come at once
-STUCK_LATENCIES = 4.0  # mean latencies after which a call is taken to be stuck
-ALIVE_S = 1.0  # s since its last answer within which a server is not taken to be dead
-CONNECTIONS_FULL_S = 5.0  # s for which a server without room gets no further connection
-ERROR_RATE_EXCESS = 0.35  # error share above the pool's that condemns a server
-IDLE_TRUST_DOUBLING_S = 15.0  # s in which the trusted age doubles again
-EXPENSIVE_CONNECT_LATENCIES = (
-    1.5  # mean latencies that a new connection adds, above which a doubtful old one is used
-)
-CONNECT_SAMPLES = 30  # sends over which new and open connections are compared
-RETRY_AFTER_FRACTION = 0.25  # procQ that a refused client is told to stay away
-PROBE_ROUND_S = (
-    2.0  # s in which each server whose state is in doubt is probed once: some probes fail by chance
-)
+)  # a queued call is answered this long before the client's deadline at the latest
+MIN_LATENCY_S = 1e-4  # keeps means above 0
+INITIAL_WINDOW_FRACTION = 0.5  # initial window, as a fraction of the overload limit
+SAMPLE_RETENTION = 0.9  # weight of older samples at each new one
+PROBES_PER_CALL = 0.15
+MIN_PROBES_PER_S = 0.3  # an idle instance still knows its servers
+INITIAL_PROBES = 8.0  # at the start: without load reports all instances pick the same servers
+MAX_CANDIDATE_PROBE_PRICE = 0.006  # points per call, for probes sent for that call alone
+CANDIDATES = 3  # servers probed for one call
+CANDIDATE_PROBE_WAIT_S = 0.01
+TAIL_LATENCIES = 2.0  # mean latencies a queued call needs at dispatch: latencies have a long tail
+RETRY_BUDGET_FRACTION = 0.15  # retries per arriving call: prevents multiplication through tiers
+RETRY_BUDGET_BURST = 5.0  # retries at once
+STUCK_LATENCIES = 4.0  # age, in mean latencies, of a stuck call
+ALIVE_S = 1.0  # a server that answered within this time is not down
+CONNECTIONS_FULL_S = 5.0  # no new connection to a server that rejected one
+ERROR_RATE_EXCESS = 0.35  # error rate above the pool's that ejects a server
+IDLE_TRUST_DOUBLING_S = 15.0  # growth time of the trusted idle time
+EXPENSIVE_CONNECT_LATENCIES = 1.5  # mean latencies; above this an untrusted idle connection is used instead
+CONNECT_SAMPLES = 30  # over which new and open connections are compared
+RETRY_AFTER_FRACTION = 0.25  # of the processing time
+PROBE_ROUND_S = 2.0  # each unverified server is probed once per round
 TICK_TOKEN, CANDIDATE_PROBE_TOKEN = 1, 2
+# Verdicts; captures store the values.
 QUEUED, SHED, TOO_LATE, QUEUE_FULL, DISPLACED, ATTEMPTS_EXHAUSTED = (
     "held",
     "cut",
@@ -94,11 +85,15 @@
     "queue",
     "displaced",
     "tries",
-)  # verdicts
+)
 
 
 class Balancer:
-    """One instance. `handle` takes in all events of a batch, then queues, then dispatches the worthiest."""
+    """Decisions of one instance.
+
+    `handle` processes all events of a batch, then admits and queues calls, then sends those of highest
+    priority weight.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -112,7 +107,7 @@
         self.quota_left = {name: quota for name, quota in self.quota.items()}
         self.queue: list[Call] = []
         self.in_flight: dict[tuple[int, int], Attempt] = {}
-        self.window_in_use = 0  # attempts that take a place in W
+        self.window_in_use = 0  # attempts that count against the window
         self.arrivals = self.sends = 0
         self.retry_tokens = RETRY_BUDGET_BURST
         self.probe_tokens = INITIAL_PROBES
@@ -121,16 +116,17 @@
         )
         self.now = 0.0
         self.last_step = -1.0
-        self.stalled = False  # this batch comes after a pause of the instance's own
+        self.stalled = False  # the instance itself paused before this batch
         self.timer_set = False
         self.freshness = EndpointFreshness(
             self.random, settings.polls_endpoints, settings.drain_grace, settings.connect_timeout
         )
         self.servers.verified_for = self.freshness.valid_for
         self.observer: DecisionObserver | None = None
-        self.arrival_inputs: dict[int, dict[str, Any]] = {}  # for the witness: what a fresh call was made of
+        self.arrival_inputs: dict[int, dict[str, Any]] = {}  # by call, for the observer
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
+        """Process a batch of events at time `now` (seconds) and return the actions to take, in order."""
         self.now = now
         self.stalled = 0 <= self.last_step < now - STALL_S
         self.actions.clear()
@@ -156,7 +152,7 @@
         elif now - self.last_step >= CONTROL_STEP_S - 1e-9:
             self.control_step()
         for call in fresh:
-            if not call.ended:  # the client may leave within the batch that it came in
+            if not call.ended:  # the client may disconnect within the same batch
                 self.admit(call)
         self.arrival_inputs.clear()
         self.dispatch()
@@ -167,13 +163,15 @@
         return list(self.actions)
 
     def start(self) -> None:
+        """Set the initial concurrency window and the first poll of discovery, after the first batch."""
         self.last_step = self.now
-        _, crowd = self.servers.available_capacity(self.now, 0.0)
-        self.admission.window = max(INITIAL_WINDOW, INITIAL_WINDOW_FRACTION * crowd)
+        _, overload_limit = self.servers.available_capacity(self.now, 0.0)
+        self.admission.window = max(INITIAL_WINDOW, INITIAL_WINDOW_FRACTION * overload_limit)
         self.freshness.start(self.now, self.settings.max_poll_gap)
 
     # events
     def on_endpoint_list(self, event: ServerList) -> None:
+        """Apply an endpoint list, a failed poll or a change of discovery's address."""
         if event.kind is ListKind.FAILED:
             freshness = self.freshness
             freshness.on_failure(self.now, event.failure)
@@ -192,6 +190,7 @@
         self.admission.set_min_window(len(self.servers.servers), self.settings.balancers)
 
     def on_arrival(self, event: Arrival, fresh: list[Call]) -> None:
+        """Create a call for an arrival and append it to `fresh`, or reject what cannot become a call."""
         if event.call in self.lifecycle.calls or event.call in self.lifecycle.finished:
             return
         cls = self.classes.get(event.cls)
@@ -205,11 +204,11 @@
         quota = self.quota_left.get(event.tenant) if self.settings.stage == 0 else None
         if quota is not None and quota >= 1:
             self.quota_left[event.tenant] -= 1
-        usual = 0.0 if cls.counts_late or self.settings.stage else cls.typical_budget(event.budget)
-        call = self.make_call(event, cls, quota, usual)
+        typical_budget = 0.0 if cls.counts_late or self.settings.stage else cls.typical_budget(event.budget)
+        call = self.make_call(event, cls, quota, typical_budget)
         call.max_attempts = event.max_attempts
         if self.observer is not None:
-            self.arrival_inputs[call.id] = {"work": event.work, "quota": quota, "usual": usual}
+            self.arrival_inputs[call.id] = {"work": event.work, "quota": quota, "usual": typical_budget}
             if event.max_attempts:
                 self.arrival_inputs[call.id]["most"] = event.max_attempts
             if event.route_timeout < math.inf:
@@ -220,28 +219,33 @@
         fresh.append(call)
 
     def make_call(self, event: Arrival, cls: ClassState, quota: float | None, typical_budget: float) -> Call:
-        """The call of an arrival, with what was left of its tenant's quota (None: it has none) and the usual
-        budget of its class."""
+        """Return the call of an arrival.
+
+        `quota`: what is left of its tenant's quota (None: no quota). `typical_budget`: that of its class, in
+        seconds.
+        """
         now = self.now
-        worth = cls.priority_weight
+        priority_weight = cls.priority_weight
         if self.settings.weight_by_work and event.work > 0:
-            worth *= event.work
+            priority_weight *= event.work
         if quota is not None and quota < 1:
-            worth *= self.settings.over_quota_weight
-        aim_left = self.objective_left(cls, event.budget, typical_budget)
+            priority_weight *= self.settings.over_quota_weight
+        objective_left = self.objective_left(cls, event.budget, typical_budget)
         left = min(event.budget, event.route_timeout)
-        useful = left if cls.counts_late else min(left, aim_left)
-        return Call(event.call, cls, worth, now, now + left, now + useful)
+        useful = left if cls.counts_late else min(left, objective_left)
+        return Call(event.call, cls, priority_weight, now, now + left, now + useful)
 
     def is_admitted(self, call: Call) -> bool:
+        """Return whether the call passes the admission threshold and can still be answered in time."""
         return self.admission.admits(call.priority_weight) and call.useful_until > self.now
 
     def admit(self, call: Call) -> None:
+        """Queue a new call, or reject it."""
         admitted = self.is_admitted(call)
         if self.observer is not None:
             admission = self.admission
-            cut = None if math.isinf(admission.threshold) else admission.threshold
-            used = {"cut": cut, "tie": admission.tie_reject_fraction, "draw": admission.last_draw}
+            threshold = None if math.isinf(admission.threshold) else admission.threshold
+            used = {"cut": threshold, "tie": admission.tie_reject_fraction, "draw": admission.last_draw}
             used |= {"at": self.now, **self.arrival_inputs[call.id]}
             self.observer(call.id, "admit", used, QUEUED if admitted else SHED)
         if admitted:
@@ -250,21 +254,28 @@
             self.reject(call)
 
     def objective_left(self, cls: ClassState, budget: float, typical_budget: float) -> float:
-        """What is left of the aim. An inner call's budget is what its caller's instance left it: its useful
-        time. At the first tier a budget below the usual one tells that the client's whole time runs out, so
-        how long it has waited over its earlier tries. Guards against work for answers that come too late,
-        and (the median, not the longest) against a few odd budgets making every first try look late."""
+        """Return the seconds left of the latency objective.
+
+        The budget of an inner call is the useful time that its caller's instance left it. At the first tier a
+        budget below the typical one means that the client's total time is running out, so it shows how long
+        the client has waited over earlier attempts. Prevents work for answers that come too late; the median
+        instead of the maximum keeps a few unusual budgets from making every first attempt look late.
+        """
         if self.settings.stage or budget >= typical_budget - CONTROL_STEP_S:
             return cls.latency_objective
         return cls.latency_objective - (cls.deadline - budget)
 
     def enqueue(self, call: Call) -> None:
+        """Insert a call into the queue, which is ordered by priority weight."""
         call.queued = True
         insort(self.queue, call)
 
     def retry_after(self) -> float:
-        """When a refused client should come back: by then the calls that fill W now have been answered. A
-        client that is told nothing comes back sooner, into the same crowd."""
+        """Return the seconds after which a rejected client should retry; 0: no hint is sent.
+
+        By then the calls that fill the window now have been answered. Without a hint a client retries sooner,
+        into the same overload.
+        """
         if not self.settings.may_send_retry_after:
             return 0.0
         return min(
@@ -273,9 +284,11 @@
         )
 
     def reject(self, call: Call) -> None:
+        """Give the final answer to a call that gets no further attempt."""
         self.lifecycle.answer(call, self.retry_after())
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
+        """Drop a call whose client disconnected, and cancel its attempts."""
         call = self.lifecycle.calls.get(event.call)
         if call is None or call.ended:
             return
@@ -286,12 +299,14 @@
         self.cancel_others(call)
 
     def cancel_others(self, call: Call) -> None:
+        """Cancel the attempts of a call that are in flight, where the settings allow it."""
         if call.in_flight and self.settings.may_cancel and not call.streaming:
             for attempt in call.attempts:
                 if attempt.status < 0:
                     self.actions.append(Cancel(call.id, attempt.number))
 
     def on_stream(self, event: StreamStarted) -> None:
+        """Process the start of a streamed answer: its attempt no longer counts against the window."""
         attempt = self.in_flight.get((event.call, event.attempt))
         if attempt is not None:
             attempt.call.streaming = True
@@ -300,6 +315,7 @@
                 self.window_in_use -= 1
 
     def on_outcome(self, event: Outcome) -> None:
+        """Process the outcome of an attempt: learn from it, then finish, retry or reject its call."""
         attempt = self.in_flight.pop((event.call, event.attempt), None)
         if attempt is None:
             return
@@ -328,7 +344,7 @@
             return
         if call.in_flight or call.queued:
             return
-        repeats = self.may_retry(call)
+        retried = self.may_retry(call)
         if self.observer is not None:
             used = {
                 "at": now,
@@ -336,28 +352,30 @@
                 "tokens": self.retry_tokens,
                 "tries": counted_attempts(call),
             }
-            self.observer(call.id, "repeat", used, QUEUED if repeats else ATTEMPTS_EXHAUSTED)
-        if repeats:
+            self.observer(call.id, "repeat", used, QUEUED if retried else ATTEMPTS_EXHAUSTED)
+        if retried:
             self.retry_tokens -= 1
             self.enqueue(call)
         else:
             self.reject(call)
 
     def may_retry(self, call: Call) -> bool:
-        """Whether a call whose attempts have all failed is held for a further one."""
+        """Return whether a call whose attempts have all failed is queued for a further one."""
         left = call.useful_until - self.now
         return self.lifecycle.may_retry(call) and left > call.cls.mean.value and self.retry_tokens >= 1
 
     def learn_from_outcome(self, attempt: Attempt, status: int, elapsed: float, busy: int) -> None:
-        """What an outcome says of procQ, W and the server."""
+        """Update the admission control and the server's statistics from an outcome.
+
+        `elapsed` is in seconds; `busy` is the number of attempts in the window before this outcome.
+        """
         cls, server, admission, servers = attempt.call.cls, attempt.server, self.admission, self.servers
         now = self.now
         if status in (Status.CANCELLED, Status.NOT_SENT):
             return
         if self.stalled and status in (Status.OK, Status.TIMEOUT):
-            # The instance stood still: what looks slow or overdue was answered long ago. Guards against
-            # reading one's own pause as slow servers, closing W and ejecting them. Harm: what was slow
-            # meanwhile is learned a turn later.
+            # The instance itself paused, so the latency says nothing about the server: no smaller window,
+            # no ejection. Drawback: a server that was slow meanwhile is noticed one batch later.
             if status == Status.OK:
                 server.last_ok = now
                 server.completed_at = max(server.completed_at, attempt.sent_at)
@@ -379,12 +397,12 @@
             and (status == Status.TIMEOUT or (ok and servers.is_overloaded(server, now)))
         ):
             admission.on_late_answer()
-        # capacity: calls held against latency in units of the class's mean
+        # Capacity: load against latency in mean latencies of the class.
         latency = elapsed / cls.mean.value
         if ok or (status == Status.CONNECT_FAILED and elapsed > 0.1 * cls.mean.value):
-            spent = min(MAX_FAILURE_LATENCIES, latency + (not ok))
+            cost = min(MAX_FAILURE_LATENCIES, latency + (not ok))
             (servers.new_connection_cost if attempt.new_connection else servers.open_connection_cost).add(
-                spent, CONNECT_SAMPLES
+                cost, CONNECT_SAMPLES
             )
         if not ok:
             # A fast-failing server looks idle: a failure counts as a slow answer.
@@ -406,8 +424,8 @@
             elif server.ejections and not server.ejected_until:
                 server.ejections = 0
         elif status == Status.CONNECT_FAILED and now - server.last_ok < ALIVE_S:
-            # It answers others of ours, so it has no room for a further connection: ejecting it would push
-            # its calls, and connections, onto the rest. Use what is open.
+            # It answers other calls, so it only accepts no more connections: ejecting it would move its load
+            # to the other servers. Open connections stay in use.
             server.max_in_flight, server.max_in_flight_until = (
                 max(1, server.in_flight),
                 now + CONNECTIONS_FULL_S,
@@ -425,6 +443,7 @@
             self.eject(server, hard=False)
 
     def eject(self, server: Server, hard: bool) -> None:
+        """Eject a server; its attempts in flight no longer count against the window."""
         if not self.servers.eject(server, self.now, hard):
             return
         for attempt in self.in_flight.values():
@@ -434,13 +453,16 @@
         self.servers.fill_pool(self.now)
 
     def on_probe_result(self, event: ProbeResult) -> None:
+        """Process the result of a health probe: readmit, keep ejected or eject the server."""
         server = self.servers.servers.get(event.server)
         if server is None:
             return
         server.probe_pending = False
         if event.status == Status.OK:
             server.fail_streak = 0
-            server.healthy_at = max(server.healthy_at, self.now - event.elapsed)  # a draining one answers 503
+            server.healthy_at = max(
+                server.healthy_at, self.now - event.elapsed
+            )  # a draining server answers 503
             self.servers.report(server, event.report, self.now)
             if server.ejected_until and self.now >= server.ejected_until:
                 self.servers.readmit(server, self.now)
@@ -455,6 +477,7 @@
 
     # the control step
     def control_step(self) -> None:
+        """Run the periodic updates: rates, thresholds, health checks and polls."""
         now = self.now
         span = now - self.last_step
         self.last_step = now
@@ -482,11 +505,12 @@
         admission.update_threshold()
 
     def poll_endpoints(self) -> None:
+        """Open a watch at discovery if one is due."""
         if self.freshness.should_poll(self.now):
             self.actions.append(Watch(True))
 
     def check_list_age(self) -> None:
-        """Withholds servers while news are overdue, and logs each change of that."""
+        """Withhold servers while updates are overdue, and log each change."""
         servers, now = self.servers, self.now
         overdue = self.freshness.is_expired(now)
         if overdue != servers.overdue:
@@ -501,16 +525,17 @@
             )
 
     def log(self, text: str) -> None:
+        """Append a Log action."""
         self.actions.append(Log(text))
 
     def check_in_flight_ages(self) -> None:
-        """A hung server finishes nothing: the calls that are out tell by their age."""
+        """Learn from the age of attempts in flight: a hung server produces no outcomes."""
         now = self.now
         total = counted = 0.0
         stuck: list[Attempt] = []
         for attempt in self.in_flight.values():
             if attempt.call.streaming:
-                continue  # its age tells of its size, and of the client
+                continue  # its age depends on its size and on the client
             age = now - attempt.sent_at
             cls = attempt.call.cls
             if attempt.in_window:
@@ -536,7 +561,7 @@
             self.hedge_stuck(attempt)
 
     def hedge_stuck(self, attempt: Attempt) -> None:
-        """A further attempt for a call that seems stuck, where its class allows it."""
+        """Start a further attempt for a call that seems stuck, where its class allows it."""
         call = attempt.call
         if call.ended or call.streaming or call.queued or call.in_flight > 1 or self.retry_tokens < 1:
             return
@@ -552,7 +577,7 @@
             self.actions.append(Cancel(call.id, attempt.number))
 
     def recover_ejected(self) -> None:
-        """A server whose ejection is over is probed; where probes are not allowed, a call tries it."""
+        """Probe servers whose ejection is over; where probes are not allowed, put them on trial."""
         now, servers = self.now, self.servers
         due = [s for s in servers.servers.values() if s.ejected_until and now >= s.ejected_until]
         for server in due:
@@ -566,40 +591,43 @@
             servers.fill_pool(now)
 
     def unverified_servers(self) -> list[Server]:
-        """Those that would be withheld, were no news to come, unless a probe shows that they don't drain."""
+        """Return the servers that would be withheld without updates, unless a probe verifies them."""
         if not self.freshness.is_going_stale(self.now):
             return []
         since = self.now - PROBE_ROUND_S
         return [s for s in self.servers.pool if s.healthy_at < since and not s.ejected_until]
 
     def probe(self, span: float) -> None:
+        """Send the steady health probes that the last `span` seconds allow."""
         if not self.settings.may_probe or not self.servers.pool:
             return
         rate = max(MIN_PROBES_PER_S, PROBES_PER_CALL * self.admission.rate)
-        doubtful = self.unverified_servers()
-        rate = max(rate, len(doubtful) / PROBE_ROUND_S)
+        unverified = self.unverified_servers()
+        rate = max(rate, len(unverified) / PROBE_ROUND_S)
         self.probe_tokens = max(self.probe_tokens, min(2.0, self.probe_tokens + rate * span))
         while self.probe_tokens >= 1 and not self.probes_candidates:
             idle = [s for s in self.servers.pool if not s.probe_pending and not s.ejected_until]
             if not idle:
                 break
             self.probe_tokens -= 1
-            idle = [s for s in idle if s in doubtful] or idle
+            idle = [s for s in idle if s in unverified] or idle
             oldest = min(s.probed_at for s in idle)
             self.send_probe(self.random.choice([s for s in idle if s.probed_at == oldest]))
 
     def awaits_candidate_probes(self, call: Call) -> bool:
-        """Where calls are so few that steady reports are older than a call's latency, and probes are cheap,
-        a call's candidates are asked before it is sent. Guards against picks on stale reports when many
-        instances share few calls."""
+        """Return whether a call waits for probes of its candidate servers, sending them first if due.
+
+        Used where calls are so few that steady load reports are older than a call's latency, and probes are
+        cheap. Prevents picks from outdated reports when many instances share few calls.
+        """
         if call.probed_candidates is None:
             call.probed_candidates = []
             servers = self.servers
-            pace = max(MIN_PROBES_PER_S, PROBES_PER_CALL * self.admission.rate)
+            probe_rate = max(MIN_PROBES_PER_S, PROBES_PER_CALL * self.admission.rate)
             if call.attempts or call.deadline - self.now < 3 * CANDIDATE_PROBE_WAIT_S:
                 return False
             if (
-                len(servers.pool) < pace * servers.mean_latency
+                len(servers.pool) < probe_rate * servers.mean_latency
                 or servers.mean_latency < 2 * CANDIDATE_PROBE_WAIT_S
             ):
                 return False
@@ -620,14 +648,18 @@
         )
 
     def send_probe(self, server: Server) -> None:
+        """Append a Probe action for a server."""
         server.probe_pending = True
         server.probed_at = self.now + self.random.random() * 1e-3
         self.actions.append(Probe(server.id))
 
     # the queue
     def is_too_late(self, call: Call) -> bool:
-        """It would most likely end too late: work for nothing. With nothing else out it is sent all the same,
-        so that a mean that rose too far can fall again."""
+        """Return whether a call would most likely end too late to be useful.
+
+        With no other attempt in flight it is sent anyway, so that a mean latency that rose too far can fall
+        again.
+        """
         return (
             bool(self.window_in_use)
             and call.useful_until - self.now < call.cls.mean.value
@@ -635,13 +667,14 @@
         )
 
     def dispatch(self) -> None:
-        place = 0
+        """Send queued calls in order while the concurrency window has room."""
+        position = 0
         now = self.now
         queue, servers = self.queue, self.servers
-        while place < len(queue) and self.window_in_use + 1 <= self.admission.limit:
-            call = queue[place]
+        while position < len(queue) and self.window_in_use + 1 <= self.admission.limit:
+            call = queue[position]
             if self.is_too_late(call):
-                del queue[place]
+                del queue[position]
                 call.queued = False
                 if self.observer is not None:
                     used = {
@@ -654,13 +687,13 @@
                 self.reject(call)
                 continue
             if self.probes_candidates and self.awaits_candidate_probes(call):
-                place += 1
+                position += 1
                 continue
             choice = servers.pick(call, self.lifecycle, now)
             if choice is None:
                 if not call.attempts:
                     return
-                place += 1
+                position += 1
                 continue
             server, load = choice
             if self.observer is not None:
@@ -678,7 +711,7 @@
                 idle, server.used_at = 0.0, -math.inf
             opened = server.used_at < now - self.settings.conn_idle
             attempt = self.lifecycle.send(call, server, now, until - now, load)
-            del queue[place]
+            del queue[position]
             call.queued = False
             if attempt is None:
                 continue
@@ -692,22 +725,25 @@
             self.sends += 1
 
     def mean_call_equivalents(self, call: Call) -> float:
-        """How many calls of mean work it is likely to be; a cold server's budget is counted in these."""
+        """Return the call's expected work in calls of mean latency, the unit of slow-start budgets."""
         return call.cls.mean.value / self.servers.mean_latency if self.admission.latency.count else 1.0
 
     def trim_queue(self) -> None:
-        """A held call's wait is about (place+1)*procQ/W and must fit what is left of its usefulness."""
+        """Reject queued calls whose expected wait does not fit their useful time.
+
+        The wait at a position is about (position + 1) * processing time / window.
+        """
         if not self.queue:
             return
         wait = self.admission.processing_time / self.admission.limit
-        kept: list[Call] = []
+        retained: list[Call] = []
         for call in self.queue:
-            verdict = self.queue_verdict(call, len(kept), wait)
+            verdict = self.queue_verdict(call, len(retained), wait)
             if self.observer is not None and (verdict != QUEUED or call.queue_position is None):
                 used = {
                     "at": self.now,
                     "mean": call.cls.mean.value,
-                    "place": len(kept),
+                    "place": len(retained),
                     "before": call.queue_position,
                     "wait": wait,
                     "asked_until": call.probe_wait_until,
@@ -715,31 +751,37 @@
                 }
                 self.observer(call.id, "hold", used, verdict)
             if verdict == QUEUED:
-                call.queue_position = len(kept)
-                kept.append(call)
+                call.queue_position = len(retained)
+                retained.append(call)
             else:
                 call.queued = False
                 if not call.in_flight:
                     self.reject(call)
-        self.queue[:] = kept
+        self.queue[:] = retained
+
+    def queue_verdict(self, call: Call, position: int, wait: float) -> str:
+        """Return QUEUED if a call can wait at this position, else the reason why not.
 
-    def queue_verdict(self, call: Call, place: int, wait: float) -> str:
-        """Whether a call can wait at this place, or why not: too late for an answer, displaced by a worthier
-        one from a place where it could, or no wait there is short enough."""
+        TOO_LATE: no answer in time. DISPLACED: calls of higher priority weight moved it back from a position
+        where it could wait. QUEUE_FULL: the wait is too long at any position it had.
+        """
         now = self.now
         left = call.useful_until - now
-        # A call that asks its candidates goes out or comes back here before its deadline; one with less
-        # than a mean latency left would be work for nothing, most of all where servers are crowded.
-        asking = now < call.probe_wait_until - 1e-9 and left > call.cls.mean.value
-        if not (left > 0 and (asking or call.deadline - now > ANSWER_MARGIN_S)):
+        # A call waiting for candidate probes is sent or checked again before its deadline; with less than a
+        # mean latency left its work would be wasted.
+        probing = now < call.probe_wait_until - 1e-9 and left > call.cls.mean.value
+        if not (left > 0 and (probing or call.deadline - now > ANSWER_MARGIN_S)):
             return TOO_LATE
-        if self.fits_in_queue(call, place, wait, left):
+        if self.fits_in_queue(call, position, wait, left):
             return QUEUED
-        before = call.queue_position
+        previous_position = call.queue_position
         return (
-            DISPLACED if before is not None and self.fits_in_queue(call, before, wait, left) else QUEUE_FULL
+            DISPLACED
+            if previous_position is not None and self.fits_in_queue(call, previous_position, wait, left)
+            else QUEUE_FULL
         )
 
     @staticmethod
-    def fits_in_queue(call: Call, place: int, wait: float, left: float) -> bool:
-        return not place or (place + 1) * wait + TAIL_LATENCIES * call.cls.mean.value <= left
+    def fits_in_queue(call: Call, position: int, wait: float, left: float) -> bool:
+        """Return whether the expected wait at a position leaves time for the call."""
+        return not position or (position + 1) * wait + TAIL_LATENCIES * call.cls.mean.value <= left
