--- a/gladegw/balancing/events.py
+++ b/gladegw/balancing/events.py
@@ -1,4 +1,8 @@
-"""What goes into and comes out of a Balancer: settings, events and actions, independent of any wire."""
+"""Settings, events and actions of a Balancer, independent of any wire format.
+
+Times are in seconds unless a field says otherwise. Enum values and error messages name settings by the words
+that operators and the platform use.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +14,7 @@
 
 
 class Effect(Enum):
-    """What a second execution of a request would do."""
+    """The effect of executing a request a second time."""
 
     IDEMPOTENT = "repeatable"  # harmless anywhere
     IDEMPOTENCY_KEY = "by_key"  # dropped by the servers of one group, for a while
@@ -22,7 +26,7 @@
 
     OK = 0
     ERROR = 1  # the server answered with an error; it may have run
-    REJECTED = 2  # turned away unseen: never ran
+    REJECTED = 2  # rejected before processing: never ran
     TIMEOUT = 3
     CONNECT_FAILED = 4  # never ran
     RESET = 5
@@ -34,13 +38,17 @@
 
 
 class ServerState(Enum):
+    """State of a server in the endpoint list."""
+
     SERVING = "serving"
     DRAINING = "draining"
     REMOVED = "gone"
 
 
 class ListKind(Enum):
-    CACHED = "saved"  # the whole list as last held, maybe out of date
+    """Kind of a server list event."""
+
+    CACHED = "saved"  # the full list from a cache, maybe out of date
     FULL = "full"
     INCREMENTAL = "incremental"
     FAILED = "failed"  # a watch or fetch failed, or the watch broke
@@ -48,17 +56,20 @@
 
 
 def _check(ok: bool, key: str, value: object) -> None:
+    """Raise ValueError naming the setting and its value unless `ok`."""
     if not ok:
         raise ValueError(f"setting {key} is out of range: {value!r}")
 
 
 def _positive(owner: object, prefix: str, *keys: str) -> None:
+    """Check that these fields of a settings object are finite and above 0."""
     for key in keys:
         value = getattr(owner, key)
         _check(math.isfinite(value) and value > 0, prefix + key, value)
 
 
 def _not_negative(owner: object, prefix: str, *keys: str) -> None:
+    """Check that these fields of a settings object are finite and not negative."""
     for key in keys:
         value = getattr(owner, key)
         _check(math.isfinite(value) and value >= 0, prefix + key, value)
@@ -66,18 +77,21 @@
 
 @dataclass(slots=True)
 class RequestClass:
-    """A class of requests. Times are in seconds."""
+    """A class of requests.
+
+    Times are in seconds. Raises ValueError if a field is out of range.
+    """
 
     name: str
     priority_weight: float
-    latency_objective: float  # an answer within it has the full worth
-    deadline: float  # how long a client waits over all its tries
-    late_weight_fraction: float = 0.0  # share of the worth left to an answer between aim and deadline
+    latency_objective: float  # an answer within it has the full priority weight
+    deadline: float  # how long a client waits over all its attempts
+    late_weight_fraction: float = 0.0  # for answers between the objective and the deadline
     effect: Effect = Effect.IDEMPOTENT
-    group: str = "all"  # BY_KEY: which servers drop a repeat: "all", "zone" or "cell"
-    window: float = 0.0  # BY_KEY: for how long they do
+    group: str = "all"  # IDEMPOTENCY_KEY: servers that deduplicate together: "all", "zone" or "cell"
+    window: float = 0.0  # IDEMPOTENCY_KEY: deduplication time
     stream: bool = False
-    objective_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
+    objective_stretch: float = 0.0  # the objective grows by this multiple of the request's work
 
     def __post_init__(self) -> None:
         _positive(self, f"class {self.name} ", "latency_objective", "deadline")
@@ -99,6 +113,11 @@
 
 @dataclass(slots=True)
 class Tenant:
+    """A tenant and its quota.
+
+    Raises ValueError if a field is out of range.
+    """
+
     name: str
     quota_per_s: float  # over all instances of the tier
     fraction: float = 0.0  # of the service
@@ -109,18 +128,21 @@
 
 @dataclass(slots=True)
 class Settings:
-    """What an instance is told when it starts. Times are in seconds, prices in points per unit."""
+    """The settings of an instance, given when it starts.
+
+    Times are in seconds, prices in points per unit. Raises ValueError if a field is out of range.
+    """
 
     classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
     zone: str = ""
     instance: int = 0  # this instance's number among `balancers`
     balancers: int = 1
-    stage: int = 0  # 0: takes clients' requests; more: takes calls of servers
-    stages: int = 1  # tiers in all
+    stage: int = 0  # 0: receives clients' requests; above: calls from servers
+    stages: int = 1  # number of tiers
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
-    quantum: float = 0.0  # events come no more often than this
+    quantum: float = 0.0  # minimum interval between batches of events
     polls_endpoints: bool = False
     max_poll_gap: float = 10.0
     max_attempts: int = 1
@@ -128,7 +150,7 @@
     may_cancel: bool = False
     may_probe: bool = False
     may_message_peers: bool = False  # messages to other instances
-    max_open_requests: int = 0  # open requests that an instance may hold; 0: no limit
+    max_open_requests: int = 0  # 0: no limit
     clients_mark_retries: bool = False
     may_send_retry_after: bool = False
     max_retry_after: float = 0.0
@@ -209,6 +231,8 @@
 
 @dataclass(slots=True)
 class ServerEntry:
+    """An entry of the endpoint list."""
+
     server: int
     zone: str = ""
     kind: str = ""
@@ -221,36 +245,42 @@
 class DiscoveryFailure(Enum):
     """How a call to discovery failed."""
 
-    UNANSWERED = "unanswered"  # no answer in time, no connection, or one that can't be read
+    UNANSWERED = "unanswered"  # no answer in time, no connection or a malformed answer
     REJECTED = "refused"  # after a wait: discovery is down, or too many calls wait before this one
-    REJECTED_IMMEDIATELY = "refused at once"  # discovery can be reached, and has too many calls already
+    REJECTED_IMMEDIATELY = "refused at once"  # discovery is reachable but overloaded
 
 
 @dataclass(slots=True)
 class ServerList:
+    """An endpoint list, a failed poll or a new address of discovery."""
+
     kind: ListKind
     entries: list[ServerEntry] = field(default_factory=list)
     version: int = 0
-    failure: DiscoveryFailure = DiscoveryFailure.UNANSWERED  # of a failed call
-    current: bool = True  # False: no news, but told by an address that discovery has left, or told again
+    failure: DiscoveryFailure = DiscoveryFailure.UNANSWERED  # of a failed poll
+    current: bool = True  # False: from a former address of discovery, or repeated
 
 
 @dataclass(slots=True)
 class Arrival:
+    """A request arrived from a client or from a caller's instance."""
+
     call: int
     cls: str
-    budget: float  # seconds until the client gives this try up
+    budget: float  # seconds until the client abandons this attempt
     tenant: str = ""
     work: float = 0.0  # expected work in core seconds; 0: unknown
     is_retry: bool = False
     write: bool = False
     key: str = ""  # the subject of the request, where it has one
-    max_attempts: int = 0  # most that its route lets run; 0: as the settings say, which are never exceeded
+    max_attempts: int = 0  # the route's limit, never above the settings'; 0: the settings' limit
     route_timeout: float = math.inf  # seconds that its route allows; the budget stays the client's own
 
 
 @dataclass(slots=True)
 class Outcome:
+    """An attempt ended, after `elapsed` seconds; `final`: it ended the call."""
+
     call: int
     attempt: int
     server: int
@@ -262,6 +292,8 @@
 
 @dataclass(slots=True)
 class StreamStarted:
+    """An attempt's answer began to stream to the client, after `elapsed` seconds."""
+
     call: int
     attempt: int
     server: int
@@ -270,13 +302,15 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client left, or its time ran out: nothing more is owed."""
+    """The client disconnected, or its time ran out: it expects no answer any more."""
 
     call: int
 
 
 @dataclass(slots=True)
 class ProbeResult:
+    """A health probe ended, after `elapsed` seconds."""
+
     server: int
     status: int
     elapsed: float
@@ -285,11 +319,15 @@
 
 @dataclass(slots=True)
 class Timer:
+    """A timer set by SetTimer expired."""
+
     token: int
 
 
 @dataclass(slots=True)
 class PeerMessage:
+    """A message from another instance."""
+
     sender: int
     data: bytes
 
@@ -303,58 +341,74 @@
 
 @dataclass(slots=True)
 class Send:
+    """Send an attempt of a call to a server, with a timeout in seconds."""
+
     call: int
     server: int
     timeout: float
-    start_within: float = math.inf  # seconds in which it must begin: the window of a repeat may end
+    start_within: float = math.inf  # the deduplication window of a retry may end
 
 
 @dataclass(slots=True)
 class Reject:
+    """Reject a call so that a retry is harmless; retry_after is in seconds, 0 means no hint."""
+
     call: int
     retry_after: float = 0.0
 
 
 @dataclass(slots=True)
 class Fail:
+    """Fail a call that may have been executed."""
+
     call: int
 
 
 @dataclass(slots=True)
 class Cancel:
+    """Cancel an attempt that is in flight."""
+
     call: int
     attempt: int
 
 
 @dataclass(slots=True)
 class Probe:
+    """Send a health probe to a server."""
+
     server: int
 
 
 @dataclass(slots=True)
 class Watch:
+    """Open (or close) the watch of the endpoint list at discovery."""
+
     on: bool = True
 
 
 @dataclass(slots=True)
 class Fetch:
-    pass
+    """Fetch the endpoint list once."""
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Send a Timer event with this token after `delay` seconds."""
+
     delay: float
     token: int
 
 
 @dataclass(slots=True)
 class CloseIdle:
+    """Close the idle connections to a server."""
+
     server: int
 
 
 @dataclass(slots=True)
 class SendToPeer:
-    """A message to another instance, or to all; only where Settings.may_tell."""
+    """Send a message to another instance or to all; only if Settings.may_message_peers."""
 
     data: bytes
     peer: int | None = None  # None: to all
@@ -362,6 +416,8 @@
 
 @dataclass(slots=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
 
 
@@ -369,6 +425,6 @@
 
 # -- decisions ---------------------------------------------------------------------------------------
 
-# Told of each decision on a call, where it is set: the call, the decision's name, what was used and what was
-# said. Without it a Balancer does the same.
+# Called for each decision on a call, if set, with the call, the decision's name, its inputs and its result.
+# It does not influence decisions.
 DecisionObserver = Callable[[int, str, dict[str, Any], Any], None]
--- a/gladegw/replay.py
+++ b/gladegw/replay.py
@@ -1,7 +1,7 @@
-"""`gladegw replay`: asks the decision module again with what a capture says that it used.
+"""`gladegw replay`: repeats recorded decisions with the inputs stored in a capture.
 
-Each recorded decision is made by the module's own functions, on a Balancer that holds what was recorded and
-nothing else; the draws are the recorded ones. What it says now is compared with what it said then.
+Each recorded decision is made by the decision module's own functions, on a Balancer that holds only what was
+recorded; random numbers are the recorded ones. The result is compared with the recorded one.
 """
 
 from __future__ import annotations
@@ -26,39 +26,46 @@
 from gladegw.simulator_adapter import read_settings
 
 PLAIN = re.compile(r"[\w.:-]+", re.ASCII)
-DEFAULT_DRAW = 0.5  # for a draw that the changed inputs need and the recorded ones did not
+DEFAULT_DRAW = 0.5  # for a draw that was not recorded but is needed now
 
 Difference = tuple[str, str]
-Tables = dict[int, tuple[Any, Any]]  # epoch and table, by generation; None: there was none, no text recorded
+Tables = dict[int, tuple[Any, Any]]  # epoch and table, by generation; None: no text was recorded
 
 
 class CaptureError(Exception):
-    """What was read is no capture that this program can replay; the message is one line."""
+    """The input is not a capture that this program can replay; the message is one line."""
 
 
 class RecordedServers(ServerSelector):
+    """Server selection with the recorded random numbers."""
+
     def draw(self, server: Server) -> float:
+        """Return the recorded random number of the server."""
         return server.tie_break
 
 
 class RecordedAdmission(Admission):
+    """Admission control with the recorded random number."""
+
     recorded: float | None = None
 
     def draw(self) -> float:
+        """Return the recorded random number, or the default if there was none."""
         return DEFAULT_DRAW if self.recorded is None else self.recorded
 
 
 def verdict_text(verdict: str) -> str:
+    """Return the text printed for a verdict."""
     return verdict if verdict == QUEUED else f"refused-{verdict}"
 
 
 def plain(text: str) -> str:
-    """A peer's text as one word."""
+    """Return a peer's text as one word, quoted if necessary."""
     return text if PLAIN.fullmatch(text) else json.dumps(text)
 
 
 class ReplayedRequest:
-    """One request's decisions, made again."""
+    """The decisions on one request, made again."""
 
     def __init__(self, settings: Settings, lists: dict[int, dict[str, Any]], record: dict[str, Any]) -> None:
         self.settings, self.lists, self.record = settings, lists, record
@@ -70,13 +77,16 @@
         self.sent: list[Server] = []  # by attempt
 
     def difference(self) -> Difference | None:
-        """The first; what comes after it was decided on another course."""
+        """Return the first difference as (recorded, replayed), or None.
+
+        Later steps are not compared: they were decided in another situation.
+        """
         steps = self.record["steps"]
-        last = max((place for place, step in enumerate(steps) if step["step"] == "pick"), default=-1)
-        for place, step in enumerate(steps):
+        last = max((index for index, step in enumerate(steps) if step["step"] == "pick"), default=-1)
+        for index, step in enumerate(steps):
             if step["step"] == "pick":
-                told = self.record if place == last else step
-                recorded, replayed = str(told["server"]), self.pick(step, told)
+                choice_record = self.record if index == last else step
+                recorded, replayed = str(choice_record["server"]), self.pick(step, choice_record)
             else:
                 recorded, replayed = verdict_text(step["said"]), verdict_text(self.replay_step(step))
             if recorded != replayed:
@@ -84,6 +94,7 @@
         return None
 
     def replay_step(self, step: dict[str, Any]) -> str:
+        """Return the verdict of a step other than a pick."""
         self.balancer.now = step["at"]
         if step["step"] == "admit":
             return self.admit(step)
@@ -100,6 +111,7 @@
         raise CaptureError(f"unknown step {step['step']!r}")
 
     def admit(self, step: dict[str, Any]) -> str:
+        """Make the admission decision again and return its verdict."""
         record, balancer = self.record, self.balancer
         budget = step.get("budget", record["budget_ms"] / 1000 - step["spent"])
         if self.cls is None or not 0 < budget < math.inf:
@@ -111,16 +123,16 @@
         event.route_timeout = step.get("limit", math.inf)
         self.call = balancer.make_call(event, self.cls, quota, step.get("usual", 0.0))
         self.call.max_attempts = step.get("most", 0)
-        cut = step.get("cut")
+        threshold = step.get("cut")
         self.admission.threshold, self.admission.tie_reject_fraction = (
-            -math.inf if cut is None else cut,
+            -math.inf if threshold is None else threshold,
             step.get("tie", 0.0),
         )
         self.admission.recorded = step.get("draw")
         return QUEUED if balancer.is_admitted(self.call) else SHED
 
     def resume(self, step: dict[str, Any]) -> Call:
-        """The call as it stood at this step."""
+        """Return the call in the state that it had at this step."""
         call = self.call
         if call is None:
             raise CaptureError("the request was never admitted")
@@ -133,18 +145,24 @@
         call.in_flight = sum(1 for attempt in call.attempts if attempt.status < 0)
         return call
 
-    def pick(self, step: dict[str, Any], told: dict[str, Any]) -> str:
+    def pick(self, step: dict[str, Any], choice_record: dict[str, Any]) -> str:
+        """Make a pick again and return the server's name, "none" or the text of a verdict.
+
+        `choice_record` is the record that holds the chosen server and its inputs.
+        """
         servers, balancer = self.servers, self.balancer
         balancer.now, balancer.window_in_use = step["at"], step["busy"]
         call = self.resume(step)
-        listed = self.lists.get(told["list"])
-        if listed is None or listed["index"] != told["index"]:
-            raise CaptureError(f"list {told['list']} with index {told['index']} is missing")
+        listed = self.lists.get(choice_record["list"])
+        if listed is None or listed["index"] != choice_record["index"]:
+            raise CaptureError(f"list {choice_record['list']} with index {choice_record['index']} is missing")
         names = {}
         entries = {endpoint["name"]: endpoint for endpoint in listed["endpoints"]}
         servers.pool = []
         for name, known in step["servers"].items():
-            server = self.server(entries[name], known, told["inflight"][name], told["load"].get(name))
+            server = self.server(
+                entries[name], known, choice_record["inflight"][name], choice_record["load"].get(name)
+            )
             servers.pool.append(server)
             names[server.id] = name
         servers.mean_latency, servers.trusted_idle = step["unit"], step["idle_safe"]
@@ -154,9 +172,9 @@
             step["on_open"],
         )
         servers.zone_load = {zone: Mean(value) for zone, value in step["zones"].items()}
-        if told["server"] not in entries:
-            return "none"  # the recorded one is no server of this list
-        self.sent.append(self.server(entries[told["server"]], {}, 0, None))
+        if choice_record["server"] not in entries:
+            return "none"  # the recorded server is not in this list
+        self.sent.append(self.server(entries[choice_record["server"]], {}, 0, None))
         if balancer.is_too_late(call):
             return verdict_text(TOO_LATE)
         choice = servers.pick(call, balancer.lifecycle, balancer.now)
@@ -164,6 +182,7 @@
 
     @staticmethod
     def server(endpoint: dict[str, Any], known: dict[str, Any], inflight: int, load: str | None) -> Server:
+        """Return a server with its recorded statistics."""
         entry = ServerEntry(
             server=server_id(endpoint["name"]),
             zone=endpoint["zone"],
@@ -172,8 +191,8 @@
             weight=endpoint["weight"],
         )
         server = Server(entry, 0.0)
-        for field, used in PICK_INPUTS.items():
-            setattr(server, used.attribute, known.get(field, used.unknown))
+        for field, pick_input in PICK_INPUTS.items():
+            setattr(server, pick_input.attribute, known.get(field, pick_input.unknown))
         server.in_flight = inflight
         if load is not None:
             server.last_report = (read_report(load.encode()) or {}).get("busy_reqs", 0.0)
@@ -181,7 +200,7 @@
 
 
 def _table(record: dict[str, Any]) -> Any:
-    """The recorded table of routes."""
+    """Return the recorded routing table, or None if no text was recorded."""
     if record["text"] is None:
         return None
     from gladegw.routing.findings import RoutingError
@@ -190,12 +209,12 @@
 
     try:
         return Table(read_text(record["text"], record["file"], ("expect",)))
-    except RoutingError as fault:
-        raise CaptureError(f"the recorded routes can't be used: {fault}") from None
+    except RoutingError as error:
+        raise CaptureError(f"the recorded routes can't be used: {error}") from None
 
 
 def _rerouted(tables: Tables, record: dict[str, Any]) -> Difference | None:
-    """Where the recorded table sends the request now, if not where it went then."""
+    """Return the difference if the recorded routing table routes the request differently now."""
     route = record.get("route")
     if route is None:
         return None
@@ -222,12 +241,15 @@
     )
     entry = table.find(ask)
     now = ("none", "none") if entry is None else (str(entry.route), first_pool(entry.route, ask))
-    then = (str(route["name"]), str(route["first"]))
-    return None if now == then else (f"route:{then[0]}:{then[1]}", f"route:{now[0]}:{now[1]}")
+    before = (str(route["name"]), str(route["first"]))
+    return None if now == before else (f"route:{before[0]}:{before[1]}", f"route:{now[0]}:{now[1]}")
 
 
 def differences(path: str) -> Iterator[tuple[str, Difference]]:
-    """The requests on which the module says something else now; raises Unusable."""
+    """Yield the id and the difference of each request decided differently now.
+
+    Raises CaptureError if the file cannot be read or replayed.
+    """
     settings: Settings | None = None
     lists: dict[int, dict[str, Any]] = {}
     tables: Tables = {}  # of routes
@@ -237,7 +259,7 @@
             for line in file:
                 number += 1
                 if not line.startswith(b"{"):
-                    continue  # of the log that a dump stands in
+                    continue  # a log line around the dump
                 record = json.loads(line)
                 if record.get("v") != VERSION:
                     raise CaptureError(f"version {record.get('v')!r} is not known, only {VERSION}")
@@ -251,24 +273,26 @@
                 elif kind == "routes":
                     tables[record["generation"]] = record.get("epoch"), _table(record)
                 elif kind == "req":
-                    found = _rerouted(tables, record) or ReplayedRequest(settings, lists, record).difference()
-                    if found is not None:
-                        yield str(record["id"]), found
+                    difference = (
+                        _rerouted(tables, record) or ReplayedRequest(settings, lists, record).difference()
+                    )
+                    if difference is not None:
+                        yield str(record["id"]), difference
                 else:
                     raise CaptureError(f"unknown kind {kind!r}")
-    except CaptureError as fault:
-        raise CaptureError(f"{path}:{number}: {fault}") from None
-    except OSError as fault:
-        raise CaptureError(f"{path}: {fault.strerror or fault}") from None
-    except (ValueError, KeyError, IndexError, TypeError, AttributeError) as fault:
-        text = " ".join(f"malformed record: {fault!r}".split())
+    except CaptureError as error:
+        raise CaptureError(f"{path}:{number}: {error}") from None
+    except OSError as error:
+        raise CaptureError(f"{path}: {error.strerror or error}") from None
+    except (ValueError, KeyError, IndexError, TypeError, AttributeError) as error:
+        text = " ".join(f"malformed record: {error!r}".split())
         raise CaptureError(f"{path}:{number}: {text}") from None
     if settings is None:
         raise CaptureError(f"{path}:{number}: no start record")
 
 
 def replay(path: str) -> int:
-    """Prints the differences; 0 without any, else 1."""
+    """Print the differences; return the exit code: 0 without differences, else 1."""
     code = 0
     for id, (recorded, replayed) in differences(path):
         print(f"{plain(id)} recorded={plain(recorded)} replayed={plain(replayed)}")
--- a/gladegw/simulator_adapter.py
+++ b/gladegw/simulator_adapter.py
@@ -1,4 +1,7 @@
-"""The bench's wire on standard input and output: one Balancer an instance. Decides nothing."""
+"""Protocol of the simulator on standard input and output: one Balancer per instance.
+
+This module maps the simulator's words to events and actions and makes no decisions.
+"""
 
 from __future__ import annotations
 
@@ -30,16 +33,17 @@
 
 REPORT_NAMES = ("busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps")
 WEIGHTS = {"off": "none", "nominal": "nominal", "rough": "rough", "live": "live"}
-WORTH_BY = {"work": "work", "request": "request"}
+PRIORITY_WEIGHT_BY = {"work": "work", "request": "request"}
 REPORT_VIA = {"inline": "answer", "on_probe": "probe", "off": "none"}
-OUT_OF_PLACE = ("m", "tick", "eor")
+MISPLACED_TAGS = ("m", "tick", "eor")
 
 
 class WireError(Exception):
-    """A line that can't be read; the message names the field."""
+    """A line that cannot be parsed; the message names the field."""
 
 
 def _split(parts: Iterable[str]) -> Fields:
+    """Return the fields of name=value parts; raise WireError for any other part."""
     try:
         return dict([part.split("=", 1) for part in parts])
     except ValueError:
@@ -47,6 +51,7 @@
 
 
 def _get(fields: Fields, key: str) -> str:
+    """Return a field's text; raise WireError if it is missing."""
     try:
         return fields[key]
     except KeyError:
@@ -54,6 +59,7 @@
 
 
 def _int(fields: Fields, key: str) -> int:
+    """Return a field as an integer; raise WireError if it is missing or malformed."""
     try:
         return int(fields[key])
     except KeyError:
@@ -63,6 +69,10 @@
 
 
 def _number(fields: Fields, key: str, default: float | None = None) -> float:
+    """Return a field as a finite number, or the default if it is missing.
+
+    Raises WireError if it is malformed, or missing without a default.
+    """
     text = fields.get(key)
     if text is None:
         if default is None:
@@ -78,6 +88,10 @@
 
 
 def _bool(fields: Fields, key: str, default: bool | None = None) -> bool:
+    """Return a field as a truth value, or the default if it is missing.
+
+    Raises WireError if it is malformed, or missing without a default.
+    """
     text = fields.get(key)
     if text is None and default is not None:
         return default
@@ -88,11 +102,16 @@
     raise WireError(f"field {key} is " + ("missing" if text is None else f"not a truth value: {text!r}"))
 
 
-def _whole(fields: Fields, key: str, default: int) -> int:
+def _optional_int(fields: Fields, key: str, default: int) -> int:
+    """Return a field as an integer, or the default if it is missing."""
     return _int(fields, key) if key in fields else default
 
 
 def _choice(fields: Fields, key: str, words: dict[str, str], default: str) -> str:
+    """Return the internal word for a setting's word, or the default if it is missing.
+
+    Raises ValueError for an unknown word.
+    """
     text = fields.get(key, "")
     if not text:
         return default
@@ -102,6 +121,7 @@
 
 
 def _report(fields: Fields) -> dict[str, float] | None:
+    """Return the load report of an event, or None; unknown names are skipped."""
     text = fields.get("load")
     if not text or text == "-":
         return None
@@ -119,6 +139,7 @@
 
 
 def _status(fields: Fields) -> int:
+    """Return an event's status code; raise WireError if it is unknown."""
     status = _int(fields, "reason")
     if not 0 <= status <= max(api.Status):
         raise WireError(f"field reason is unknown: {status}")
@@ -126,18 +147,23 @@
 
 
 def _names(text: str) -> tuple[str, ...]:
+    """Return the names in a comma-separated list."""
     return tuple(name for name in text.split(",") if name)
 
 
 def read_settings(params: Fields) -> api.Settings:
-    """Settings from the flat path=value pairs; unknown keys are skipped, missing ones raise ValueError."""
+    """Return the settings of flat path=value pairs.
+
+    Unknown keys are skipped; missing or malformed ones raise ValueError.
+    """
     try:
         return _settings(params)
-    except WireError as fault:
-        raise ValueError(str(fault).replace("field", "setting", 1)) from None
+    except WireError as error:
+        raise ValueError(str(error).replace("field", "setting", 1)) from None
 
 
 def _settings(params: Fields) -> api.Settings:
+    """Return the settings; raise WireError or ValueError for a missing or malformed one."""
     classes = []
     for n in range(_int(params, "grades.count")):
         path = f"grades.{n}."
@@ -159,10 +185,10 @@
             )
         )
     tenants = []
-    for n in range(_whole(params, "tenants.count", 0)):
+    for n in range(_optional_int(params, "tenants.count", 0)):
         path = f"tenants.{n}."
-        quota, share = _number(params, path + "quota_rps"), _number(params, path + "portion", 0.0)
-        tenants.append(api.Tenant(_get(params, path + "name"), quota, share))
+        quota, fraction = _number(params, path + "quota_rps"), _number(params, path + "portion", 0.0)
+        tenants.append(api.Tenant(_get(params, path + "name"), quota, fraction))
     discovery = _get(params, "discovery")
     if discovery not in ("push", "ask"):
         raise ValueError(f"setting discovery is out of range: {discovery!r}")
@@ -173,8 +199,8 @@
         zone=params.get("zone", ""),
         instance=_int(params, "me"),
         balancers=_int(params, "balancers"),
-        stage=_whole(params, "stage", 0),
-        stages=len(_names(params.get("stages", ""))) or _whole(params, "stage", 0) + 1,
+        stage=_optional_int(params, "stage", 0),
+        stages=len(_names(params.get("stages", ""))) or _optional_int(params, "stage", 0) + 1,
         zones=_names(params.get("dcs", "")),
         kinds=_names(params.get("kinds", "")),
         quantum=_number(params, "quantum", 0.0),
@@ -185,18 +211,18 @@
         may_cancel=_bool(params, limits + "may_cancel"),
         may_probe=_bool(params, limits + "probes"),
         may_message_peers=_bool(params, limits + "peers", False),
-        max_open_requests=_whole(params, limits + "most_held", 0),
+        max_open_requests=_optional_int(params, limits + "most_held", 0),
         clients_mark_retries=_bool(params, "callers.marks_retry", False),
         may_send_retry_after=_bool(params, limits + "retry_after", False),
         max_retry_after=_number(params, limits + "max_retry_after", 0.0),
         over_quota_weight=_number(params, "over_share_worth", 1.0),
-        weight_by_work=_choice(params, "worth_by", WORTH_BY, "request") == "work",
+        weight_by_work=_choice(params, "worth_by", PRIORITY_WEIGHT_BY, "request") == "work",
         passes_deadline=_bool(params, "specifics.passes_deadline", False),
         report_names=tuple(n for n in _names(params.get("report.names", "")) if n in REPORT_NAMES),
         reports=_choice(params, "report.via", REPORT_VIA, "probe"),
         weights=_choice(params, "weights", WEIGHTS, "nominal"),
         connect_timeout=_number(params, limits + "connect_timeout", 0.25),
-        calls_per_connection=_whole(params, limits + "streams_per_conn", 1),
+        calls_per_connection=_optional_int(params, limits + "streams_per_conn", 1),
         cpu_per_s=_number(params, limits + "cpu_us_per_s", 0.0) / 1e6,
         cpu_per_call=_number(params, limits + "cpu_us_per_request", 0.0) / 1e6,
         goal_overall=_number(params, "objective_mix.whole", 1.0),
@@ -222,6 +248,7 @@
 
 
 def _entry(line: str) -> api.ServerEntry:
+    """Parse a line of a server list."""
     tag, *parts = line.split(" ")
     if tag != "m":
         raise WireError("a list entry was due")
@@ -233,7 +260,7 @@
         server=_int(fields, "backend"),
         zone=fields.get("campus", ""),
         kind=fields.get("sku", ""),
-        cell=_whole(fields, "bay", 0),
+        cell=_optional_int(fields, "bay", 0),
         state=STATES[state],
         weight=_number(fields, "power_hint", 1.0),
         started_at=_number(fields, "boot_time", 0.0),
@@ -241,6 +268,7 @@
 
 
 def _arrival(fields: Fields) -> api.Event:
+    """Parse the arrival of a call."""
     return api.Arrival(
         _int(fields, "call"),
         _get(fields, "cls"),
@@ -254,6 +282,7 @@
 
 
 def _outcome(fields: Fields) -> api.Event:
+    """Parse the outcome of an attempt."""
     return api.Outcome(
         _int(fields, "call"),
         _int(fields, "shot"),
@@ -265,7 +294,8 @@
     )
 
 
-def _stream(fields: Fields) -> api.Event:
+def _stream_started(fields: Fields) -> api.Event:
+    """Parse the start of a streamed answer."""
     return api.StreamStarted(
         _int(fields, "call"),
         _int(fields, "shot"),
@@ -274,21 +304,25 @@
     )
 
 
-def _gone(fields: Fields) -> api.Event:
+def _client_disconnected(fields: Fields) -> api.Event:
+    """Parse the disconnection of a client."""
     return api.ClientDisconnected(_int(fields, "call"))
 
 
-def _probed(fields: Fields) -> api.Event:
+def _probe_result(fields: Fields) -> api.Event:
+    """Parse the result of a probe."""
     return api.ProbeResult(
         _int(fields, "backend"), _status(fields), _number(fields, "cost_time", 0.0), _report(fields)
     )
 
 
 def _timer(fields: Fields) -> api.Event:
+    """Parse the expiry of a timer."""
     return api.Timer(_int(fields, "key_back"))
 
 
-def _peer(fields: Fields) -> api.Event:
+def _peer_message(fields: Fields) -> api.Event:
+    """Parse a message from another instance."""
     text = _get(fields, "data")
     try:
         data = b"" if text == "-" else bytes.fromhex(text)
@@ -300,15 +334,16 @@
 READERS = {
     "ingress": _arrival,
     "settled": _outcome,
-    "first": _stream,
-    "hangup": _gone,
-    "pong": _probed,
+    "first": _stream_started,
+    "hangup": _client_disconnected,
+    "pong": _probe_result,
     "wakeup": _timer,
-    "datagram": _peer,
+    "datagram": _peer_message,
 }
 
 
 def write_action(who: str, action: api.Action) -> str:
+    """Return the line for an action of instance `who`."""
     kind = type(action).__name__
     return WRITERS[kind](who, action)
 
@@ -331,7 +366,7 @@
 
 
 class Host:
-    """The instances of this process and the process-wide server lists that events refer to."""
+    """The instances of this process and the server lists that their events refer to."""
 
     def __init__(self, source: IO[str], sink: IO[str]) -> None:
         self.source, self.sink = source, sink
@@ -343,6 +378,10 @@
         self.now = 0.0
 
     def next_line(self) -> str | None:
+        """Return the next line without its end, or None at the end of input.
+
+        Raises WireError if the line is incomplete.
+        """
         line = self.source.readline()
         if not line:
             return None
@@ -353,6 +392,7 @@
         return line
 
     def run(self) -> None:
+        """Process batches until the end of input; raise WireError or ValueError for a malformed line."""
         while True:
             line = self.next_line()
             if line is None:
@@ -374,6 +414,7 @@
             self.replies.clear()
 
     def read_batch(self) -> None:
+        """Read the events of one batch and apply its commands, up to `your_turn`."""
         readers, pending, readline = READERS, self.pending, self.source.readline
         while True:
             line = readline()
@@ -411,10 +452,11 @@
                 who = _get(_split(parts[1:]), "who")
                 pending.pop(who, None)
                 self.instances.pop(who, None)
-            elif not tag or tag in OUT_OF_PLACE:
+            elif not tag or tag in MISPLACED_TAGS:
                 raise WireError("an event was due")
 
     def on_manifest(self, fields: Fields) -> None:
+        """Read a server list that later events refer to by its slot."""
         count = _int(fields, "nodes_list")
         if count < 0:
             raise WireError(f"field nodes_list is out of range: {count}")
@@ -428,6 +470,7 @@
         self.lists[slot] = entries
 
     def on_list(self, fields: Fields) -> None:
+        """Add a server list event for an instance."""
         who = _get(fields, "who")
         scope = _get(fields, "scope")
         if scope not in KINDS:
@@ -440,23 +483,25 @@
                 raise WireError(f"field slot names no list: {slot}")
             entries = self.lists[slot]
         if who in self.instances:
-            version = _whole(fields, "stamp", 0)
-            # A failed call has waited too long, or discovery is down: both are what a refusal tells.
+            version = _optional_int(fields, "stamp", 0)
+            # A failed poll has waited too long, or discovery is down: both count as rejected after a wait.
             failure = api.DiscoveryFailure.REJECTED
             self.pending.setdefault(who, []).append(api.ServerList(kind, entries, version, failure))
 
     def flush(self, who: str) -> None:
+        """Let an instance handle its events; an exception is reported as a `fatal` line."""
         events = self.pending.pop(who)
         try:
             for action in self.instances[who].handle(self.now, events):
                 self.replies.append(write_action(who, action))
-        except Exception as fault:
+        except Exception as error:
             traceback.print_exc(file=sys.stderr)
-            text = " ".join(f"{type(fault).__name__}: {fault}".split())
+            text = " ".join(f"{type(error).__name__}: {error}".split())
             self.replies.append(f"fatal who={who} words={text}")
 
 
 def main() -> int:
+    """Serve the simulator; return the exit code: 0 at the end of input, 2 for a malformed line."""
     gc.freeze()
     gc.set_threshold(50_000, 20, 50)
     if isinstance(sys.stdin, io.TextIOWrapper):
@@ -464,9 +509,9 @@
     host = Host(sys.stdin, sys.stdout)
     try:
         host.run()
-    except (WireError, ValueError) as fault:
+    except (WireError, ValueError) as error:
         shown = host.line[:300].encode("ascii", "backslashreplace").decode()
-        print(f"gladegw: {fault} in line: {shown}", file=sys.stderr)
+        print(f"gladegw: {error} in line: {shown}", file=sys.stderr)
         return 2
     return 0
 
