--- a/gladegw/net/access_log.py
+++ b/gladegw/net/access_log.py
@@ -1,4 +1,4 @@
-"""One log line a request, for the features that promise to tell who asked."""
+"""Access log: one line a request, for the features that identify clients."""
 
 from __future__ import annotations
 
@@ -14,18 +14,22 @@
 
 
 def quoted(text: str) -> str:
-    """A peer's text in quotes, on one line and in plain characters whatever it holds."""
+    """Text of a peer as an ASCII JSON string on one line, truncated to MAX_TEXT_CHARS."""
     return json.dumps(text[:MAX_TEXT_CHARS])
 
 
 class AccessLog:
+    """Request observer that logs the end of each request whose client was identified."""
+
     def __init__(self) -> None:
         log.setLevel(logging.INFO)
 
     def on_start(self, asked: RequestInfo) -> None:
+        """Do nothing; requests are logged when they end."""
         pass
 
     def on_end(self, asked: RequestInfo, code: int | None) -> None:
+        """Log the request; `code` is None if it got no response."""
         if asked.peer is None:
             return
         log.info(
--- a/gladegw/net/background_writer.py
+++ b/gladegw/net/background_writer.py
@@ -1,4 +1,4 @@
-"""Lines that leave by a thread, so that a pipe nobody reads or a slow disk holds up no request."""
+"""Writing of lines by a thread, so that a full pipe or a slow disk does not block requests."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 class BackgroundWriter:
-    """Holds at most `most` bytes; beyond that the oldest lines are lost, and counted."""
+    """Queue of at most `max_bytes` bytes, written by a thread of its own.
+
+    If it is full, the oldest lines are dropped and counted.
+    """
 
     def __init__(self, write: Write, most: int, name: str) -> None:
         self.write, self.max_bytes = write, most
@@ -31,6 +34,7 @@
         self.thread.start()
 
     def put(self, lines: Iterable[bytes]) -> None:
+        """Append lines."""
         with self.changed:
             for line in lines:
                 self.lines.append(line)
@@ -41,6 +45,7 @@
             self.changed.notify_all()
 
     def take_dropped(self) -> int:
+        """Return the number of dropped lines and reset it."""
         with self.changed:
             lost, self.dropped = self.dropped, 0
         return lost
@@ -64,7 +69,7 @@
                 self.written += not lost
 
     def close(self, timeout: float) -> None:
-        """Writes what is held, as far as the target takes it in this time."""
+        """Write the queued lines as far as possible within `timeout` seconds."""
         with self.changed:
             self.stopping = True
             self.changed.notify_all()
@@ -72,6 +77,8 @@
 
 
 def to_descriptor(descriptor: int) -> Write:
+    """A function that writes lines to a file descriptor, complete lines at a time."""
+
     def write(lines: Sequence[bytes]) -> int:
         chunk = bytearray()
         for place, line in enumerate(lines, 1):
@@ -92,13 +99,14 @@
 
 
 class LogHandler(logging.Handler):
-    """Log lines by a writer: once figures share standard error, a full pipe must not hold up the loop."""
+    """Log handler that does not block the event loop if standard error is a full pipe."""
 
     def __init__(self, writer: BackgroundWriter) -> None:
         super().__init__()
         self.writer = writer
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Queue the formatted record."""
         try:
             self.writer.put([self.format(record).encode(errors="backslashreplace") + b"\n"])
         except Exception:
--- a/gladegw/net/drain.py
+++ b/gladegw/net/drain.py
@@ -1,4 +1,4 @@
-"""How the callers' connections end when the proxy is to be lame or to leave."""
+"""Draining of downstream connections when the proxy becomes unready or shuts down."""
 
 from __future__ import annotations
 
@@ -18,17 +18,21 @@
 
 
 class Drain:
-    """Follows the life-cycle: lame and back, or out. `owed` tells how many answers are still to be given."""
+    """Follows the life cycle: draining, ready again, or shutting down.
+
+    `has_pending` returns the number of pending responses.
+    """
 
     def __init__(self, server: DownstreamServer, has_pending: Callable[[], int]) -> None:
         self.server, self.has_pending = server, has_pending
         self.drain_task: asyncio.Task[None] | None = None
 
     def on_state(self, state: State) -> None:
-        """From whichever thread the change came."""
+        """Handle a state change; may be called from any thread."""
         self.server.loop.call_soon_threadsafe(self.follow, state)
 
     def follow(self, state: State) -> None:
+        """Start or cancel draining on the event loop."""
         if state is State.DRAINING and self.drain_task is None:
             self.drain_task = self.server.loop.create_task(self._drain())
         elif state is State.READY or state is State.STARTING:
@@ -41,7 +45,10 @@
             self.drain_task = None
 
     async def _drain(self) -> None:
-        """The process stays and its listener too: the front may still send, and a drain may be called off."""
+        """Drain while the process and its listener stay.
+
+        The load balancer in front may still send requests, and the drain may be cancelled.
+        """
         await asyncio.sleep(ACCEPT_AFTER_TERM_S)
         self.server.drain()
         self.server.close_idle()
@@ -50,8 +57,12 @@
             self.server.close_idle(time.monotonic() - UNUSED_CONNECTION_S)
 
     async def shut_down(self) -> None:
-        """Callers go on using a connection that stays open, and lose what is unanswered at the end: so each
-        answer closes its own, then the rest close, and the process ends when nothing is owed any more."""
+        """Shut down gracefully.
+
+        Clients continue to use a connection that stays open, and would lose what is pending at the end. Hence
+        each response first closes its own connection, then idle ones are closed, and the process ends when
+        nothing is pending.
+        """
         self._stop()
         server = self.server
         if not server.draining:
--- a/gladegw/net/endpoint_lists.py
+++ b/gladegw/net/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Lists of backends as discovery writes them: typed decoding, and what a list changes in the ones before."""
+"""Typed decoding of discovery's endpoint lists, and computation of what a list changes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, gc=False):
-    """A backend as an answer of discovery names it."""
+    """A backend as encoded in a discovery response."""
 
     name: str
     address: str
@@ -29,7 +29,7 @@
 
 
 class ListResponse(msgspec.Struct, frozen=True, gc=False):
-    """An answer of discovery: the whole list, or what has changed since the version that was named."""
+    """A discovery response: a full snapshot, or the changes since the requested version."""
 
     index: int
     snapshot: bool
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class ListedBackend:
-    """A backend as a list names it."""
+    """A backend of a list with its address and the balancer's entry."""
 
     name: str
     address: Address
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Listing:
-    """What a list says of backends: of all there are (`whole`), or of those that it names."""
+    """Updates from a list: of all backends (`complete`), or of those that it names."""
 
     version: int
     complete: bool
@@ -59,7 +59,10 @@
 
 
 def decode(body: bytes) -> ListResponse:
-    """An answer's body as it came; raises ValueError where it is no list."""
+    """Decode the body of a discovery response.
+
+    Raises ValueError if it is malformed.
+    """
     try:
         return _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
@@ -67,17 +70,23 @@
 
 
 def read_listing(raw: object) -> Listing:
-    """A list that was read from JSON already; raises ValueError where it can't be used."""
+    """Convert a list that was already parsed from JSON.
+
+    Raises ValueError if it is malformed.
+    """
     return EndpointInventory().adopt(raw)
 
 
 def server_id(name: str) -> int:
-    """The module's number of a backend: the same at every proxy, whose rings of backends must agree."""
+    """The balancer's number for a backend, equal at all proxies, so that their hash rings agree."""
     return int.from_bytes(blake2b(name.encode(), digest_size=6).digest(), "big")
 
 
 def listed(entry: Entry, started: float) -> ListedBackend:
-    """The entry with its figures checked; raises ValueError. `started`: s of the monotonic clock."""
+    """Convert an entry; `started` is in seconds of the monotonic clock.
+
+    Raises ValueError if a value is invalid.
+    """
     if not (entry.weight - entry.weight == 0.0 and started - started == 0.0):
         raise ValueError("malformed list: a figure is not finite")
     state = STATES.get(entry.status)
@@ -96,11 +105,11 @@
 
 
 class EndpointInventory:
-    """The list as it stands, kept so that each further one is taken as what it changes.
+    """The current endpoint list, retained to reduce each further list to its changes.
 
-    A list of thousands is read in milliseconds, but taking it, in every part of the program that follows the
-    list, costs ten times as much. While one is taken nothing else is served, and a drain that the list tells
-    has not taken hold; so only what differs is handed on.
+    Decoding a list of thousands takes milliseconds, but applying it throughout the program costs ten times as
+    much. Nothing else is served meanwhile and a drain in the list takes effect late, so only changes are
+    passed on.
     """
 
     def __init__(self) -> None:
@@ -109,7 +118,10 @@
         self.start_times = StartTimes()
 
     def apply(self, answer: ListResponse) -> Listing:
-        """What the answer changes; raises ValueError, and then nothing has changed."""
+        """Apply a response and return its changes.
+
+        Raises ValueError, in which case nothing has changed.
+        """
         first = not self.known
         changed = {
             entry.name: (entry, listed(entry, self._started(entry)))
@@ -128,26 +140,31 @@
         return Listing(answer.index, answer.snapshot and first, found)
 
     def _started(self, entry: Entry) -> float:
-        """The same told time is the same start in every list: else a step of the wall clock would look like
-        a restart."""
+        """The entry's start time, reused if the given time is unchanged.
+
+        Otherwise a step of the wall clock would look like a restart.
+        """
         before = self.entries.get(entry.name)
         if before is not None and before.since_ms == entry.since_ms:
             return self.known[entry.name].entry.started_at
         return self.start_times.monotonic(entry.since_ms) if entry.since_ms and entry.since_ms > 0 else 0.0
 
     def _removed(self, named: set[str]) -> Iterator[ListedBackend]:
-        """What a whole list does not name is gone."""
+        """Backends that a full snapshot no longer names."""
         for name, told in self.known.items():
             if name not in named:
                 yield ListedBackend(name, told.address, replace(told.entry, state=ServerState.REMOVED))
 
     def forget(self) -> None:
-        """The next whole list is handed on whole."""
+        """Reset, so that the next full snapshot is passed on complete."""
         self.entries.clear()
         self.known.clear()
 
     def adopt(self, raw: object) -> Listing:
-        """The list that a configuration holds; raises ValueError."""
+        """Apply the list that a configuration holds.
+
+        Raises ValueError if it is malformed.
+        """
         try:
             answer: ListResponse = msgspec.convert(raw, ListResponse, strict=False)
         except msgspec.MsgspecError as fault:
--- a/gladegw/net/hop_by_hop.py
+++ b/gladegw/net/hop_by_hop.py
@@ -1,4 +1,4 @@
-"""Headers that belong to one connection and are not passed on (RFC 9110, section 7.6.1)."""
+"""Header fields that belong to one connection and are not forwarded (RFC 9110, section 7.6.1)."""
 
 from __future__ import annotations
 
--- a/gladegw/net/interfaces.py
+++ b/gladegw/net/interfaces.py
@@ -1,4 +1,4 @@
-"""Who calls, and what the callers' side and the driver ask of each other."""
+"""Protocols between the downstream connections and the driver, and the data that they exchange."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class ClientIdentity:
-    """Who is at the other end of a connection, where a feature has to know."""
+    """The client at the other end of a downstream connection, as far as a feature identified it."""
 
     client: str  # address and port
     via: str | None = None  # the front's address
@@ -21,6 +21,7 @@
     subject: str | None = None  # of its certificate; None: not TLS
 
     def log_text(self) -> str:
+        """The identity as fields of a log line."""
         via = "" if self.via is None else f" via={self.via}"
         subject = "" if self.subject is None else f" client_subject={json.dumps(self.subject)}"
         return f"client={self.client}{via}{subject}"
@@ -28,7 +29,10 @@
 
 @dataclass(slots=True)
 class RequestInfo:
-    """What is known of a request whatever becomes of it: peers' text, as it came."""
+    """Attributes of a request for its observers, available however it ends.
+
+    Texts are the client's own, unvalidated.
+    """
 
     id: str
     cls: str
@@ -38,59 +42,75 @@
 
 
 class FlowControl(Protocol):
-    """Where the rest of an answer comes from, held up while the caller takes nothing."""
+    """The source of a streamed response, which is paused while the client does not read."""
 
-    def pause(self) -> None: ...
+    def pause(self) -> None:
+        """Stop delivering body bytes."""
 
-    def resume(self) -> None: ...
+    def resume(self) -> None:
+        """Deliver body bytes again."""
 
 
 class ResponseSink(Protocol):
-    """Where a call's answer goes: whole by `answer`, or served in parts by `begin`, `send`, then `finish` or
-    `abort`."""
+    """Receives the single response to a request.
+
+    It is either given complete to `answer`, or streamed by `begin`, `send`, then `finish` or `abort`.
+    """
 
     def hung_up(self) -> bool:
-        """Whether the caller has closed its connection, also where that was not read yet."""
+        """Whether the client has closed its connection, also if the event loop has not read that yet."""
         ...
 
-    def answer(self, code: int, headers: Any, body: bytes) -> None: ...
+    def answer(self, code: int, headers: Any, body: bytes) -> None:
+        """Send a complete response."""
 
-    def begin(self, headers: Any, length: int | None, source: FlowControl) -> None: ...
+    def begin(self, headers: Any, length: int | None, source: FlowControl) -> None:
+        """Start a streamed response with status 200; `length` is None if the size is unknown."""
 
-    def send(self, chunk: bytes) -> None: ...
+    def send(self, chunk: bytes) -> None:
+        """Send the next part of a streamed body."""
 
-    def finish(self) -> None: ...
+    def finish(self) -> None:
+        """End a streamed response."""
 
-    def abort(self) -> None: ...
+    def abort(self) -> None:
+        """Break off a streamed response, so that the client can tell that it is incomplete."""
 
 
 class Certificates(Protocol):
-    """What a TLS port asks for: a connection keeps the context that it began with."""
+    """Provides the current TLS context of a port; a connection retains the context that it started with."""
 
     context: ssl.SSLContext
 
 
 class ConnectionRejectedError(Exception):
-    """A connection is closed before HTTP; the message says why, if there is anything to say."""
+    """A connection is closed before HTTP; the message gives the reason and may be empty."""
 
 
 class ClientIdentifier(Protocol):
-    """Who a connection's client is, from what comes before TLS and HTTP; raises TurnedAway."""
+    """Identifies the client of a connection by what precedes TLS and HTTP."""
+
+    async def identify(self, sock: socket.socket) -> ClientIdentity:
+        """The client of an accepted socket.
 
-    async def identify(self, sock: socket.socket) -> ClientIdentity: ...
+        Raises ConnectionRejectedError if the connection is to be closed.
+        """
 
 
 class RequestHandler(Protocol):
-    """What the callers' side asks of the driver."""
+    """Handles the requests that the downstream connections receive."""
 
-    def on_request(self, request: Request, reply: ResponseSink) -> object: ...
+    def on_request(self, request: Request, reply: ResponseSink) -> object:
+        """Start handling a request; the result identifies it in later notifications."""
 
-    def on_body_complete(self, call: Any) -> None: ...
+    def on_body_complete(self, call: Any) -> None:
+        """The streamed body of the request has been received completely."""
 
-    def on_disconnect(self, call: Any) -> None: ...
+    def on_disconnect(self, call: Any) -> None:
+        """The client disconnected before the response was complete."""
 
 
 def format_address(name: Any) -> str:
-    """A socket's name as `host:port`."""
+    """A socket name as `host:port`, with IPv6 hosts in brackets."""
     host, port = name[:2]
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
--- a/gladegw/net/listener.py
+++ b/gladegw/net/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket that an older and a newer process of one proxy share, so that one replaces the other."""
+"""A listening address that an older and a newer process of one proxy share during replacement."""
 
 from __future__ import annotations
 
@@ -24,11 +24,15 @@
 
 
 def family_of(host: str) -> socket.AddressFamily:
+    """The address family of a numeric host."""
     return socket.AF_INET6 if ":" in host else socket.AF_INET
 
 
 def is_taken(host: str, port: int) -> bool:
-    """Whether some process listens there: an older one of this proxy. It is not disturbed by the look."""
+    """Whether a process listens at the address, such as an older one of this proxy.
+
+    The check does not disturb that process.
+    """
     if not port:
         return False
     with open_socket(family_of(host), socket.SOCK_STREAM) as look:
@@ -41,7 +45,10 @@
 
 
 def listen(host: str, port: int) -> socket.socket:
-    """Raises OSError. An address that a process of another kind holds is in use as ever."""
+    """Open a listening socket that later processes of this proxy can share.
+
+    Raises OSError, also if a process of another kind uses the address.
+    """
     sock = open_socket(family_of(host), socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -58,9 +65,11 @@
 
 
 def route_to_newest(sock: socket.socket) -> bool:
-    """From here on the kernel gives each new connection to the newest socket of this address. The older one's
-    queue gets nothing more, so that it can be emptied and closed without a reset. Where only one listens, the
-    number names none, and the kernel falls back to its hash."""
+    """Make the kernel assign new connections to the newest socket of the address.
+
+    The older socket's queue receives nothing more, so that it can be emptied and closed without a reset. If
+    only one socket listens, the kernel falls back to its hash. False if the system does not support this.
+    """
     if sys.platform != "linux":
         return False
     code = ctypes.create_string_buffer(struct.pack("HBBI", BPF_RETURN, 0, 0, NEWEST))
@@ -74,9 +83,11 @@
 
 
 def received_before_accept(sock: socket.socket) -> tuple[float, int]:
-    """How long ago, in s, a connection to which nothing was sent yet came up, and how many bytes came on it
-    (Linux, `struct tcp_info`: the time of the last sending begins with the connection). Where the kernel
-    doesn't tell: that it came just now."""
+    """The age of a connection to which nothing was sent, in seconds, and the number of bytes received on it.
+
+    Source: `struct tcp_info` of Linux, where the time of the last transmission starts with the connection.
+    Zeros if this cannot be determined.
+    """
     with contextlib.suppress(OSError, AttributeError):
         told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
         if len(told) == TCP_INFO_BYTES:
@@ -87,7 +98,7 @@
 
 
 def waiting(sock: socket.socket) -> list[socket.socket]:
-    """The connections that came and were not accepted yet; the listener may be closed after it."""
+    """Accept all queued connections; the listener may be closed afterwards."""
     found = []
     with contextlib.suppress(OSError):
         while True:
--- a/gladegw/net/load_reports.py
+++ b/gladegw/net/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of backends, as they come."""
+"""Load reports that backends attach to their responses."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 def read_report(text: bytes) -> dict[str, float] | None:
-    """`inflight=7,queue=2` under the module's names; None where it holds nothing usable."""
+    """Parse a report such as `inflight=7,queue=2` into the balancer's field names.
+
+    Values that are not finite are skipped. None if the report is malformed or empty.
+    """
     report = {}
     try:
         for pair in text.decode("ascii").strip().split(","):
--- a/gladegw/net/request.py
+++ b/gladegw/net/request.py
@@ -1,4 +1,4 @@
-"""A request as it is taken: read from its parts by the platform's rules, and routed where routes are on."""
+"""Validation of a request's head by the platform's rules, and the resulting request."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedRequest:
-    """What a route makes of a request."""
+    """The result of routing a request."""
 
     cls: str  # empty: the first part of the path
     target: bytes
@@ -41,7 +41,7 @@
     epoch: int | None = None  # of the policy, where there are policies
 
     def capture_fields(self, pool: str) -> dict[str, Any]:
-        """What a record needs so that the table can be asked again."""
+        """Fields of a capture record from which the routing decision can be replayed."""
         ask = self.ask
         epoch = {} if self.epoch is None else {"epoch": self.epoch}
         return epoch | {
@@ -63,7 +63,10 @@
 
 
 class Router(Protocol):
-    """Raises BadRequest for what a route answers by itself, and for what no route takes."""
+    """Selects the route of a request.
+
+    Raises BadRequestError for a response that a route gives itself, and if no route matches.
+    """
 
     def __call__(
         self, method: bytes, target: bytes, headers: Headers, budget: float, source: Callable[[], str]
@@ -72,7 +75,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request that has come whole and well formed."""
+    """A request that was received and is valid."""
 
     id: bytes
     cls: str
@@ -90,7 +93,7 @@
     routed: RoutedRequest | None = None  # where routes are on
 
     def framing(self) -> bytes:
-        """The header by which a backend knows where the body ends."""
+        """The header line that delimits the body towards a backend."""
         if self.bodyless:
             return b""
         length = len(self.body) if self.upload is None else self.upload.length
@@ -98,7 +101,7 @@
 
 
 class BadRequestError(Exception):
-    """An answer that the proxy gives by itself: the request can't be taken, or a route answers it."""
+    """A response that the proxy gives itself: the request is invalid, or a route answers it."""
 
     def __init__(self, code: int, text: str, headers: tuple[tuple[bytes, bytes], ...] = ()) -> None:
         super().__init__(text)
@@ -113,7 +116,10 @@
 
 
 def named_by_connection(headers: Headers) -> set[bytes]:
-    """Headers meant for this hop alone (RFC 9110, section 7.6.1); what the platform's rules rest on stays."""
+    """Header fields that `Connection` declares as hop-by-hop (RFC 9110, section 7.6.1).
+
+    Fields that the platform's rules rely on are exempt.
+    """
     named: set[bytes] = set()
     for name, value in headers:
         if name == b"connection" and value.lower() not in (b"close", b"keep-alive"):
@@ -122,11 +128,12 @@
 
 
 def origin_form(target: bytes) -> bytes:
-    """A target that names its host too (RFC 9112, section 3.2.2) without that."""
+    """The request target without scheme and host (RFC 9112, section 3.2.2)."""
     return (ABSOLUTE.sub(b"", target, count=1) or b"/") if target[:1] != b"/" else target
 
 
 def class_of(target: bytes) -> str:
+    """The request class that a target names: the first segment of its path."""
     return target[1:].split(b"?", 1)[0].split(b"/", 1)[0].decode("latin-1")
 
 
@@ -139,8 +146,11 @@
     router: Router | None = None,
     source: Callable[[], str] = str,
 ) -> Request:
-    """A request without its body. Raises BadRequest; the rules that need a second look stand here, not in the
-    parser."""
+    """Validate a request's head and return the request without its body.
+
+    `received_at` is in seconds of the monotonic clock. Raises BadRequestError for an invalid request and for
+    a response that a route gives itself.
+    """
     target = origin_form(target)
     if not target.startswith(b"/"):
         raise BadRequestError(400, "the target is not a path")
--- a/gladegw/net/route_actions.py
+++ b/gladegw/net/route_actions.py
@@ -1,4 +1,4 @@
-"""What a route makes of a request's target and headers, and the answers that it gives by itself."""
+"""Changes that a route makes to a request's target and headers, and responses of routes."""
 
 from __future__ import annotations
 
@@ -7,11 +7,13 @@
 
 
 def fixed(answer: Answer) -> BadRequestError:
+    """The fixed response that a route gives."""
     headers = ((b"retry-after", b"%.3f" % answer.retry_after),) if answer.retry_after else ()
     return BadRequestError(answer.code, answer.body or "answered by a route", headers)
 
 
 def redirected(redirect: Redirect, ask: Ask) -> BadRequestError:
+    """The redirect that a route gives."""
     query = f"?{ask.query_text}" if ask.query_text else ""
     location = redirect.location.replace("{path}", ask.path).replace("{query}", query)
     headers = ((b"location", location.encode("latin-1", "replace")),)
@@ -19,6 +21,7 @@
 
 
 def edit(headers: Headers, route: Route) -> Headers:
+    """The headers with the route's edits applied."""
     edits = route.edits
     gone = {name.encode() for name, _ in edits.put} | {name.encode() for name in edits.drop}
     more = [(name.encode(), value.encode("latin-1")) for name, value in (*edits.put, *edits.add)]
@@ -26,7 +29,7 @@
 
 
 def rewritten(rewrite: str, matched: str, ask: Ask) -> str:
-    """The matched prefix, or the whole of an exact path, gives way."""
+    """The target with the matched prefix, or the complete matched path, replaced."""
     rest = ask.path[len(matched) :]
     path = (rewrite.rstrip("/") + rest if rest else rewrite) or "/"
     return path + (f"?{ask.query_text}" if ask.query_text else "")
--- a/gladegw/net/route_tables.py
+++ b/gladegw/net/route_tables.py
@@ -1,4 +1,4 @@
-"""A text of routes to a table that can be served."""
+"""Construction of a serving route table from its text."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 def prepared(text: str, file: str, classes: Sequence[api.RequestClass]) -> Table:
-    """Text to a table that can be served; raises RoutingError."""
+    """Parse and check a route text, and return its table.
+
+    Raises RoutingError.
+    """
     description = read_text(text, file, ("expect",))
     table = Table(description)
     rules = {
@@ -34,7 +37,10 @@
 
 
 def unhashed(description: Description) -> list[Finding]:
-    """What needs a hash whose library is missing: told when the table is read, not at the first request."""
+    """Findings for features that need a hash function whose library is missing.
+
+    They are reported when the table is read, rather than at the first request.
+    """
     mirrors = [route.place for route in description.routes if route.mirror and route.mirror.share < 1]
     places = mirrors + [route.place for route in description.routes if route.split is not None]
     places += [pool.place for pool in description.pools if pool.subset]
@@ -48,6 +54,10 @@
 
 
 def read_file(path: str) -> str:
+    """Read a file as UTF-8.
+
+    Raises ConfigError.
+    """
     try:
         return Path(path).read_bytes().decode("utf-8")
     except (OSError, UnicodeDecodeError) as fault:
--- a/gladegw/net/shared_resources.py
+++ b/gladegw/net/shared_resources.py
@@ -1,4 +1,4 @@
-"""What the pools of one proxy share, and the record of one request that is owed its answer."""
+"""Resources that the pools of one proxy share, and the state of a pending request."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class PendingRequest:
-    """A taken request that is owed its answer."""
+    """An accepted request whose response is pending."""
 
     __slots__ = (
         "attempts",
@@ -52,7 +52,7 @@
 
 
 def open_descriptors() -> int:
-    """Those that this process has open now; 0 where the system does not tell."""
+    """The number of file descriptors that this process has open; 0 if this cannot be determined."""
     try:
         return len(os.listdir("/proc/self/fd"))
     except OSError:
@@ -60,7 +60,7 @@
 
 
 class SharedResources:
-    """What the pools of one proxy share: connections to backends, the names of open calls, their numbers."""
+    """Upstream connections, identifiers of open requests, counters and buffers that all pools share."""
 
     def __init__(self, config: Config) -> None:
         settings = config.settings
@@ -73,11 +73,11 @@
         self.last_call = 0
 
     def listed(self) -> list[tuple[int, bool]]:
-        """Backends by number, and whether each is sent to; asked from the agent's thread."""
+        """Backends by number, and whether each receives requests; called from the fleet member's thread."""
         return [(server, upstream.serving) for server, upstream in list(self.upstreams.by_id.items())]
 
     def backends(self, avoided: AbstractSet[int]) -> BackendCounts:
-        """For operators; asked from their thread."""
+        """Counts of backends for operators; called from the thread of the admin interface."""
         listed = list(self.upstreams.by_id.items())
         skipped = sum(1 for server, upstream in listed if not upstream.serving or server in avoided)
         return BackendCounts(len(listed), skipped)
--- a/gladegw/net/sockets.py
+++ b/gladegw/net/sockets.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a connection and the event loop has not told yet."""
+"""Kernel state of a connection that the event loop does not report."""
 
 from __future__ import annotations
 
@@ -20,8 +20,10 @@
 
 
 def open_socket(family: socket.AddressFamily, kind: int) -> socket.socket:
-    """A socket, for the start of the process: it waits (blocking, up to OPEN_TRIES times OPEN_PAUSE seconds)
-    while the system is out of what it needs, which passes (socket(2)). Raises OSError."""
+    """Open a socket at the start of the process, waiting while system resources are exhausted.
+
+    Blocks for up to MAX_OPEN_ATTEMPTS times OPEN_RETRY_INTERVAL_S seconds. Raises OSError.
+    """
     for _ in range(MAX_OPEN_ATTEMPTS - 1):
         try:
             return socket.socket(family, kind)
@@ -39,7 +41,7 @@
 
 
 def peer_has_closed(fileno: int) -> bool:
-    """Whether the peer has closed its side, also behind bytes that were not read yet."""
+    """Whether the peer has closed its side, also if unread bytes precede the close."""
     events = _events(fileno)
     if events & HUNG_UP:
         return True
@@ -47,12 +49,12 @@
 
 
 def has_unread(fileno: int) -> bool:
-    """Whether bytes, or the peer's close, wait to be read."""
+    """Whether bytes, or the peer's close, can be read."""
     return bool(_events(fileno))
 
 
 def all_acknowledged(fileno: int) -> bool:
-    """Whether the peer's system has all that was written; False where this system does not tell."""
+    """Whether the peer's system acknowledged all written bytes; False if this cannot be determined."""
     try:
         answer = fcntl.ioctl(fileno, termios.TIOCOUTQ, bytes(UNSENT.size))
     except OSError:
@@ -62,7 +64,7 @@
 
 
 def time_since_data(connection: socket.socket) -> float:
-    """Seconds since data last came on it (Linux); 0 where the system does not tell."""
+    """Seconds since data was last received on the connection (Linux); 0 if this cannot be determined."""
     try:
         told = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_RECEIVED_END)
     except OSError:
@@ -74,7 +76,7 @@
 
 
 def _at_end(fileno: int) -> bool:
-    """Whether the next read finds the end of the stream."""
+    """Whether the next read returns the end of the stream."""
     borrowed = socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=fileno)
     try:
         return borrowed.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
--- a/gladegw/net/timing.py
+++ b/gladegw/net/timing.py
@@ -1,5 +1,8 @@
-"""How requests ended and how long they took, by class, whoever answered them: also routes by themselves and a
-missing route, which are what a bad table does. For rollouts; imported with the block `rollout` alone."""
+"""Outcomes and durations of requests by class, for rollouts.
+
+Responses that routes give themselves and requests without a route count too, since an invalid route table
+causes them. Imported only if the block `rollout` is configured.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,10 @@
 
 
 class RequestTiming:
-    """Read from the agent's thread: figures that may be one step apart."""
+    """Request observer with cumulative counters.
+
+    Read from the fleet member's thread, so counters may be one update apart.
+    """
 
     def __init__(self, classes: Iterable[RequestClass]) -> None:
         self.objectives = {cls.name: cls.latency_objective for cls in classes}
@@ -22,9 +28,11 @@
         self.ends = {cls: OutcomeCounts() for cls in self.durations}
 
     def on_start(self, asked: RequestInfo) -> None:
+        """Do nothing; requests are counted when they end."""
         pass
 
     def on_end(self, asked: RequestInfo, code: int | None) -> None:
+        """Count the request; `code` is None if it got no response."""
         if asked.cls not in self.durations:
             return
         self.ends[asked.cls].add(code)
@@ -35,7 +43,7 @@
             self.late[asked.cls] += took > self.objectives[asked.cls]
 
     def counters(self) -> dict[str, int]:
-        """Microseconds and counts, which only grow."""
+        """Cumulative counters; durations are in microseconds."""
         told = {f"took.{cls}": round(1e6 * took) for cls, took in self.durations.items()}
         for cls, ends in self.ends.items():
             told |= {
--- a/gladegw/net/upload.py
+++ b/gladegw/net/upload.py
@@ -1,4 +1,4 @@
-"""The body of a request that is passed on while it comes."""
+"""The body of a request that is streamed to a backend while it is received."""
 
 from __future__ import annotations
 
@@ -7,8 +7,11 @@
 
 
 class RequestBody:
-    """Bytes between a caller and one backend at a time. What no backend has taken is held, so that another
-    can be tried; the caller is not read meanwhile (`moved` is told when all is taken)."""
+    """Buffer of body bytes between a client and one backend at a time.
+
+    Bytes that no backend has taken are retained, so that another backend can be tried. The client is not read
+    meanwhile: `on_progress` is called when the buffer has been emptied.
+    """
 
     __slots__ = ("chunks", "complete", "length", "on_progress", "on_release", "reader", "released", "size")
 
@@ -24,21 +27,24 @@
 
     @property
     def waiting(self) -> bool:
+        """Whether the buffer holds bytes."""
         return bool(self.chunks)
 
     def feed(self, chunk: bytes) -> None:
+        """Append received bytes."""
         self.size += len(chunk)
         self.chunks.append(chunk)
         if self.reader is not None:
             self.reader()
 
     def end(self) -> None:
+        """Mark the body as complete."""
         self.complete = True
         if self.reader is not None:
             self.reader()
 
     def take(self) -> bytes | None:
-        """The next bytes, which from here on are not held any more; None: there are none now."""
+        """Remove and return the next bytes, or None if there are none at present."""
         if not self.chunks:
             return None
         if not self.released:
@@ -51,7 +57,7 @@
         return chunk
 
     def drop(self) -> None:
-        """Nobody wants the rest."""
+        """Discard the buffer and its consumers; the rest of the body is not needed."""
         self.reader = self.on_release = None
         self.chunks.clear()
         self.on_progress()
--- a/gladegw/net/wallclock.py
+++ b/gladegw/net/wallclock.py
@@ -1,5 +1,4 @@
-"""Times that others tell by the wall clock, on this process's monotonic one, though the wall clock may be
-stepped."""
+"""Conversion of wall-clock times to the monotonic clock, robust against steps of the wall clock."""
 
 from __future__ import annotations
 
@@ -10,14 +9,18 @@
 
 
 class StartTimes:
-    """When servers started. A told time may be by the clock before a step or after it; of the readings that
-    do not lie ahead, the latest is taken: a server is then never thought warmer than it is."""
+    """Converts start times of servers to the monotonic clock.
+
+    A given time may have been taken before or after a step of the wall clock. Of the possible readings that
+    are not in the future the latest is used, so that a server is never assumed to be further through its slow
+    start than it is.
+    """
 
     def __init__(self) -> None:
         self.offsets = [time.time() - time.monotonic()]  # of the wall clock against the monotonic one, s
 
     def monotonic(self, since_ms: float) -> float:
-        """Seconds of the monotonic clock, above 0, at a told Unix time in milliseconds."""
+        """Seconds of the monotonic clock, above 0, for a Unix time in milliseconds."""
         now = time.monotonic()
         self._check_step(now)
         readings = [since_ms / 1000 - offset for offset in self.offsets]
