--- a/gladegw/net/acceptor.py
+++ b/gladegw/net/acceptor.py
@@ -1,4 +1,4 @@
-"""Lets callers in: listeners, the bound on descriptors, and what comes before HTTP."""
+"""Accepting of downstream connections: listeners, the descriptor limit, and what precedes HTTP."""
 
 from __future__ import annotations
 
@@ -37,8 +37,11 @@
 
 
 class Acceptor:
-    """Accepts while fewer than `most` descriptors are `held`. Near that bound `evict` ends so many of them
-    that give way, if there are such. `make` is what a connection becomes."""
+    """Accepts connections while fewer than `max_descriptors` descriptors are in use.
+
+    Near that limit `evict` is called with the number of connections to evict. `make_protocol` creates the
+    protocol of an accepted connection.
+    """
 
     def __init__(
         self,
@@ -66,27 +69,35 @@
         self.last_logged = 0.0
 
     def listen(self, host: str, port: int, certificates: Certificates | None = None) -> None:
-        """Raises OSError."""
+        """Listen at an address, with TLS if `certificates` are given.
+
+        Raises OSError.
+        """
         sock = listener.listen(host, port)
         self.listeners[sock] = certificates
         self.loop.add_reader(sock, self._accept, sock)
 
     @property
     def descriptors_in_use(self) -> int:
-        """Descriptors that callers hold."""
+        """The number of descriptors of downstream connections."""
         return self.connections_open() + len(self.handshakes)
 
     def reserve_descriptor(self) -> bool:
-        """Whether one more descriptor may be taken. Near the bound it is the place of one that gives way,
-        which leaves in the loop's next turn, or of a caller that will be refused."""
+        """Whether one more descriptor may be used.
+
+        Near the limit it replaces that of an evicted connection, which closes in the next iteration of the
+        event loop, or belongs to a client whose request will be shed.
+        """
         taken = self.descriptors_in_use
         if taken >= self.max_served:
             self.evict(1)
         return taken < self.max_descriptors
 
     def _accept(self, sock: socket.socket) -> None:
-        """While places are wanted, who waited here without the bytes of a true caller is closed unread, so
-        that the others don't wait for places behind it; who is let in takes the place of one that gives way.
+        """Accept queued connections.
+
+        Near the limit, queued connections that lag as those of a connection flood do are closed unread, so
+        that other clients do not wait behind them; each one accepted replaces an evicted one.
         """
         taken = before = self.descriptors_in_use
         looked, full = 0, False
@@ -124,24 +135,27 @@
         return None
 
     def _log_fault(self, fault: OSError) -> None:
+        """Log a fault of accepting, at most once in LOG_INTERVAL_S."""
         if time.monotonic() > self.last_logged + LOG_INTERVAL_S:
             self.last_logged = time.monotonic()
             log.warning("connections can't be accepted: %s", fault)
 
     def _pause_listener(self, sock: socket.socket) -> None:
+        """Stop accepting from a listener for RESUME_INTERVAL_S, or until a connection ends."""
         if sock not in self.paused:
             self.paused.add(sock)
             self.loop.remove_reader(sock)
             self.loop.call_later(RESUME_INTERVAL_S, self.resume)
 
     def resume(self) -> None:
-        """Some connection has ended, or it is time to look again."""
+        """Accept from the paused listeners again."""
         resting, self.paused = self.paused, set()
         for sock in resting:
             if sock in self.listeners:
                 self.loop.add_reader(sock, self._accept, sock)
 
     def _admit(self, caller: socket.socket, certificates: Certificates | None, accepted_at: float) -> None:
+        """Start the handshake of an accepted socket."""
         caller.setblocking(False)
         task = self.loop.create_task(self._handshake(caller, certificates, accepted_at))
         self.handshakes.add(task)
@@ -155,7 +169,7 @@
     async def _handshake(
         self, sock: socket.socket, certificates: Certificates | None, accepted_at: float
     ) -> None:
-        """All that comes before HTTP, within the time of a first request."""
+        """Perform everything that precedes HTTP, within the timeout of a first request."""
         handed_on = False
         told = "unknown"
         peer: ClientIdentity | None = None
@@ -192,8 +206,10 @@
                 sock.close()
 
     async def close(self) -> None:
-        """What the kernel has let in already is served, as far as there is room: closing a listener resets
-        what is in its queue."""
+        """Close the listeners after accepting queued connections as far as capacity allows.
+
+        Closing a listener resets the connections in its queue.
+        """
         end = time.monotonic() + FINAL_ACCEPT_S
         for sock, certificates in self.listeners.items():
             if sock not in self.paused:
--- a/gladegw/net/downstream/connection.py
+++ b/gladegw/net/downstream/connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: HTTP/1.1 requests in, and the one answer of each out."""
+"""Downstream connection: parses HTTP/1.1 requests and writes exactly one response to each."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """One caller's connection: requests one after another, each with exactly one answer."""
+    """One downstream connection, whose requests are answered one after another."""
 
     def __init__(self, server: DownstreamServer, peer: ClientIdentity | None, came: float) -> None:
         self.server, self.peer = server, peer
@@ -70,6 +70,7 @@
 
     # transport callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection (called by the event loop)."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
         self.transport.set_write_buffer_limits(high=len(self.server.scratch))
         if self.peer is not None and transport.get_extra_info("ssl_object") is not None:
@@ -77,6 +78,7 @@
         self.server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Unregister the connection and cancel its open request (called by the event loop)."""
         self.transport = None
         self.closing = True
         self._forget()
@@ -89,12 +91,14 @@
             self.server.handler.on_disconnect(call)
 
     def pause_writing(self) -> None:
+        """The write buffer is full: pause the response's source and reading."""
         self.full = True
         if self.source is not None:
             self.source.pause()
         self._flow()
 
     def resume_writing(self) -> None:
+        """The write buffer has drained: resume the response's source and reading."""
         self.full = False
         self.changed_at = time.monotonic()
         if self.source is not None:
@@ -102,8 +106,11 @@
         self._flow()
 
     def _flow(self) -> None:
-        """Nothing more is read from a peer that reads nothing, that is ahead of its answers, or whose body is
-        not taken."""
+        """Pause or resume reading.
+
+        Paused if the peer does not read, has sent requests ahead of its responses, or sends a body faster
+        than the backend takes it.
+        """
         if self.transport is None or self.transport.is_closing() or (self.closing and not self.discarding):
             return
         upload = self.incoming.upload if self.incoming is not None else None
@@ -126,10 +133,11 @@
                 self.request_deadline.resume(time.monotonic())
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """One for all: what is read is parsed before another connection reads."""
+        """The buffer that all connections share, parsed before another connection reads."""
         return self.server.scratch
 
     def buffer_updated(self, size: int) -> None:
+        """Parse received bytes."""
         if self.closing and not self.discarding:
             return
         self.changed_at = time.monotonic()
@@ -147,7 +155,7 @@
         self._answer_next()
 
     def _on_malformed(self, fault: Exception) -> None:
-        """What comes can't be followed any further."""
+        """Respond to input that cannot be parsed any further."""
         coming, self.incoming = self.incoming, None
         if coming is not None and coming.upload is not None:
             self.abort_connection()  # its answer, if it has one yet, is of a request that nobody made
@@ -162,6 +170,7 @@
 
     # parser callbacks
     def on_message_begin(self) -> None:
+        """Reset the state for a new request (called by the parser)."""
         self.receiving = True
         if self.had_request:
             self.request_started_at, self.received = self.changed_at, 0
@@ -171,20 +180,27 @@
         self.head_size = self.body_size = self.raw_size = 0
 
     def on_url(self, part: bytes) -> None:
+        """Append a part of the target (called by the parser)."""
         self.target += part
         self._count_head(len(part))
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Append a header field (called by the parser)."""
         self._count_head(len(name) + len(value))
         if self.incoming is None:  # what comes behind a body is no header of the request
             self.headers.append((name.lower(), value.strip(b" \t")))  # the parser leaves what follows
 
     def _count_head(self, size: int) -> None:
+        """Check the size of the head; raises BadRequestError."""
         self.head_size += size
         if self.head_size > MAX_HEAD_BYTES:
             raise BadRequestError(400, "headers too large")
 
     def on_headers_complete(self) -> None:
+        """Validate the head and prepare for the body (called by the parser).
+
+        Raises BadRequestError.
+        """
         parser, now = self.parser, time.monotonic()
         method = parser.get_method()
         turn = PendingResponse(None)
@@ -232,6 +248,10 @@
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, chunk: bytes) -> None:
+        """Buffer or stream a part of the body (called by the parser).
+
+        Raises BadRequestError.
+        """
         turn = self.incoming
         assert turn is not None
         self.body_size += len(chunk)
@@ -257,6 +277,7 @@
                 self.waiting.append(turn)
 
     def on_message_complete(self) -> None:
+        """Queue the complete request, or end its streamed body (called by the parser)."""
         turn, self.incoming = self.incoming, None
         assert turn is not None
         self.receiving = False
@@ -282,20 +303,24 @@
         self.waiting.append(turn)
 
     def _waited_unread(self) -> float:
-        """How long the last bytes that came were in the kernel (seconds): the peer's time runs since then,
-        also while this process stood still or the connection waited to be accepted."""
+        """Seconds that the last received bytes spent in the kernel.
+
+        The client's budget runs since then, also while this process was stalled or the connection waited to
+        be accepted.
+        """
         if self.transport is None or self.transport.is_closing():
             return 0.0
         return min(time_since_data(self.transport.get_extra_info("socket")), MAX_UNREAD_S)
 
     def _source(self) -> str:
-        """The client's address, for routes that ask for it."""
+        """The client's address, for routes that match it."""
         if self.peer is not None:
             return self.peer.client.rpartition(":")[0].strip("[]")
         name = self.transport.get_extra_info("peername") if self.transport is not None else None
         return str(name[0]) if name else ""
 
     def _request_info(self) -> RequestInfo | None:
+        """Attributes of the current request for observers; None if there are no observers."""
         if not self.server.observers:
             return None
         told = dict(self.headers)
@@ -308,14 +333,14 @@
         )
 
     def _forget(self) -> None:
-        """What waits behind the open request is not answered any more."""
+        """Discard the requests queued behind the open one."""
         for turn in self.waiting:
             if turn.received and isinstance(turn.request, Request):
                 self.server.counters.on_ended(turn.request.cls, None)
         self.waiting.clear()
 
     def _on_request_end(self, turn: PendingResponse, code: int | None) -> None:
-        """The one place where the end of a request is told."""
+        """Count the end of a request and notify the observers."""
         ledger = self.server.counters
         if isinstance(turn.request, Request) and (turn.received or code is not None):
             if not turn.received:  # it was answered before it had come whole
@@ -327,6 +352,7 @@
 
     # answers
     def _answer_next(self) -> None:
+        """Start the next queued request unless one is open."""
         while self.waiting and self.current is None and self.transport is not None:
             turn = self.current = self.waiting.popleft()
             request = turn.request
@@ -357,16 +383,17 @@
         self._flow()
 
     def _open_response(self) -> PendingResponse:
-        """Whoever asks for a second answer gets an exception, not a byte."""
+        """The pending response; raises RuntimeError if the request was already answered."""
         if self.current is None or self.source is not None:
             raise RuntimeError("a request has one answer")
         return self.current
 
     def _has_more_pending(self) -> bool:
-        """Whether a request behind the open one was read, or came before this side ceased to read."""
+        """Whether a further request was read, or arrived before the drain stopped reading."""
         return bool(self.waiting) or (time.monotonic() < self.server.reads_until and self.unread)
 
     def _head(self, turn: PendingResponse, code: int, headers: Any, length: int | None) -> bytes:
+        """The head of a response, which also decides whether the connection persists."""
         if turn is self.incoming or (
             (turn.close_after or self.server.closes_after_response) and not self._has_more_pending()
         ):
@@ -377,7 +404,7 @@
         return response_head(turn, code, headers, length)
 
     def answer(self, code: int, headers: Any, body: bytes) -> None:
-        """The one answer to the open request, whole."""
+        """Send a complete response to the open request."""
         turn = self._open_response()
         if self.transport is not None:
             head = self._head(turn, code, headers, len(body))
@@ -385,7 +412,7 @@
         self._answered(turn, code)
 
     def begin(self, headers: Any, length: int | None, source: FlowControl) -> None:
-        """The one answer, served, whose body follows by `send` until `finish` or `abort`."""
+        """Start a streamed response with status 200, continued by `send` until `finish` or `abort`."""
         turn = self._open_response()
         self.source = source
         if self.transport is not None:
@@ -394,11 +421,13 @@
             source.pause()
 
     def send(self, chunk: bytes) -> None:
+        """Send the next part of a streamed body."""
         if self.transport is not None and chunk:
             self.changed_at = time.monotonic()
             self.transport.write(b"%x\r\n%b\r\n" % (len(chunk), chunk) if self.chunked else chunk)
 
     def finish(self) -> None:
+        """End the streamed response."""
         turn = self.current
         if turn is not None:
             if self.chunked and self.transport is not None:
@@ -406,8 +435,11 @@
             self._answered(turn, 200)
 
     def hung_up(self) -> bool:
-        """Whether the caller has closed its connection. The kernel is asked: where the loop reads nothing, or
-        has not come round to it, the close would be learned too late."""
+        """Whether the client has closed its connection.
+
+        The kernel is queried, since the event loop may not be reading, or may not have processed the close
+        yet.
+        """
         if self.transport is None or self.transport.is_closing():
             return True
         if not peer_has_closed(self.transport.get_extra_info("socket").fileno()):
@@ -416,13 +448,17 @@
         return True
 
     def abort(self) -> None:
-        """The rest does not come. The caller sees it: neither the length nor the last chunk is there."""
+        """Break off the streamed response.
+
+        The client can tell, since neither the full length nor the last chunk was sent.
+        """
         turn, self.current, self.source, self.call = self.current, None, None, None
         if turn is not None:
             self._on_request_end(turn, 502)
         self.abort_connection()
 
     def _answered(self, turn: PendingResponse, code: int) -> None:
+        """Complete the open request and continue, or close the connection."""
         self.current = self.call = self.source = None
         self._on_request_end(turn, code)
         transport = self.transport
@@ -444,9 +480,12 @@
             self._flow()
 
     def _finish(self, read_out: bool = False) -> None:
-        """The last answer has been written. The peer may still be sending, and closing over unread bytes
-        resets the connection, which can take the answer with it: first only this side ends (RFC 9112,
-        section 9.6). A request that comes now is not read, so that its sender knows that it may repeat it."""
+        """Close the connection after its last response, which the peer must be able to read.
+
+        The peer may still be sending, and closing with unread bytes resets the connection, which can destroy
+        the response. Hence only the sending side is closed first (RFC 9112, section 9.6). A request that
+        arrives now is not read, so that the client knows that it may repeat it.
+        """
         self.closing, self.discarding = True, False
         self._forget()
         transport = self.transport
@@ -461,8 +500,10 @@
         self._linger(time.monotonic() + LINGER_S)
 
     def _linger(self, until: float) -> None:
-        """Until the peer has closed too, or has had its time to, from when its answer has gone out. Where its
-        place is wanted, until that has arrived."""
+        """Close once the peer has closed, or LINGER_S after the response was written.
+
+        If the server is overloaded and the request was shed, close once the response was acknowledged.
+        """
         transport = self.transport
         if transport is None or transport.is_closing():
             return
@@ -479,6 +520,7 @@
 
     @property
     def stage(self) -> ConnectionStage:
+        """The stage of the connection, for the eviction policy."""
         if self.current is not None or self.waiting:
             return ConnectionStage.PENDING
         if self.closing and not self.discarding:
@@ -487,14 +529,14 @@
 
     @property
     def unread(self) -> bool:
-        """Whether bytes have come that were not read yet: then nothing can be said of what is due."""
+        """Whether received bytes were not read yet, so that it is unknown whether a request is pending."""
         if self.transport is None or self.transport.is_closing():
             return False
         return has_unread(self.transport.get_extra_info("socket").fileno())
 
     @property
     def delivered(self) -> bool:
-        """Whether a close now takes nothing with it: all that was written has arrived."""
+        """Whether closing now loses nothing: all written bytes were acknowledged."""
         if self.transport is None or self.transport.is_closing():
             return True
         fileno = self.transport.get_extra_info("socket").fileno()
@@ -504,14 +546,17 @@
         return written and not has_unread(fileno)
 
     def overdue(self, now: float) -> bool:
-        """Whether a request that is awaited does not come; not where another is owed its answer."""
+        """Whether the awaited request missed its deadline; False while another response is pending."""
         if self.current is not None and self.current is not self.incoming:
             return False
         return self.request_deadline.due_at < now and not self.waiting
 
     def close(self) -> None:
-        """Ends it where no answer is owed. What comes from now on is not read, so that its sender may repeat
-        it; but where an answer has just gone out, that must not be lost by it."""
+        """Close the connection if no response is pending.
+
+        Bytes that arrive from now on are not read, so that the client may repeat its request. A response sent
+        just before must not be lost, so that the connection then lingers.
+        """
         if self.transport is None or (self.closing and not self.discarding):
             return
         if self.had_request and time.monotonic() < self.changed_at + LINGER_S:
@@ -521,7 +566,7 @@
         self.transport.close()
 
     def abort_connection(self) -> None:
-        """Whatever is still to be written is dropped, so that the descriptor is free at once."""
+        """Close immediately and discard unwritten bytes, which frees the descriptor."""
         self.closing, self.discarding = True, False
         if self.transport is not None:
             self.transport.abort()
--- a/gladegw/net/downstream/pending_response.py
+++ b/gladegw/net/downstream/pending_response.py
@@ -1,4 +1,4 @@
-"""One request as it waits for its answer, and the head of that answer."""
+"""A received message whose response is pending, and the head of that response."""
 
 from __future__ import annotations
 
@@ -32,7 +32,10 @@
 
 
 class PendingResponse:
-    """One message as it waits for its answer. `what`: None asks whether the proxy is ready."""
+    """A message whose response is pending.
+
+    `request` is None for a readiness check.
+    """
 
     __slots__ = ("bodyless", "close_after", "http_1_0", "info", "keep_alive", "received", "request", "upload")
 
@@ -50,7 +53,10 @@
 def response_head(
     turn: PendingResponse, code: int, headers: Iterable[tuple[bytes, bytes]], length: int | None
 ) -> bytes:
-    """The status line and headers of an answer. Without a length it comes in chunks, or until close."""
+    """The status line and headers of a response.
+
+    Without a length the body is chunked, or ends with the connection for HTTP/1.0.
+    """
     parts = [b"HTTP/1.1 %d %s\r\n" % (code, REASONS.get(code, b"Status"))]
     parts += [name + b": " + value + b"\r\n" for name, value in headers]
     if length is not None:
--- a/gladegw/net/downstream/server.py
+++ b/gladegw/net/downstream/server.py
@@ -1,4 +1,4 @@
-"""The callers' side: the connections that are open, and how they end."""
+"""The set of downstream connections, their limits and their closing."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class DownstreamServer:
-    """What the callers' connections share; `most_open` bounds them."""
+    """State that the downstream connections share; `max_connections` limits their number."""
 
     def __init__(
         self,
@@ -56,34 +56,37 @@
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def drain(self) -> None:
-        """From here on answers end their connections; what is already on its way is still read."""
+        """Make each further response the last on its connection.
+
+        Requests that are already in transit are still read.
+        """
         if not self.draining:
             self.draining = True
             self.reads_until = time.monotonic() + READ_AFTER_DRAIN_S
 
     def resume(self) -> None:
-        """The drain was called off."""
+        """Cancel the drain."""
         self.draining = False
         self.reads_until = math.inf
 
     @property
     def closes_after_response(self) -> bool:
-        """Whether an answer is the last on its connection, for this side's reasons."""
+        """Whether the server wants connections to close after their next response."""
         return self.draining or len(self.connections) >= CLOSE_AFTER_RESPONSE_FRACTION * self.max_connections
 
     @property
     def is_overloaded(self) -> bool:
-        """Whether callers wait for the places of others."""
+        """Whether new clients wait for connections of others to close."""
         return len(self.connections) >= self.acceptor.max_served
 
     @property
     def has_pending(self) -> bool:
-        """Whether a request that was read has not got its answer."""
+        """Whether a request that was read has no response yet."""
         return any(connection.stage is ConnectionStage.PENDING for connection in self.connections)
 
     @property
     def at_capacity(self) -> bool:
-        """Whether as many requests are open as are served; a further one is refused at once."""
+        """Whether the limit of concurrent requests is reached; further ones are shed immediately."""
         served = self.acceptor.max_served
         if len(self.connections) <= served:
             return False
@@ -92,11 +95,13 @@
         )
 
     def on_closed(self, connection: ClientConnection) -> None:
+        """Remove a connection; listeners resume once its descriptor is closed."""
         self.connections.discard(connection)
         if self.acceptor.paused:
             self.loop.call_soon(self.acceptor.resume)  # its descriptor is closed right after this
 
     def _evict(self, count: int) -> None:
+        """Abort up to `count` connections by the eviction policy, unless they hold unread bytes."""
         for connection in connections_to_evict(
             self.connections, time.monotonic(), count, self.acceptor.flood.silence_timeout
         ):
@@ -104,6 +109,11 @@
                 connection.abort_connection()
 
     def close_idle(self, unused_since: float = math.inf, partial: bool = False) -> None:
+        """Close connections without a request that have been unchanged since `unused_since`.
+
+        `unused_since` is in seconds of the monotonic clock. With `partial`, also those whose request is
+        incomplete.
+        """
         for connection in list(self.connections):
             stage = connection.stage
             unused = stage is ConnectionStage.IDLE or (
@@ -113,12 +123,13 @@
                 connection.close()
 
     def abort(self, unused_since: float = math.inf) -> None:
-        """Ends what a close does not: peers that never take their last answer."""
+        """Abort closing connections whose peers do not take the last response."""
         for connection in list(self.connections):
             if connection.closing and connection.changed_at <= unused_since:
                 connection.abort_connection()
 
     def _sweep(self) -> None:
+        """Close connections whose request is overdue, or that are idle too long."""
         now = time.monotonic()
         for connection in list(self.connections):
             if connection.overdue(now) and not connection.unread:
--- a/gladegw/net/policy_router.py
+++ b/gladegw/net/policy_router.py
@@ -1,4 +1,4 @@
-"""Requests are answered only while a policy may be used here, and by the policy that they were begun with."""
+"""Routing under a policy: requests are served only while a policy is usable, by the policy of their epoch."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class PolicyRouter:
-    """The router of a proxy under a policy. All of it happens on the serving loop."""
+    """The router of a proxy under a policy; used only on the serving event loop."""
 
     def __init__(
         self, pools: PoolRouter, gate: ServingLease, settings: PolicySettings, may_advise: bool
@@ -44,13 +44,14 @@
 
     # what the policy says
     def on_prepared(self, epoch: int, digest: str, ready: PreparedTable | None) -> None:
-        """Agreed to, and not in force here; None: it is not any more."""
+        """A policy was prepared but is not active yet; `ready` is None if it was withdrawn."""
         self._drop_prepared()
         if ready is not None and self.settings.stamp_from:
             self.retention.on_prepared(PolicyEpoch(epoch, digest))
             self.prepared_table = ready
 
     def activate(self, epoch: int, digest: str, ready: PreparedTable | None) -> None:
+        """Activate a policy; `ready` is None if the proxy's own file is in use."""
         stamp, last = PolicyEpoch(epoch, digest), self.retention.in_use
         made = self.tables.pop(stamp, None)
         self._drop_prepared()
@@ -64,6 +65,7 @@
         self._expire_tables()
 
     def _drop_prepared(self) -> None:
+        """Discard the prepared policy."""
         if self.retention.prepared is not None:
             self.tables.pop(self.retention.prepared, None)
             self.retention.on_prepared(None)
@@ -71,13 +73,14 @@
         self.prepared_table = None
 
     def _expire_tables(self) -> None:
-        """Ends what is held no longer."""
+        """Discard tables whose retention has ended."""
         for stamp in self.retention.expire(time.monotonic()):
             self.tables.pop(stamp, None)
         self.pools.keep(list(self.tables.values()))
 
     # requests
     def _trusts(self, source: str) -> bool:
+        """Whether policy epoch headers from this address are accepted."""
         try:
             address = plain(ipaddress.ip_address(source))
         except ValueError:
@@ -85,7 +88,10 @@
         return any(address in known for known in self.trusted)
 
     def _told(self, found: list[bytes], source: Callable[[], str]) -> PolicyEpoch | None:
-        """The stamp that the request is to be decided by; None: it has none that counts."""
+        """The policy epoch that the request carries; None if it comes from an untrusted address.
+
+        Raises BadRequestError if the header is malformed.
+        """
         if not self.trusts(source()):
             return None
         if len(found) > 1:
@@ -96,6 +102,7 @@
             raise BadRequestError(400, str(fault)) from None
 
     def _generation(self, stamp: PolicyEpoch) -> Generation:
+        """The tables of a policy epoch; raises BadRequestError if they are not usable."""
         standing = self.retention.state_of(stamp, time.monotonic())
         if standing not in USABLE_STATES:
             raise BadRequestError(503, f"policy {stamp} is {standing.value} here", (*self.advice, NEVER_RAN))
@@ -110,8 +117,11 @@
     def __call__(
         self, method: bytes, target: bytes, headers: Headers, budget: float, source: Callable[[], str]
     ) -> RoutedRequest:
-        """Refuses at once, as never run, what comes while the gate is closed, and what is stamped with a
-        policy that is not here."""
+        """Route a request.
+
+        Raises BadRequestError, marked as never run, while the serving lease is closed, and for a policy epoch
+        that is not available.
+        """
         kept = [pair for pair in headers if pair[0] != HEADER]
         stamp = None
         if len(kept) != len(headers):
--- a/gladegw/net/request.py
+++ b/gladegw/net/request.py
@@ -70,7 +70,8 @@
 
     def __call__(
         self, method: bytes, target: bytes, headers: Headers, budget: float, source: Callable[[], str]
-    ) -> RoutedRequest: ...
+    ) -> RoutedRequest:
+        """Route a request; `budget` is in seconds, `source` returns the client's address."""
 
 
 @dataclass(slots=True)
--- a/gladegw/net/upstream/connections.py
+++ b/gladegw/net/upstream/connections.py
@@ -1,4 +1,4 @@
-"""The backends' side: their connections, and the exchanges (attempts and probes) that run on these."""
+"""Upstream connections, on which exchanges (attempts and probes) run, and their pool."""
 
 from __future__ import annotations
 
@@ -50,11 +50,11 @@
 
 
 class LocalFaultError(Exception):
-    """This machine could make no connection in time."""
+    """No connection was possible in time because of a fault of this machine."""
 
 
 class UpstreamConnection(asyncio.BufferedProtocol):
-    """One connection to a backend; carries one exchange at a time."""
+    """One connection to a backend, which carries one exchange at a time."""
 
     __slots__ = (
         "answer",
@@ -92,11 +92,13 @@
 
     # transport callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Count the connection (called by the event loop)."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
         self.transport.set_write_buffer_limits(high=len(self.upstream.owner.scratch))
         self.upstream.owner.made += 1
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Unregister the connection and end its exchange (called by the event loop)."""
         self.transport = None
         self.upstream.lost(self)
         self._no_flush()
@@ -107,24 +109,29 @@
             exchange.end(Status.RESET)
 
     def eof_received(self) -> bool | None:
+        """Complete a response whose end is the close of the connection (called by the event loop)."""
         if self.until_close and self.exchange is not None:
             self._complete(False)
             self._deliver()
         return None
 
     def pause_writing(self) -> None:
+        """The write buffer is full: stop sending the request body."""
         self.stopped = True
 
     def resume_writing(self) -> None:
+        """The write buffer has drained: continue to send the request body."""
         self.stopped = False
         if self.exchange is not None and self.exchange.uploading:
             self.exchange.progressed_at = time.monotonic()
             self.more()
 
     def get_buffer(self, sizehint: int) -> memoryview:
+        """The buffer that all upstream connections share."""
         return self.upstream.owner.scratch
 
     def buffer_updated(self, size: int) -> None:
+        """Parse received bytes."""
         self.upstream.last_received_at = time.monotonic()
         if self.exchange is None:
             self.abandon()  # nothing was asked: an answer to nobody
@@ -138,7 +145,7 @@
         self._deliver()
 
     def _deliver(self) -> None:
-        """A whole answer to its exchange; a connection on which anything was odd is not used again."""
+        """Pass a complete response to its exchange; after any irregularity the connection is not reused."""
         if self.answer is not None:
             (exchange, code, body, keep), self.answer = self.answer, None
             headers, self.headers = self.headers, []
@@ -155,11 +162,13 @@
 
     # parser callbacks
     def on_message_begin(self) -> None:
+        """Check that this is the only response to the request (called by the parser)."""
         if self.answer is not None:
             raise ValueError("more than one answer to one request")
         self.until_close = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Append a header field (called by the parser)."""
         self.head_size += len(name) + len(value)
         if self.head_size > MAX_HEAD_BYTES:
             raise ValueError("headers too large")
@@ -167,6 +176,7 @@
             self.headers.append((name.lower(), value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:
+        """Decide whether the response is buffered or streamed (called by the parser)."""
         code = self.parser.get_status_code()
         named = dict(self.headers)
         length = named.get(b"content-length", b"")
@@ -180,6 +190,7 @@
                 self._pass_on(code)
 
     def on_body(self, chunk: bytes) -> None:
+        """Buffer or forward a part of the body (called by the parser)."""
         exchange = self.exchange
         if exchange is None:
             return
@@ -196,7 +207,7 @@
                 raise ValueError("nobody wants it" if code == 200 else "body too large")
 
     def _pass_on(self, code: int) -> None:
-        """From here on the answer goes out as it comes."""
+        """Stream the response from here on."""
         exchange = self.exchange
         self._no_flush()
         if exchange is None or exchange.sink is not None or self.answer is not None:
@@ -208,14 +219,17 @@
                 exchange.forward(chunk)
 
     def _no_flush(self) -> None:
+        """Cancel the timer that starts streaming."""
         if self.flush_at is not None:
             self.flush_at.cancel()
             self.flush_at = None
 
     def on_message_complete(self) -> None:
+        """Complete the response (called by the parser)."""
         self._complete(self.parser.should_keep_alive())  # known only here
 
     def _complete(self, keep_alive: bool) -> None:
+        """Retain the complete response until `_deliver`; interim responses are ignored."""
         code = self.parser.get_status_code()
         body, self.body = b"".join(self.body), []
         self.size, self.head_size, self.length = 0, 0, None
@@ -225,6 +239,7 @@
             self.answer = self.exchange, code, body, keep_alive and code != 101
 
     def begin(self, exchange: Exchange) -> None:
+        """Write the exchange's request."""
         assert self.transport is not None
         self.exchange = exchange
         self.transport.write(exchange.request())
@@ -235,7 +250,7 @@
             self.more()
 
     def more(self) -> None:
-        """Passes on what has come of the request's body, as far as the backend takes it."""
+        """Send buffered bytes of the request body as far as the backend takes them."""
         exchange = self.exchange
         if exchange is None or exchange.upload is None or exchange.request_complete:
             return
@@ -254,14 +269,16 @@
 
     @property
     def silent(self) -> bool:
-        """Whether it is up and nothing waits to be read: neither bytes that nobody asked for, which would be
-        taken for the next answer, nor the backend's close."""
+        """Whether the connection is open and nothing can be read from it.
+
+        Unsolicited bytes would be taken for the next response; otherwise it is the backend's close.
+        """
         if self.transport is None or self.transport.is_closing():
             return False
         return not has_unread(self.transport.get_extra_info("socket").fileno())
 
     def hold(self, on: bool) -> None:
-        """The caller takes nothing, so nothing more is read."""
+        """Pause or resume reading, as the client does not read."""
         if self.transport is not None and not self.transport.is_closing():
             if on:
                 self.transport.pause_reading()
@@ -269,6 +286,7 @@
                 self.transport.resume_reading()
 
     def abandon(self) -> None:
+        """Abort the connection and detach its exchange."""
         self.exchange = None
         self._no_flush()
         self.upstream.forget(self)
@@ -276,6 +294,7 @@
             self.transport.abort()
 
     def _break(self) -> None:
+        """Abort the connection and fail its exchange after a malformed response."""
         exchange = self.exchange
         self.abandon()
         if exchange is not None:
@@ -285,7 +304,7 @@
 
 
 class Upstream:
-    """One backend as discovery last listed it, with its connections."""
+    """One backend as last listed by discovery, with its connections."""
 
     __slots__ = (
         "address",
@@ -307,15 +326,19 @@
 
     @property
     def refuses(self) -> bool:
-        """Whether it has lately let no further connection come up."""
+        """Whether it has recently refused a connection."""
         return time.monotonic() < self.refused_at + REFUSED_FOR_S
 
     @property
     def serving(self) -> bool:
+        """Whether it receives requests."""
         return self.state is ServerState.SERVING
 
     def take_idle(self, rested: bool = True) -> UpstreamConnection | None:
-        """The connection used last, of those that have `rested`: the others grow old and are closed."""
+        """Remove and return the most recently used idle connection, or None.
+
+        With `rested`, only those unused for MIN_REST_S. The others age and are closed.
+        """
         now = time.monotonic()
         latest = now - MIN_REST_S if rested else now
         place = bisect_right(self.idle, latest, key=IDLE_SINCE)  # they were put there one after another
@@ -329,6 +352,7 @@
         return None
 
     def return_idle(self, connection: UpstreamConnection) -> None:
+        """Make a connection available for reuse, or close it if the backend does not serve."""
         if connection not in self.connections or not self.serving:
             connection.abandon()
             return
@@ -337,28 +361,31 @@
         self.owner.with_idle.add(self)
 
     def forget(self, connection: UpstreamConnection) -> None:
+        """Remove a connection from the idle ones."""
         if connection in self.idle:
             self.idle.remove(connection)
             if not self.idle:
                 self.owner.with_idle.discard(self)
 
     def lost(self, connection: UpstreamConnection) -> None:
+        """Unregister a lost connection."""
         self.forget(connection)
         self.connections.discard(connection)
         self.owner.made -= 1
 
     def close_idle(self, unused_since: float = float("inf")) -> None:
+        """Close connections that have been idle since `unused_since`, in seconds of the monotonic clock."""
         for connection in [c for c in self.idle if c.idle_since <= unused_since]:
             connection.abandon()
 
     def renew(self) -> None:
-        """The process behind the address is another one: no connection may be inherited."""
+        """Discard all connections, since another process has taken over the address."""
         self.close_idle()
         self.connections.clear()  # those in use end with their exchange, in keep()
 
 
 class UpstreamPool:
-    """All backends, and the bound on connections to them."""
+    """All backends, and the limit of connections to them."""
 
     def __init__(self, connect_timeout: float, conn_idle: float, max_connections: int) -> None:
         self.loop = asyncio.get_running_loop()
@@ -374,19 +401,21 @@
 
     @property
     def open(self) -> int:
-        """Descriptors in use or soon to be."""
+        """The number of descriptors in use or about to be."""
         return self.made + len(self._connects)
 
     @property
     def list_received(self) -> bool:
+        """Whether any backend has sent anything."""
         return any(upstream.last_received_at for upstream in self.by_id.values())
 
     @property
     def ready(self) -> bool:
+        """Whether any backend receives requests."""
         return any(upstream.serving for upstream in list(self.by_id.values()))
 
     def apply(self, listing: Listing) -> None:
-        """Takes what a list says; of what it does not name nothing changes, unless it is the whole list."""
+        """Apply the updates of a list; only a complete list removes backends that it does not name."""
         named = set()
         for listed in listing.backends:
             named.add(listed.entry.server)
@@ -396,6 +425,7 @@
                 self._drain_backend(server, ServerState.REMOVED)
 
     def _add_backend(self, listed: ListedBackend) -> None:
+        """Add or update one backend."""
         entry = listed.entry
         upstream = self.by_id.get(entry.server)
         if upstream is None:
@@ -410,7 +440,7 @@
             self._drain_backend(entry.server, entry.state)
 
     def _drain_backend(self, server: int, state: ServerState) -> None:
-        """Nothing new goes there; what is out on it ends by itself."""
+        """Send nothing more to a backend; open exchanges continue."""
         upstream = self.by_id[server]
         upstream.state = state
         upstream.close_idle()
@@ -418,6 +448,7 @@
             del self.by_id[server]
 
     def start(self, exchange: Exchange) -> None:
+        """Start an exchange on an idle or a new connection."""
         upstream = exchange.upstream
         connection = upstream.take_idle()
         if connection is None and (self.open >= self.max_connections or upstream.refuses):
@@ -432,6 +463,7 @@
             task.add_done_callback(self._connects.discard)
 
     async def _connect(self, exchange: Exchange, upstream: Upstream) -> None:
+        """Open a connection and start the exchange on it."""
         connection = UpstreamConnection(upstream)
         at, since = upstream.address, upstream.started_at
         try:
@@ -457,7 +489,10 @@
             exchange.end(Status.RESET)
 
     async def _connected(self, connection: UpstreamConnection, at: Address) -> None:
-        """Raises OSError, LocalFaultError where this machine still could not when time ran out."""
+        """Establish the connection, retrying after local faults.
+
+        Raises OSError, or LocalFaultError if local faults persist until the timeout.
+        """
         local: OSError | None = None
         try:
             while True:
@@ -475,7 +510,7 @@
             raise
 
     def _close_idlest(self) -> bool:
-        """At the bound, the connection that is idle the longest makes room."""
+        """Close the connection that has been idle longest; False if there is none."""
         idle = [connection for upstream in self.with_idle for connection in upstream.idle[:1]]
         if not idle:
             return False
@@ -483,6 +518,7 @@
         return True
 
     def _sweep(self) -> None:
+        """Close connections that have been idle too long."""
         oldest = time.monotonic() - self.idle_for
         for upstream in list(self.with_idle):
             upstream.close_idle(oldest)
--- a/gladegw/net/upstream/exchange.py
+++ b/gladegw/net/upstream/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt or probe: a request to one backend, from the decision to send until its one end."""
+"""One attempt or probe: a request to one backend, from the decision to send until its end."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 class Exchange:
-    """One request to one backend, from the decision to send until its one end.
+    """One request to one backend, from the decision to send until its single end.
 
-    `may_start` is asked right before the first byte goes out, also after a slow connect: meanwhile the call
-    may have ended or the backend begun to drain. Only then `request` is asked for the bytes, which may tell
-    how much time is left. `written` is told when the last byte of the request goes out,
-    `begun` when an answer is to be passed on as it comes (it sets `sink`, or says that nobody wants it), and
-    `done` once, with `status` set.
+    `may_start` is called right before the first byte is sent, also after a slow connect, since the request
+    may have ended or the backend begun to drain. Only then `request` is called for the bytes, which may
+    contain the remaining time. `written` is called when the last byte of the request is sent, `begun` when a
+    response is to be streamed (it sets `sink`, or returns False if nobody wants the response), and `done`
+    once, with `status` set.
     """
 
     __slots__ = (
@@ -93,11 +93,14 @@
 
     @property
     def uploading(self) -> bool:
-        """Whether some of the request's body is still to be passed on."""
+        """Whether a part of the streamed request body is still to be sent."""
         return self.upload is not None and not self.request_complete
 
     def end(self, status: Status) -> None:
-        """Any end but a whole answer gives up the connection, so that a late answer reaches nobody."""
+        """End with `status`; without effect if already ended.
+
+        Unless the response is complete the connection is abandoned, so that a late response reaches nobody.
+        """
         if self.status is not None:
             return
         if status in (Status.RESET, Status.TIMEOUT) and self.uploading:
@@ -117,9 +120,11 @@
             log.exception("the end of an exchange failed")
 
     def cancel(self) -> None:
+        """End the exchange because its response is not needed any more."""
         self.end(Status.CANCELLED if self.sent else Status.NOT_SENT)
 
     def _out_of_time(self) -> None:
+        """Handle the timeout, also that of a stalled stream."""
         now = time.monotonic()
         if self.sent and (self.sink is not None or self.uploading):
             self._check_stream(now)
@@ -136,8 +141,10 @@
         self.end(Status.TIMEOUT if self.sent else Status.NOT_SENT)
 
     def _check_stream(self, now: float) -> None:
-        """What flows has no time limit, as long as it flows; how long a caller may take is for the callers'
-        side to say."""
+        """End a stalled stream.
+
+        A stream has no time limit while bytes move; the downstream side limits the time of a client.
+        """
         upload = self.upload
         waits_for_caller = self.uploading and upload is not None and not upload.waiting
         if waits_for_caller or now < self.progressed_at + STREAM_STALL_S:
@@ -146,7 +153,7 @@
             self.end(Status.TIMEOUT)
 
     def start_on(self, connection: UpstreamConnection) -> None:
-        """Writes the request, unless it has ended or must not start any more."""
+        """Write the request, unless the exchange has ended or must not start any more."""
         if self.status is not None or not self.may_start():
             connection.upstream.return_idle(connection)
             self.end(Status.NOT_SENT)
@@ -157,7 +164,7 @@
         connection.begin(self)
 
     def on_request_sent(self) -> None:
-        """The last byte of the request is on its way."""
+        """The last byte of the request was written."""
         if self.upload is not None:  # its time begins here
             self.upload.reader = None
             self.started_at = time.monotonic()
@@ -169,7 +176,7 @@
             self.written()
 
     def begin_answer(self, code: int, headers: list[tuple[bytes, bytes]], length: int | None) -> bool:
-        """Whether the answer is passed on from here as it comes."""
+        """Whether the response is streamed from here on."""
         if code != 200 or self.begun is None or self.status is not None:
             return False
         self.code, self.headers, self.length = code, headers, length
@@ -181,27 +188,30 @@
 
     @property
     def large(self) -> bool:
-        """Whether its answer is larger than what is held whole."""
+        """Whether the response is larger than what is buffered."""
         return max(self.length or 0, self.forwarded_bytes) > MAX_BUFFERED_BYTES
 
     def forward(self, chunk: bytes) -> None:
-        """The next bytes of an answer that is passed on as it comes."""
+        """Pass on the next bytes of a streamed response."""
         if self.sink is not None:
             self.forwarded_bytes += len(chunk)
             self.sink(chunk)
 
     def pause(self) -> None:
+        """Stop reading the response, since the client does not read."""
         self.paused = True
         if self.connection is not None:
             self.connection.hold(True)
 
     def resume(self) -> None:
+        """Continue to read the response."""
         self.paused = False
         self.progressed_at = time.monotonic()
         if self.connection is not None:
             self.connection.hold(False)
 
     def on_answer(self, code: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+        """End with a complete response."""
         self.connection = None
         self.code, self.headers, self.body = code, headers, body
         if code == 200:
