--- a/gladegw/net/acceptor.py
+++ b/gladegw/net/acceptor.py
@@ -88,10 +88,10 @@
         Near the limit it replaces that of an evicted connection, which closes in the next iteration of the
         event loop, or belongs to a client whose request will be shed.
         """
-        taken = self.descriptors_in_use
-        if taken >= self.max_served:
+        in_use = self.descriptors_in_use
+        if in_use >= self.max_served:
             self.evict(1)
-        return taken < self.max_descriptors
+        return in_use < self.max_descriptors
 
     def _accept(self, sock: socket.socket) -> None:
         """Accept queued connections.
@@ -99,14 +99,14 @@
         Near the limit, queued connections that lag as those of a connection flood do are closed unread, so
         that other clients do not wait behind them; each one accepted replaces an evicted one.
         """
-        taken = before = self.descriptors_in_use
-        looked, full = 0, False
-        while looked < MAX_EXAMINED_PER_TURN:
-            if taken >= self.max_descriptors or taken - before >= MAX_ACCEPTED_PER_TURN:
-                full = taken >= self.max_descriptors
+        in_use = before = self.descriptors_in_use
+        examined, full = 0, False
+        while examined < MAX_EXAMINED_PER_TURN:
+            if in_use >= self.max_descriptors or in_use - before >= MAX_ACCEPTED_PER_TURN:
+                full = in_use >= self.max_descriptors
                 break
             try:
-                caller, _ = sock.accept()
+                client, _ = sock.accept()
             except BlockingIOError:
                 break
             except OSError as fault:
@@ -114,22 +114,22 @@
                     self._log_fault(fault)
                     self.evict(1)
                     return self._pause_listener(sock)
-                looked += 1  # it has failed before it was let in; others may wait behind it
+                examined += 1  # it has failed before it was let in; others may wait behind it
                 continue
-            looked += 1
-            came = time.monotonic()
-            if taken >= self.max_served:
-                age, received = listener.received_before_accept(caller)
+            examined += 1
+            accepted_at = time.monotonic()
+            if in_use >= self.max_served:
+                age, received = listener.received_before_accept(client)
                 if is_lagging(received, age, self.flood.silence_timeout):
-                    caller.close()
+                    client.close()
                     continue
                 if not received:
-                    came -= age
-            self._admit(caller, self.listeners[sock], came)
-            taken += 1
-        self.flood.on_accepted(looked, time.monotonic())
-        if taken > self.max_served:
-            self.evict(taken - self.max_served if full else min(taken - self.max_served, taken - before))
+                    accepted_at -= age
+            self._admit(client, self.listeners[sock], accepted_at)
+            in_use += 1
+        self.flood.on_accepted(examined, time.monotonic())
+        if in_use > self.max_served:
+            self.evict(in_use - self.max_served if full else min(in_use - self.max_served, in_use - before))
         if full:
             self._pause_listener(sock)
         return None
@@ -149,15 +149,15 @@
 
     def resume(self) -> None:
         """Accept from the paused listeners again."""
-        resting, self.paused = self.paused, set()
-        for sock in resting:
+        paused, self.paused = self.paused, set()
+        for sock in paused:
             if sock in self.listeners:
                 self.loop.add_reader(sock, self._accept, sock)
 
-    def _admit(self, caller: socket.socket, certificates: Certificates | None, accepted_at: float) -> None:
+    def _admit(self, client: socket.socket, certificates: Certificates | None, accepted_at: float) -> None:
         """Start the handshake of an accepted socket."""
-        caller.setblocking(False)
-        task = self.loop.create_task(self._handshake(caller, certificates, accepted_at))
+        client.setblocking(False)
+        task = self.loop.create_task(self._handshake(client, certificates, accepted_at))
         self.handshakes.add(task)
         task.add_done_callback(self.handshakes.discard)
         if self.identifier is not None or certificates is not None:
@@ -171,34 +171,34 @@
     ) -> None:
         """Perform everything that precedes HTTP, within the timeout of a first request."""
         handed_on = False
-        told = "unknown"
+        client = "unknown"
         peer: ClientIdentity | None = None
         try:
-            more: dict[str, Any] = {}
+            options: dict[str, Any] = {}
             if self.identifier is not None or certificates is not None:
                 peer = ClientIdentity(format_address(sock.getpeername()))
-                told = peer.client
+                client = peer.client
             if self.identifier is not None:
                 async with asyncio.timeout(HEAD_TIMEOUT_S):
                     peer = await self.identifier.identify(sock)
             if certificates is not None:
-                more = {
+                options = {
                     "ssl": certificates.context,
                     "ssl_shutdown_timeout": TLS_CLOSE_TIMEOUT_S,
                     "ssl_handshake_timeout": accepted_at + HEAD_TIMEOUT_S - time.monotonic(),
                 }
             handed_on = True
             await self.loop.connect_accepted_socket(
-                partial(self.make_protocol, peer, accepted_at), sock, **more
+                partial(self.make_protocol, peer, accepted_at), sock, **options
             )
         except ConnectionRejectedError as fault:
             if str(fault):
-                log.warning("connection closed: client=%s reason=%s", told, fault)
+                log.warning("connection closed: client=%s reason=%s", client, fault)
         except OSError as fault:
             if handed_on and certificates is not None:
-                log.warning("tls: handshake refused: client=%s reason=%s", told, reason(fault))
+                log.warning("tls: handshake refused: client=%s reason=%s", client, reason(fault))
             elif isinstance(fault, TimeoutError):
-                log.warning("connection closed: client=%s reason=nothing came in time", told)
+                log.warning("connection closed: client=%s reason=nothing came in time", client)
         except Exception:
             log.exception("a connection could not be taken")
         finally:
--- a/gladegw/net/access_log.py
+++ b/gladegw/net/access_log.py
@@ -24,20 +24,20 @@
     def __init__(self) -> None:
         log.setLevel(logging.INFO)
 
-    def on_start(self, asked: RequestInfo) -> None:
+    def on_start(self, request: RequestInfo) -> None:
         """Do nothing; requests are logged when they end."""
         pass
 
-    def on_end(self, asked: RequestInfo, code: int | None) -> None:
+    def on_end(self, request: RequestInfo, code: int | None) -> None:
         """Log the request; `code` is None if it got no response."""
-        if asked.peer is None:
+        if request.peer is None:
             return
         log.info(
             "%s id=%s class=%s tenant=%s code=%s ms=%d",
-            asked.peer.log_text(),
-            quoted(asked.id),
-            quoted(asked.cls),
-            quoted(asked.tenant),
+            request.peer.log_text(),
+            quoted(request.id),
+            quoted(request.cls),
+            quoted(request.tenant),
             code or "none",
-            round((time.monotonic() - asked.received_at) * 1000),
+            round((time.monotonic() - request.received_at) * 1000),
         )
--- a/gladegw/net/admin.py
+++ b/gladegw/net/admin.py
@@ -78,7 +78,7 @@
     def _run(self) -> None:
         self.poll.register(self.listener, select.POLLIN)
         self.poll.register(self.end, select.POLLIN | select.POLLHUP)
-        resume = look = 0.0
+        resume = next_check = 0.0
         while True:
             ready = self.poll.poll(LOOK * 1000 if self.accepting else PAUSE * 1000)
             now = time.monotonic()
@@ -101,14 +101,17 @@
                     except Exception:
                         log.exception("an operators' call failed")
                         self._drop(descriptor)
-            if now >= look:
-                look = now + LOOK
+            if now >= next_check:
+                next_check = now + LOOK
                 for descriptor, caller in list(self.callers.items()):
                     if caller.came < now - HOLD:
                         self._drop(descriptor)
 
     def _accept(self, now: float) -> bool:
-        """Accept a connection; False if no descriptor is available, even after closing the oldest connection."""
+        """Accept a connection.
+
+        False if no descriptor is available, even after closing the oldest connection.
+        """
         while True:
             if len(self.callers) >= self.max_connections:
                 self._drop(next(iter(self.callers)))
--- a/gladegw/net/background_writer.py
+++ b/gladegw/net/background_writer.py
@@ -23,8 +23,8 @@
     If it is full, the oldest lines are dropped and counted.
     """
 
-    def __init__(self, write: Write, most: int, name: str) -> None:
-        self.write, self.max_bytes = write, most
+    def __init__(self, write: Write, max_bytes: int, name: str) -> None:
+        self.write, self.max_bytes = write, max_bytes
         self.lines: deque[bytes] = deque()
         self.size = self.writing = self.dropped = 0  # bytes held, bytes being written, lines lost
         self.written = 0  # batches that went out whole
@@ -47,8 +47,8 @@
     def take_dropped(self) -> int:
         """Return the number of dropped lines and reset it."""
         with self.changed:
-            lost, self.dropped = self.dropped, 0
-        return lost
+            dropped, self.dropped = self.dropped, 0
+        return dropped
 
     def _run(self) -> None:
         while True:
--- a/gladegw/net/capture.py
+++ b/gladegw/net/capture.py
@@ -231,7 +231,7 @@
                 del self.endpoints[listed.name]
                 self.reports.pop(listed.entry.server, None)
         if listing.complete:
-            self.reports = {server: told for server, told in self.reports.items() if server in self.names}
+            self.reports = {server: report for server, report in self.reports.items() if server in self.names}
         self._shrink()
 
     def on_load_report(self, server: int, text: bytes) -> None:
@@ -247,9 +247,11 @@
 
     def on_routes(self, generation: int, digest: str, file: str, text: str, epoch: int | None = None) -> None:
         """Record a route table, with its text if that is not too large."""
-        kept = text if len(text) <= self.max_bytes // TABLE_TEXT_DIVISOR else None
+        retained_text = text if len(text) <= self.max_bytes // TABLE_TEXT_DIVISOR else None
         ruled = {} if epoch is None else {"epoch": epoch}
-        line = self._line("routes", generation=generation, digest=digest, file=file, text=kept, **ruled)
+        line = self._line(
+            "routes", generation=generation, digest=digest, file=file, text=retained_text, **ruled
+        )
         before, self.tables[generation] = self.generation, line
         self.generation = generation
         self.size += len(line)
@@ -409,10 +411,10 @@
         lines = [self.start, *self.lists.values()]
         if len(self.tables) == 1:
             lines += self.tables.values()
-        said = 0
+        generation = 0
         for record in self.records:
-            if len(self.tables) > 1 and record.table and record.generation != said:
-                said = record.generation
+            if len(self.tables) > 1 and record.table and record.generation != generation:
+                generation = record.generation
                 lines.append(record.table)
             lines.append(record)
         self.dumper.put(lines)
--- a/gladegw/net/discovery.py
+++ b/gladegw/net/discovery.py
@@ -249,7 +249,7 @@
         takes.
         """
         channel = _Channel()
-        at_once = MAX_CONCURRENT_FETCHES
+        allowance = MAX_CONCURRENT_FETCHES
         moves = self.moves
         try:
             call = await self._begin(channel)
@@ -263,18 +263,18 @@
                 if moves != self.moves:  # discovery has moved: this was the last word from here
                     self._deliver(listing, call, len(body))
                     return
-                spent = time.monotonic() - call.begun_at
-                at_once = min(MAX_CONCURRENT_FETCHES, at_once + spent / MIN_CALL_SPACING_S) - 1
-                told, size = call, len(body)
-                if at_once >= 0 and channel.up:
+                elapsed = time.monotonic() - call.begun_at
+                allowance = min(MAX_CONCURRENT_FETCHES, allowance + elapsed / MIN_CALL_SPACING_S) - 1
+                answered, size = call, len(body)
+                if allowance >= 0 and channel.up:
                     # What was written is taken whatever becomes of this watch: in the loop's next turn, when
                     # the call has been written.
-                    asyncio.get_running_loop().call_soon(self._deliver, listing, told, size)
+                    asyncio.get_running_loop().call_soon(self._deliver, listing, answered, size)
                     call = await self._begin(channel)
                     continue
-                self._deliver(listing, told, size)
-                if at_once < 0:
-                    await asyncio.sleep(max(0.0, MIN_CALL_SPACING_S - spent))
+                self._deliver(listing, answered, size)
+                if allowance < 0:
+                    await asyncio.sleep(max(0.0, MIN_CALL_SPACING_S - elapsed))
                 call = await self._begin(channel)
         finally:
             channel.close()
@@ -322,7 +322,10 @@
             return None
 
     def _read(self, body: bytes, call: DiscoveryCall) -> Listing | None:
-        """Decode and apply a response, whose version the next call continues from; None if it is malformed."""
+        """Decode and apply a response; None if it is malformed.
+
+        The next call continues from its version.
+        """
         try:
             answer = decode(body)
             listing = self.inventory.apply(answer)
--- a/gladegw/net/downstream/connection.py
+++ b/gladegw/net/downstream/connection.py
@@ -40,7 +40,7 @@
 class ClientConnection(asyncio.BufferedProtocol):
     """One downstream connection, whose requests are answered one after another."""
 
-    def __init__(self, server: DownstreamServer, peer: ClientIdentity | None, came: float) -> None:
+    def __init__(self, server: DownstreamServer, peer: ClientIdentity | None, accepted_at: float) -> None:
         self.server, self.peer = server, peer
         self.transport: asyncio.Transport | None = None
         self.parser: Any = httptools.HttpRequestParser(self)
@@ -52,9 +52,9 @@
         self.incoming: PendingResponse | None = (
             None  # the message whose head is whole and whose end has not come
         )
-        self.request_started_at = came  # since when a request is due
+        self.request_started_at = accepted_at  # since when a request is due
         self.received = 0  # bytes of it
-        self.request_deadline = RequestDeadline(came)  # of the request that is awaited
+        self.request_deadline = RequestDeadline(accepted_at)  # of the request that is awaited
         self.had_request = False
         self.waiting: deque[PendingResponse] = deque()
         self.current: PendingResponse | None = None  # whose answer is due
@@ -64,7 +64,7 @@
         self.closing = False
         self.rejected = False  # for want of places
         self.discarding = False  # the answer came before the end of its request, whose rest is not wanted
-        self.changed_at = came  # when bytes last came or went
+        self.changed_at = accepted_at  # when bytes last came or went
         self.full = False  # the peer does not read
         self.paused = False
 
@@ -83,9 +83,9 @@
         self.closing = True
         self._forget()
         self.server.on_closed(self)
-        turn, self.current = self.current, None
-        if turn is not None:
-            self._on_request_end(turn, None)
+        pending, self.current = self.current, None
+        if pending is not None:
+            self._on_request_end(pending, None)
         call, self.call = self.call, None
         if call is not None:
             self.server.handler.on_disconnect(call)
@@ -114,12 +114,12 @@
         if self.transport is None or self.transport.is_closing() or (self.closing and not self.discarding):
             return
         upload = self.incoming.upload if self.incoming is not None else None
-        stuck = upload is not None and upload.waiting
+        is_stalled = upload is not None and upload.waiting
         # What is read gets its answer. So that these come to an end, a proxy that leaves reads no further.
-        enough = bool(self.waiting) or (
+        is_ahead = bool(self.waiting) or (
             self.server.draining and self.current is not None and not self.receiving
         )
-        pause = not self.discarding and (self.full or enough or stuck)
+        pause = not self.discarding and (self.full or is_ahead or is_stalled)
         if pause == self.paused:
             return
         self.paused = pause
@@ -156,16 +156,16 @@
 
     def _on_malformed(self, fault: Exception) -> None:
         """Respond to input that cannot be parsed any further."""
-        coming, self.incoming = self.incoming, None
-        if coming is not None and coming.upload is not None:
+        incoming, self.incoming = self.incoming, None
+        if incoming is not None and incoming.upload is not None:
             self.abort_connection()  # its answer, if it has one yet, is of a request that nobody made
             return
         cause = fault if isinstance(fault, BadRequestError) else fault.__context__
-        bad = PendingResponse(
+        pending = PendingResponse(
             cause if isinstance(cause, BadRequestError) else BadRequestError(400, "malformed HTTP")
         )
-        bad.info = self._request_info()
-        self.waiting.append(bad)
+        pending.info = self._request_info()
+        self.waiting.append(pending)
         self.closing = True  # what still comes is read, so that the answer arrives, and dropped
 
     # parser callbacks
@@ -203,20 +203,20 @@
         """
         parser, now = self.parser, time.monotonic()
         method = parser.get_method()
-        turn = PendingResponse(None)
-        turn.keep_alive = parser.should_keep_alive()
-        turn.bodyless = method == b"HEAD"
-        turn.http_1_0 = parser.get_http_version() == "1.0"
+        pending = PendingResponse(None)
+        pending.keep_alive = parser.should_keep_alive()
+        pending.bodyless = method == b"HEAD"
+        pending.http_1_0 = parser.get_http_version() == "1.0"
         size = next((value for name, value in self.headers if name == b"content-length"), b"0")
         length = int(size) if size.isdigit() else 0
         if length > MAX_BODY_BYTES:
             raise BadRequestError(413, "body too large")
         if parser.should_upgrade():
-            turn.request = BadRequestError(400, "no upgrades")
-            turn.keep_alive = False
+            pending.request = BadRequestError(400, "no upgrades")
+            pending.keep_alive = False
         elif origin_form(self.target).split(b"?", 1)[0] != b"/healthz" or method not in (b"GET", b"HEAD"):
             try:
-                turn.request = read_head(
+                pending.request = read_head(
                     method,
                     self.target,
                     self.headers,
@@ -225,23 +225,23 @@
                     self.server.router,
                     self._source,
                 )
-                if turn.request.bodyless and length:
+                if pending.request.bodyless and length:
                     raise BadRequestError(400, "a GET has no body")
             except BadRequestError as bad:
                 if length > MAX_BUFFERED_BYTES:
                     raise  # it is not worth waiting for
-                turn.request = bad
+                pending.request = bad
             else:
                 chunked = any(name == b"transfer-encoding" for name, _ in self.headers)
-                turn.request.length = None if chunked else length
-        if turn.request is not None:
-            turn.info = self._request_info()
-        self.incoming = turn
+                pending.request.length = None if chunked else length
+        if pending.request is not None:
+            pending.info = self._request_info()
+        self.incoming = pending
         self.request_deadline.on_body_start(now)
         expects = any(n == b"expect" and v.lower() == b"100-continue" for n, v in self.headers)
         if (
             expects
-            and not turn.http_1_0
+            and not pending.http_1_0
             and self.transport is not None
             and not (self.current or self.waiting)
         ):
@@ -252,8 +252,8 @@
 
         Raises BadRequestError.
         """
-        turn = self.incoming
-        assert turn is not None
+        pending = self.incoming
+        assert pending is not None
         self.body_size += len(chunk)
         self.request_deadline.on_body(len(chunk), self.changed_at)
         if self.discarding:
@@ -262,24 +262,26 @@
             return
         if self.body_size > MAX_BODY_BYTES:
             raise BadRequestError(413, "body too large")
-        if turn.upload is not None:
-            turn.upload.feed(chunk)
-        elif not isinstance(turn.request, Request):
+        if pending.upload is not None:
+            pending.upload.feed(chunk)
+        elif not isinstance(pending.request, Request):
             if self.body_size > MAX_BUFFERED_BYTES:
-                raise turn.request or BadRequestError(413, "body too large")
-        elif turn.request.bodyless:
-            turn.request = BadRequestError(400, "a GET has no body")
+                raise pending.request or BadRequestError(413, "body too large")
+        elif pending.request.bodyless:
+            pending.request = BadRequestError(400, "a GET has no body")
         else:
             self.body.append(chunk)
             if self.body_size > MAX_BUFFERED_BYTES:
-                turn.upload = turn.request.upload = RequestBody(turn.request.length, self.body, self._flow)
+                pending.upload = pending.request.upload = RequestBody(
+                    pending.request.length, self.body, self._flow
+                )
                 self.body = []
-                self.waiting.append(turn)
+                self.waiting.append(pending)
 
     def on_message_complete(self) -> None:
         """Queue the complete request, or end its streamed body (called by the parser)."""
-        turn, self.incoming = self.incoming, None
-        assert turn is not None
+        pending, self.incoming = self.incoming, None
+        assert pending is not None
         self.receiving = False
         self.request_deadline.on_complete()
         self.had_request = True
@@ -288,19 +290,19 @@
             self.discarding = False
             self._finish()
             return
-        request = turn.request
+        request = pending.request
         if isinstance(request, Request):
             request.received_at = self.changed_at - self._waited_unread()
-            turn.received = True
+            pending.received = True
             self.server.counters.on_received()
-            if turn.upload is not None:
-                if turn is self.current and self.call is not None:
+            if pending.upload is not None:
+                if pending is self.current and self.call is not None:
                     self.server.handler.on_body_complete(self.call)
-                turn.upload.end()
+                pending.upload.end()
                 return
             request.body = b"".join(self.body)
         self.body = []
-        self.waiting.append(turn)
+        self.waiting.append(pending)
 
     def _waited_unread(self) -> float:
         """Seconds that the last received bytes spent in the kernel.
@@ -323,44 +325,44 @@
         """Attributes of the current request for observers; None if there are no observers."""
         if not self.server.observers:
             return None
-        told = dict(self.headers)
+        headers = dict(self.headers)
         return RequestInfo(
-            id=told.get(b"x-call-id", b"").decode("latin-1"),
+            id=headers.get(b"x-call-id", b"").decode("latin-1"),
             cls=class_of(self.target),
-            tenant=told.get(b"x-caller", b"").decode("latin-1"),
+            tenant=headers.get(b"x-caller", b"").decode("latin-1"),
             received_at=time.monotonic(),
             peer=self.peer,
         )
 
     def _forget(self) -> None:
         """Discard the requests queued behind the open one."""
-        for turn in self.waiting:
-            if turn.received and isinstance(turn.request, Request):
-                self.server.counters.on_ended(turn.request.cls, None)
+        for pending in self.waiting:
+            if pending.received and isinstance(pending.request, Request):
+                self.server.counters.on_ended(pending.request.cls, None)
         self.waiting.clear()
 
-    def _on_request_end(self, turn: PendingResponse, code: int | None) -> None:
+    def _on_request_end(self, pending: PendingResponse, code: int | None) -> None:
         """Count the end of a request and notify the observers."""
-        ledger = self.server.counters
-        if isinstance(turn.request, Request) and (turn.received or code is not None):
-            if not turn.received:  # it was answered before it had come whole
-                ledger.on_received()
-            ledger.on_ended(turn.request.cls, code)
-        if turn.info is not None:
-            for watcher in self.server.observers:
-                watcher.on_end(turn.info, code)
+        counters = self.server.counters
+        if isinstance(pending.request, Request) and (pending.received or code is not None):
+            if not pending.received:  # it was answered before it had come whole
+                counters.on_received()
+            counters.on_ended(pending.request.cls, code)
+        if pending.info is not None:
+            for observer in self.server.observers:
+                observer.on_end(pending.info, code)
 
     # answers
     def _answer_next(self) -> None:
         """Start the next queued request unless one is open."""
         while self.waiting and self.current is None and self.transport is not None:
-            turn = self.current = self.waiting.popleft()
-            request = turn.request
-            if turn.info is not None:
-                for watcher in self.server.observers:
-                    watcher.on_start(turn.info)
+            pending = self.current = self.waiting.popleft()
+            request = pending.request
+            if pending.info is not None:
+                for observer in self.server.observers:
+                    observer.on_start(pending.info)
             if self.peer is not None and self.peer.denied:
-                turn.close_after = True
+                pending.close_after = True
                 self.answer(403, NO_HEADERS, b"this address is not admitted\n")
             elif request is None:
                 ready = self.server.ready()
@@ -369,7 +371,7 @@
                 self.answer(request.code, request.headers, f"{request}\n".encode())
             elif self.server.at_capacity:
                 # Never sent, so a refusal is harmless.
-                turn.close_after = self.rejected = True
+                pending.close_after = self.rejected = True
                 self.answer(503, ((b"retry-after", b"1"),), b"too many connections\n")
             else:
                 try:
@@ -378,7 +380,7 @@
                     log.exception("a request could not be taken")
                     self.answer(500, NO_HEADERS, b"internal error\n")
                     continue
-                if self.current is turn:
+                if self.current is pending:
                     self.call = call
         self._flow()
 
@@ -392,31 +394,31 @@
         """Whether a further request was read, or arrived before the drain stopped reading."""
         return bool(self.waiting) or (time.monotonic() < self.server.reads_until and self.unread)
 
-    def _head(self, turn: PendingResponse, code: int, headers: Any, length: int | None) -> bytes:
+    def _head(self, pending: PendingResponse, code: int, headers: Any, length: int | None) -> bytes:
         """The head of a response, which also decides whether the connection persists."""
-        if turn is self.incoming or (
-            (turn.close_after or self.server.closes_after_response) and not self._has_more_pending()
+        if pending is self.incoming or (
+            (pending.close_after or self.server.closes_after_response) and not self._has_more_pending()
         ):
-            turn.keep_alive = False
-        self.chunked = length is None and not turn.http_1_0
+            pending.keep_alive = False
+        self.chunked = length is None and not pending.http_1_0
         if length is None and not self.chunked:
-            turn.keep_alive = False
-        return response_head(turn, code, headers, length)
+            pending.keep_alive = False
+        return response_head(pending, code, headers, length)
 
     def answer(self, code: int, headers: Any, body: bytes) -> None:
         """Send a complete response to the open request."""
-        turn = self._open_response()
+        pending = self._open_response()
         if self.transport is not None:
-            head = self._head(turn, code, headers, len(body))
-            self.transport.write(head if turn.bodyless else head + body)
-        self._answered(turn, code)
+            head = self._head(pending, code, headers, len(body))
+            self.transport.write(head if pending.bodyless else head + body)
+        self._answered(pending, code)
 
     def begin(self, headers: Any, length: int | None, source: FlowControl) -> None:
         """Start a streamed response with status 200, continued by `send` until `finish` or `abort`."""
-        turn = self._open_response()
+        pending = self._open_response()
         self.source = source
         if self.transport is not None:
-            self.transport.write(self._head(turn, 200, headers, length))
+            self.transport.write(self._head(pending, 200, headers, length))
         if self.full:
             source.pause()
 
@@ -428,11 +430,11 @@
 
     def finish(self) -> None:
         """End the streamed response."""
-        turn = self.current
-        if turn is not None:
+        pending = self.current
+        if pending is not None:
             if self.chunked and self.transport is not None:
                 self.transport.write(b"0\r\n\r\n")
-            self._answered(turn, 200)
+            self._answered(pending, 200)
 
     def hung_up(self) -> bool:
         """Whether the client has closed its connection.
@@ -452,27 +454,27 @@
 
         The client can tell, since neither the full length nor the last chunk was sent.
         """
-        turn, self.current, self.source, self.call = self.current, None, None, None
-        if turn is not None:
-            self._on_request_end(turn, 502)
+        pending, self.current, self.source, self.call = self.current, None, None, None
+        if pending is not None:
+            self._on_request_end(pending, 502)
         self.abort_connection()
 
-    def _answered(self, turn: PendingResponse, code: int) -> None:
+    def _answered(self, pending: PendingResponse, code: int) -> None:
         """Complete the open request and continue, or close the connection."""
         self.current = self.call = self.source = None
-        self._on_request_end(turn, code)
+        self._on_request_end(pending, code)
         transport = self.transport
         if transport is None:
             return
         self.changed_at = time.monotonic()
-        if turn is self.incoming:
+        if pending is self.incoming:
             # It has not come whole: the rest is read and dropped, so that the answer arrives.
             self.closing = self.discarding = True
-            if turn.upload is not None:
-                turn.upload.drop()
+            if pending.upload is not None:
+                pending.upload.drop()
             self._forget()
             self._flow()
-        elif not turn.keep_alive:
+        elif not pending.keep_alive:
             self._finish(read_out=self.closing)  # its sender may read only when it has written all
         elif self.waiting:
             self.server.loop.call_soon(self._answer_next)
@@ -511,12 +513,12 @@
         if transport.get_write_buffer_size():
             until = now + LINGER_S
         closed = peer_has_closed(transport.get_extra_info("socket").fileno())
-        wanted = self.rejected and self.server.is_overloaded
-        if now >= until or closed or (wanted and self.delivered):
+        is_needed = self.rejected and self.server.is_overloaded
+        if now >= until or closed or (is_needed and self.delivered):
             transport.abort()
         else:
-            look = OVERLOADED_CHECK_INTERVAL_S if wanted else LINGER_CHECK_INTERVAL_S
-            self.server.loop.call_later(look, self._linger, until)
+            interval = OVERLOADED_CHECK_INTERVAL_S if is_needed else LINGER_CHECK_INTERVAL_S
+            self.server.loop.call_later(interval, self._linger, until)
 
     @property
     def stage(self) -> ConnectionStage:
--- a/gladegw/net/downstream/pending_response.py
+++ b/gladegw/net/downstream/pending_response.py
@@ -51,7 +51,7 @@
 
 
 def response_head(
-    turn: PendingResponse, code: int, headers: Iterable[tuple[bytes, bytes]], length: int | None
+    pending: PendingResponse, code: int, headers: Iterable[tuple[bytes, bytes]], length: int | None
 ) -> bytes:
     """The status line and headers of a response.
 
@@ -61,11 +61,11 @@
     parts += [name + b": " + value + b"\r\n" for name, value in headers]
     if length is not None:
         parts.append(b"content-length: %d\r\n" % length)
-    elif not turn.http_1_0:
+    elif not pending.http_1_0:
         parts.append(b"transfer-encoding: chunked\r\n")
-    if not turn.keep_alive:
+    if not pending.keep_alive:
         parts.append(b"connection: close\r\n")
-    elif turn.http_1_0:
+    elif pending.http_1_0:
         parts.append(b"connection: keep-alive\r\n")
     parts.append(b"\r\n")
     return b"".join(parts)
--- a/gladegw/net/downstream/server.py
+++ b/gladegw/net/downstream/server.py
@@ -48,7 +48,7 @@
         self.observers: tuple[RequestObserver[RequestInfo], ...] = ()
         self.router: Router | None = None
         self.acceptor = Acceptor(
-            lambda peer, came: ClientConnection(self, peer, came),
+            lambda peer, accepted_at: ClientConnection(self, peer, accepted_at),
             max_connections,
             lambda: len(self.connections),
             self._evict,
--- a/gladegw/net/driver.py
+++ b/gladegw/net/driver.py
@@ -309,7 +309,10 @@
                 exchange.cancel()  # the module does not, where something has begun to flow
 
     def _on_deadline(self, call: PendingRequest, late: bool = False) -> None:
-        """Answer a request that the balancer did not answer in time: 503 if it provably never ran, else 504."""
+        """Answer a request that the balancer did not answer in time.
+
+        503 if it provably never ran, else 504.
+        """
         if not call.open:
             return
         if not late and time.monotonic() > call.deadline + TIMER_LAG_S:
--- a/gladegw/net/endpoint_lists.py
+++ b/gladegw/net/endpoint_lists.py
@@ -128,15 +128,15 @@
             for entry in answer.endpoints
             if self.entries.get(entry.name) != entry
         }
-        found = [told for _, told in changed.values()]
+        found = [backend for _, backend in changed.values()]
         if answer.snapshot:
             found += self._removed({entry.name for entry in answer.endpoints})
-        for name, (entry, told) in changed.items():
-            self.entries[name], self.known[name] = entry, told
-        for told in found:
-            if told.entry.state is ServerState.REMOVED:
-                self.entries.pop(told.name, None)
-                self.known.pop(told.name, None)
+        for name, (entry, backend) in changed.items():
+            self.entries[name], self.known[name] = entry, backend
+        for backend in found:
+            if backend.entry.state is ServerState.REMOVED:
+                self.entries.pop(backend.name, None)
+                self.known.pop(backend.name, None)
         return Listing(answer.index, answer.snapshot and first, found)
 
     def _started(self, entry: Entry) -> float:
@@ -151,9 +151,9 @@
 
     def _removed(self, named: set[str]) -> Iterator[ListedBackend]:
         """Backends that a full snapshot no longer names."""
-        for name, told in self.known.items():
+        for name, backend in self.known.items():
             if name not in named:
-                yield ListedBackend(name, told.address, replace(told.entry, state=ServerState.REMOVED))
+                yield ListedBackend(name, backend.address, replace(backend.entry, state=ServerState.REMOVED))
 
     def forget(self) -> None:
         """Reset, so that the next full snapshot is passed on complete."""
--- a/gladegw/net/hcl.py
+++ b/gladegw/net/hcl.py
@@ -103,9 +103,9 @@
     heads: dict[str, list[int]] = {}
     lines = text.splitlines()
     for head in _heads(text):
-        word = named.match(lines[head - 1].strip())
-        if word is not None:
-            heads.setdefault(word[1], []).append(head)
+        match = named.match(lines[head - 1].strip())
+        if match is not None:
+            heads.setdefault(match[1], []).append(head)
     found = []
     for name, items in raw.items():
         if not (isinstance(items, list) and items and all(isinstance(item, dict) for item in items)):
@@ -165,9 +165,9 @@
         text = Path(path).read_bytes()
         if len(text) > LARGEST:
             raise ValueError("too large")
-        kept = _kept(text)
-        if kept.exists():
-            blocks: Blocks = json.loads(kept.read_bytes())
+        cached = _kept(text)
+        if cached.exists():
+            blocks: Blocks = json.loads(cached.read_bytes())
             return blocks
         return _in_a_process(str(Path(path).resolve()))
     except OSError as fault:
@@ -185,11 +185,11 @@
         print(" ".join(str(fault).split()), file=sys.stderr)
         return 2
     try:
-        kept = _kept(text)
-        kept.parent.mkdir(exist_ok=True)
-        part = kept.with_suffix(".part")
+        cached = _kept(text)
+        cached.parent.mkdir(exist_ok=True)
+        part = cached.with_suffix(".part")
         part.write_text(found, encoding="utf-8")
-        part.replace(kept)
+        part.replace(cached)
     except OSError:
         pass  # a file system that can't be written: parsed at each start
     print(found)
--- a/gladegw/net/listener.py
+++ b/gladegw/net/listener.py
@@ -35,10 +35,10 @@
     """
     if not port:
         return False
-    with open_socket(family_of(host), socket.SOCK_STREAM) as look:
-        look.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    with open_socket(family_of(host), socket.SOCK_STREAM) as probe:
+        probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
-            look.bind((host, port))
+            probe.bind((host, port))
         except OSError as fault:
             return fault.errno == errno.EADDRINUSE
     return False
@@ -89,10 +89,10 @@
     Zeros if this cannot be determined.
     """
     with contextlib.suppress(OSError, AttributeError):
-        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
-        if len(told) == TCP_INFO_BYTES:
-            (since,) = LAST_SENT.unpack_from(told, LAST_SENT_AT)
-            (received,) = RECEIVED.unpack_from(told, RECEIVED_AT)
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
+        if len(info) == TCP_INFO_BYTES:
+            (since,) = LAST_SENT.unpack_from(info, LAST_SENT_AT)
+            (received,) = RECEIVED.unpack_from(info, RECEIVED_AT)
             return since / 1000, received
     return 0.0, 0
 
--- a/gladegw/net/metrics.py
+++ b/gladegw/net/metrics.py
@@ -171,9 +171,9 @@
 class Target:
     """A destination of metrics; logs once when it starts to lose lines and once when it recovers."""
 
-    def __init__(self, name: str, write: Write, most: int) -> None:
+    def __init__(self, name: str, write: Write, max_bytes: int) -> None:
         self.name = name
-        self.writer = BackgroundWriter(write, most, f"figures-{name}")
+        self.writer = BackgroundWriter(write, max_bytes, f"figures-{name}")
         self.failing = False
         self.written = 0  # batches that had gone out when lines were last lost
 
@@ -217,22 +217,22 @@
         self.moved: set[tuple[str, str]] = set()  # whose gauge has changed since the last flush
         self.rendered: dict[tuple[str, str, str], str] = {}
 
-    def _tags_of(self, asked: RequestInfo) -> tuple[str, str]:
+    def _tags_of(self, request: RequestInfo) -> tuple[str, str]:
         """The class and tenant tags of a request."""
         return (
-            asked.cls if asked.cls in self.classes else OTHER,
-            asked.tenant if asked.tenant in self.tenants else OTHER,
+            request.cls if request.cls in self.classes else OTHER,
+            request.tenant if request.tenant in self.tenants else OTHER,
         )
 
-    def on_start(self, asked: RequestInfo) -> None:
+    def on_start(self, request: RequestInfo) -> None:
         """Count a request in flight."""
-        who = self._tags_of(asked)
-        self.inflight[who] = self.inflight.get(who, 0) + 1
-        self.moved.add(who)
+        key = self._tags_of(request)
+        self.inflight[key] = self.inflight.get(key, 0) + 1
+        self.moved.add(key)
 
-    def on_end(self, asked: RequestInfo, code: int | None) -> None:
+    def on_end(self, request: RequestInfo, code: int | None) -> None:
         """Record an ended request; `code` is None if it got no response."""
-        who = self._tags_of(asked)
+        who = self._tags_of(request)
         self.inflight[who] -= 1
         self.moved.add(who)
         key = (*who, str(code or NO_ANSWER))
@@ -243,7 +243,7 @@
         self.requests[tags] = self.requests.get(tags, 0) + 1
         if code is not None:
             self.answers[tags] = self.answers.get(tags, 0) + 1
-        line = self.format.timer("request", round((time.monotonic() - asked.received_at) * 1000), tags)
+        line = self.format.timer("request", round((time.monotonic() - request.received_at) * 1000), tags)
         self.times.append(line)
         self.size += len(line)
         while self.size > self.max_entries:
--- a/gladegw/net/policy_router.py
+++ b/gladegw/net/policy_router.py
@@ -74,8 +74,8 @@
 
     def _expire_tables(self) -> None:
         """Discard tables whose retention has ended."""
-        for stamp in self.retention.expire(time.monotonic()):
-            self.tables.pop(stamp, None)
+        for epoch in self.retention.expire(time.monotonic()):
+            self.tables.pop(epoch, None)
         self.pools.keep(list(self.tables.values()))
 
     # requests
@@ -101,18 +101,18 @@
         except ValueError as fault:
             raise BadRequestError(400, str(fault)) from None
 
-    def _generation(self, stamp: PolicyEpoch) -> Generation:
+    def _generation(self, epoch: PolicyEpoch) -> Generation:
         """The tables of a policy epoch; raises BadRequestError if they are not usable."""
-        standing = self.retention.state_of(stamp, time.monotonic())
-        if standing not in USABLE_STATES:
-            raise BadRequestError(503, f"policy {stamp} is {standing.value} here", (*self.advice, NEVER_RAN))
-        if standing is TableState.IN_USE:
+        state = self.retention.state_of(epoch, time.monotonic())
+        if state not in USABLE_STATES:
+            raise BadRequestError(503, f"policy {epoch} is {state.value} here", (*self.advice, NEVER_RAN))
+        if state is TableState.IN_USE:
             return self.pools.now
-        if stamp not in self.tables:  # prepared, and asked for the first time
+        if epoch not in self.tables:  # prepared, and asked for the first time
             assert self.prepared_table is not None
-            self.tables[stamp] = self.pools.make(*self.prepared_table, stamp.epoch)
+            self.tables[epoch] = self.pools.make(*self.prepared_table, epoch.epoch)
             self.pools.keep(list(self.tables.values()))
-        return self.tables[stamp]
+        return self.tables[epoch]
 
     def __call__(
         self, method: bytes, target: bytes, headers: Headers, budget: float, source: Callable[[], str]
@@ -122,16 +122,16 @@
         Raises BadRequestError, marked as never run, while the serving lease is closed, and for a policy epoch
         that is not available.
         """
-        kept = [pair for pair in headers if pair[0] != HEADER]
-        stamp = None
-        if len(kept) != len(headers):
-            stamp = self._told([value for name, value in headers if name == HEADER], source)
+        forwarded = [pair for pair in headers if pair[0] != HEADER]
+        epoch = None
+        if len(forwarded) != len(headers):
+            epoch = self._told([value for name, value in headers if name == HEADER], source)
         if not self.serving_lease.open:
-            more = () if stamp is None else (NEVER_RAN,)
-            raise BadRequestError(503, "no policy in force here", (*self.advice, *more))
-        generation = self.pools.now if stamp is None else self._generation(stamp)
-        routed = self.pools.route_by(generation, method, target, kept, budget, source)
+            marks = () if epoch is None else (NEVER_RAN,)
+            raise BadRequestError(503, "no policy in force here", (*self.advice, *marks))
+        generation = self.pools.now if epoch is None else self._generation(epoch)
+        routed = self.pools.route_by(generation, method, target, forwarded, budget, source)
         if any(fnmatchcase(routed.pool, pattern) for pattern in self.settings.stamp_pools):
-            told = str(stamp or self.retention.in_use).encode()
+            told = str(epoch or self.retention.in_use).encode()
             routed.headers.append((HEADER, told))
         return routed
--- a/gladegw/net/request.py
+++ b/gladegw/net/request.py
@@ -179,8 +179,8 @@
     except ValueError:
         raise BadRequestError(400, "X-Call-Cost is malformed") from None
     lines = [method + b" " + target + b" HTTP/1.1"]
-    gone = REPLACED | named_by_connection(headers)
-    lines += [name + b": " + value for name, value in headers if name not in gone]
+    removed = REPLACED | named_by_connection(headers)
+    lines += [name + b": " + value for name, value in headers if name not in removed]
     subject = ""
     for part in _one(headers, b"cookie").split(b";"):
         name, _, value = part.strip().partition(b"=")
--- a/gladegw/net/route_actions.py
+++ b/gladegw/net/route_actions.py
@@ -23,9 +23,9 @@
 def edit(headers: Headers, route: Route) -> Headers:
     """The headers with the route's edits applied."""
     edits = route.edits
-    gone = {name.encode() for name, _ in edits.put} | {name.encode() for name in edits.drop}
-    more = [(name.encode(), value.encode("latin-1")) for name, value in (*edits.put, *edits.add)]
-    return [pair for pair in headers if pair[0] not in gone] + more
+    removed = {name.encode() for name, _ in edits.put} | {name.encode() for name in edits.drop}
+    added = [(name.encode(), value.encode("latin-1")) for name, value in (*edits.put, *edits.add)]
+    return [pair for pair in headers if pair[0] not in removed] + added
 
 
 def rewritten(rewrite: str, matched: str, ask: Ask) -> str:
--- a/gladegw/net/routes.py
+++ b/gladegw/net/routes.py
@@ -213,11 +213,11 @@
     def make(self, table: Table, text: str, epoch: int | None = None) -> Generation:
         """Create a generation; unchanged pools retain their drivers."""
         old, description = self.now, table.description
-        what = change(old.table.description, description)
+        changes = change(old.table.description, description)
         served: dict[str, ServedPool] = {}
         begun: list[ServedPool] = []
         for pool in description.pools:
-            if pool.name in what.kept and pool.name in old.served:
+            if pool.name in changes.kept and pool.name in old.served:
                 served[pool.name] = old.served[pool.name]
                 continue
             driver = Driver(self.config, self.capture, self.shared, self, pool.name)
@@ -244,7 +244,7 @@
         Requests with the policy epoch of one of `beside` still use that one.
         """
         old, served = self.now, new.served
-        what = change(old.table.description, new.table.description)
+        changes = change(old.table.description, new.table.description)
         for pool in new.table.description.pools:
             served[pool.name].pool = served[pool.name].membership.pool = pool
         self.now = new
@@ -259,14 +259,14 @@
         self._divide()
         for one in served.values():
             self._notify(one, api.ListKind.FULL)
-        log.warning("routes: generation %d (%s) in use: %s", new.number, self.digest, what)
+        log.warning("routes: generation %d (%s) in use: %s", new.number, self.digest, changes)
 
     def keep(self, beside: Sequence[Generation], *known: Generation) -> None:
         """Retain the generations `beside` the one in use, and retire the pools that belong to none."""
         before = [*self.beside, *known]
         self.beside = list(beside)
-        kept = [self.now, *beside]
-        used = {id(one) for generation in kept for one in generation.served.values()}
+        retained = [self.now, *beside]
+        used = {id(one) for generation in retained for one in generation.served.values()}
         ended = {
             id(one): one for generation in before for one in generation.served.values() if id(one) not in used
         }
@@ -274,7 +274,7 @@
             one.driver.retired = True
         self._retire(list(ended.values()))
         if self.capture is not None:
-            self.capture.retain_generations({generation.number for generation in kept})
+            self.capture.retain_generations({generation.number for generation in retained})
 
     def prepare(self, name: str, text: str) -> tuple[Table, str]:
         """Check a route text for `take`; may be called in any thread.
@@ -352,8 +352,8 @@
         self.shared.upstreams.apply(listing)
         if self.capture is not None:
             self.capture.on_list(listing)
-        gone = [n for n, listed in self.backends.items() if listed.entry.state is api.ServerState.REMOVED]
-        for name in gone:
+        removed = [n for n, listed in self.backends.items() if listed.entry.state is api.ServerState.REMOVED]
+        for name in removed:
             del self.backends[name]
         self.version = listing.version
         self.endpoints = [
@@ -415,8 +415,8 @@
             before = one.members
             self._notify(one, api.ListKind.FULL)
             if before.spilled != one.members.spilled:
-                word = "all zones serve" if one.members.spilled else "the zone serves alone"
-                log.warning("routes: pool %s: %s: %s", one.pool.name, word, one.members.reason)
+                change_text = "all zones serve" if one.members.spilled else "the zone serves alone"
+                log.warning("routes: pool %s: %s: %s", one.pool.name, change_text, one.members.reason)
         self._divide()
         self._retire([])
         self.loop.call_later(CHECK_INTERVAL_S, self._check_pools)
@@ -521,8 +521,8 @@
             )
             reply.answer(503, advice, b"the pool has no member\n")
             return None
-        most = self.config.settings.max_open_requests
-        if most and self.calls >= most:
+        max_open = self.config.settings.max_open_requests
+        if max_open and self.calls >= max_open:
             reply.answer(503, ((b"retry-after", b"1"),), b"too many calls\n")
             return None
         call: PendingRequest | MigratingRequest | None
--- a/gladegw/net/serve.py
+++ b/gladegw/net/serve.py
@@ -100,7 +100,7 @@
     def routes() -> str:
         return "" if isinstance(driver, Driver) else driver.digest
 
-    carried = None
+    policy_host = None
     if features.policy is not None and not isinstance(driver, Driver):
         from gladegw.control.clock import boot_time
         from gladegw.coordination.serving_lease import ServingLease
@@ -109,9 +109,9 @@
         router = PolicyRouter(
             driver, ServingLease(boot_time), features.policy, config.settings.may_send_retry_after
         )
-        carried = serving_host(router, asyncio.get_running_loop())
-    desk = driver.shared
-    return join_fleet(settings, config, desk.counters, desk.listed, routes, carried, timing), router
+        policy_host = serving_host(router, asyncio.get_running_loop())
+    shared = driver.shared
+    return join_fleet(settings, config, shared.counters, shared.listed, routes, policy_host, timing), router
 
 
 def request_timing(features: Features, config: Config) -> RequestTiming | None:
@@ -159,56 +159,60 @@
         Driver(config, capture) if features.routes is None else pools(features.routes, config, capture)
     )
     loop.add_signal_handler(signal.SIGHUP, on_hangup, driver, running)
-    life, ledger = Lifecycle(), driver.shared.counters
+    lifecycle, counters = Lifecycle(), driver.shared.counters
     timing = request_timing(features, config)
-    agent, router = join_fleet(features, config, driver, timing)
+    member, router = join_fleet(features, config, driver, timing)
 
     def able() -> bool:
-        return driver.ready() and (agent is None or agent.may_serve)
+        return driver.ready() and (member is None or member.may_serve)
 
     server = DownstreamServer(
         driver.effects,
         driver,
         driver.shared.budget.clients,
-        ledger,
-        lambda: life.state is State.READY and able(),
+        counters,
+        lambda: lifecycle.state is State.READY and able(),
         driver.shared.scratch,
     )
     draining = Drain(server, lambda: len(driver.calls) if isinstance(driver, Driver) else driver.calls)
 
     def changed(state: State) -> None:
         draining.on_state(state)
-        if agent is not None:
-            agent.set_lifecycle_state(state.value)
-
-    life.on_change = changed
-    watchers: list[RequestObserver[RequestInfo]] = []
-    figures = Metrics(features.figures, config.settings) if features.figures is not None else None
-    if figures is not None:
-        watchers.append(figures)
+        if member is not None:
+            member.set_lifecycle_state(state.value)
+
+    lifecycle.on_change = changed
+    observers: list[RequestObserver[RequestInfo]] = []
+    metrics = Metrics(features.figures, config.settings) if features.figures is not None else None
+    if metrics is not None:
+        observers.append(metrics)
     if timing is not None:
-        watchers.append(timing)
+        observers.append(timing)
     tls = TlsContext(features.tls) if features.tls is not None else None
     if features.addresses is not None:
         server.acceptor.identifier = Addresses(features.addresses)
     if tls is not None or features.addresses is not None:
-        watchers.append(AccessLog())
-    server.observers = tuple(watchers)
+        observers.append(AccessLog())
+    server.observers = tuple(observers)
     driver.start()
     if admin is not None:
         admin.start(
             CommandHandler(
-                life, ledger, able, driver.listed_backends, agent.info if agent is not None else tuple
+                lifecycle,
+                counters,
+                able,
+                driver.listed_backends,
+                member.info if member is not None else tuple,
             ),
             driver.shared.budget.operators,
         )
     if replaces:
         await wait_for_first_list(driver, term)
-        while agent is not None and not agent.may_serve and not term.is_set():
+        while member is not None and not member.may_serve and not term.is_set():
             await asyncio.sleep(POLL_INTERVAL_S)  # every new connection is this one's from its listening on
     server.acceptor.listen(*config.listen)
-    if figures is not None:
-        running.append(loop.create_task(figures.run()))
+    if metrics is not None:
+        running.append(loop.create_task(metrics.run()))
     if not isinstance(driver, Driver):
         server.router = router
         running.append(loop.create_task(driver.run()))
@@ -219,19 +223,19 @@
     gc.collect()
     gc.freeze()
     gc.set_threshold(50_000, 20, 50)
-    life.on(Event.ABLE)
+    lifecycle.on(Event.ABLE)
     await term.wait()
-    life.on(Event.TERMINATE)
+    lifecycle.on(Event.TERMINATE)
     await draining.shut_down()
-    if agent is not None:
-        await loop.run_in_executor(None, agent.shut_down)
+    if member is not None:
+        await loop.run_in_executor(None, member.shut_down)
     driver.stop()
     if admin is not None:
         admin.close()
     for task in running:
         task.cancel()
-    if figures is not None:
-        figures.close(LOG_FLUSH_TIMEOUT_S)
+    if metrics is not None:
+        metrics.close(LOG_FLUSH_TIMEOUT_S)
     if capture is not None:
         capture.close(LOG_FLUSH_TIMEOUT_S)
 
--- a/gladegw/net/sockets.py
+++ b/gladegw/net/sockets.py
@@ -66,12 +66,12 @@
 def time_since_data(connection: socket.socket) -> float:
     """Seconds since data was last received on the connection (Linux); 0 if this cannot be determined."""
     try:
-        told = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_RECEIVED_END)
+        info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_RECEIVED_END)
     except OSError:
         return 0.0
-    if len(told) < LAST_RECEIVED_END:
+    if len(info) < LAST_RECEIVED_END:
         return 0.0
-    (since,) = LAST_RECEIVED.unpack_from(told, LAST_RECEIVED_AT)
+    (since,) = LAST_RECEIVED.unpack_from(info, LAST_RECEIVED_AT)
     return float(since) / 1000
 
 
--- a/gladegw/net/timing.py
+++ b/gladegw/net/timing.py
@@ -27,26 +27,26 @@
         self.count = dict.fromkeys(self.durations, 0)
         self.ends = {cls: OutcomeCounts() for cls in self.durations}
 
-    def on_start(self, asked: RequestInfo) -> None:
+    def on_start(self, request: RequestInfo) -> None:
         """Do nothing; requests are counted when they end."""
         pass
 
-    def on_end(self, asked: RequestInfo, code: int | None) -> None:
+    def on_end(self, request: RequestInfo, code: int | None) -> None:
         """Count the request; `code` is None if it got no response."""
-        if asked.cls not in self.durations:
+        if request.cls not in self.durations:
             return
-        self.ends[asked.cls].add(code)
+        self.ends[request.cls].add(code)
         if code == 200:
-            took = time.monotonic() - asked.received_at
-            self.durations[asked.cls] += took
-            self.count[asked.cls] += 1
-            self.late[asked.cls] += took > self.objectives[asked.cls]
+            duration = time.monotonic() - request.received_at
+            self.durations[request.cls] += duration
+            self.count[request.cls] += 1
+            self.late[request.cls] += duration > self.objectives[request.cls]
 
     def counters(self) -> dict[str, int]:
         """Cumulative counters; durations are in microseconds."""
-        told = {f"took.{cls}": round(1e6 * took) for cls, took in self.durations.items()}
+        counters = {f"took.{cls}": round(1e6 * took) for cls, took in self.durations.items()}
         for cls, ends in self.ends.items():
-            told |= {
+            counters |= {
                 f"late.{cls}": self.late[cls],
                 f"timed.{cls}": self.count[cls],
                 f"ended.{cls}.passed": ends.passed,
@@ -54,4 +54,4 @@
                 f"ended.{cls}.failed": ends.bad_gateway,
                 f"ended.{cls}.gone": ends.disconnected,
             }
-        return told
+        return counters
--- a/gladegw/net/upstream/connections.py
+++ b/gladegw/net/upstream/connections.py
@@ -178,11 +178,11 @@
     def on_headers_complete(self) -> None:
         """Decide whether the response is buffered or streamed (called by the parser)."""
         code = self.parser.get_status_code()
-        named = dict(self.headers)
-        length = named.get(b"content-length", b"")
+        headers = dict(self.headers)
+        length = headers.get(b"content-length", b"")
         self.length = int(length) if length.isdigit() else None
         if code >= 200 and code not in (204, 304):
-            self.until_close = self.length is None and b"transfer-encoding" not in named
+            self.until_close = self.length is None and b"transfer-encoding" not in headers
             if self.length is None:
                 self.length = CHUNKED_BEGUN
                 self.flush_at = self.upstream.owner.loop.call_later(FLUSH_TIMEOUT_S, self._pass_on, code)
--- a/tests/net/test_metrics.py
+++ b/tests/net/test_metrics.py
@@ -110,7 +110,7 @@
         written.extend(lines)
         return 0
 
-    writer = BackgroundWriter(write, most=40, name="test")
+    writer = BackgroundWriter(write, max_bytes=40, name="test")
     writer.put([b"first....\n"])
     assert taken.wait(PATIENCE)
     writer.put([b"line %04d\n" % number for number in range(9)])  # returns though nothing is written yet
