--- a/gladegw/net/acceptor.py
+++ b/gladegw/net/acceptor.py
@@ -1,4 +1,4 @@
-"""Lets callers in: listeners, the bound on descriptors, and what comes before HTTP."""
+"""Accepting of downstream connections: listeners, the descriptor limit, and what precedes HTTP."""
 
 from __future__ import annotations
 
@@ -37,8 +37,11 @@
 
 
 class Acceptor:
-    """Accepts while fewer than `most` descriptors are `held`. Near that bound `evict` ends so many of them
-    that give way, if there are such. `make` is what a connection becomes."""
+    """Accepts connections while fewer than `max_descriptors` descriptors are in use.
+
+    Near that limit `evict` is called with the number of connections to evict. `make_protocol` creates the
+    protocol of an accepted connection.
+    """
 
     def __init__(
         self,
@@ -66,36 +69,44 @@
         self.last_logged = 0.0
 
     def listen(self, host: str, port: int, certificates: Certificates | None = None) -> None:
-        """Raises OSError."""
+        """Listen at an address, with TLS if `certificates` are given.
+
+        Raises OSError.
+        """
         sock = listener.listen(host, port)
         self.listeners[sock] = certificates
         self.loop.add_reader(sock, self._accept, sock)
 
     @property
     def descriptors_in_use(self) -> int:
-        """Descriptors that callers hold."""
+        """The number of descriptors of downstream connections."""
         return self.connections_open() + len(self.handshakes)
 
     def reserve_descriptor(self) -> bool:
-        """Whether one more descriptor may be taken. Near the bound it is the place of one that gives way,
-        which leaves in the loop's next turn, or of a caller that will be refused."""
-        taken = self.descriptors_in_use
-        if taken >= self.max_served:
+        """Whether one more descriptor may be used.
+
+        Near the limit it replaces that of an evicted connection, which closes in the next iteration of the
+        event loop, or belongs to a client whose request will be shed.
+        """
+        in_use = self.descriptors_in_use
+        if in_use >= self.max_served:
             self.evict(1)
-        return taken < self.max_descriptors
+        return in_use < self.max_descriptors
 
     def _accept(self, sock: socket.socket) -> None:
-        """While places are wanted, who waited here without the bytes of a true caller is closed unread, so
-        that the others don't wait for places behind it; who is let in takes the place of one that gives way.
+        """Accept queued connections.
+
+        Near the limit, queued connections that lag as those of a connection flood do are closed unread, so
+        that other clients do not wait behind them; each one accepted replaces an evicted one.
         """
-        taken = before = self.descriptors_in_use
-        looked, full = 0, False
-        while looked < MAX_EXAMINED_PER_TURN:
-            if taken >= self.max_descriptors or taken - before >= MAX_ACCEPTED_PER_TURN:
-                full = taken >= self.max_descriptors
+        in_use = before = self.descriptors_in_use
+        examined, full = 0, False
+        while examined < MAX_EXAMINED_PER_TURN:
+            if in_use >= self.max_descriptors or in_use - before >= MAX_ACCEPTED_PER_TURN:
+                full = in_use >= self.max_descriptors
                 break
             try:
-                caller, _ = sock.accept()
+                client, _ = sock.accept()
             except BlockingIOError:
                 break
             except OSError as fault:
@@ -103,47 +114,50 @@
                     self._log_fault(fault)
                     self.evict(1)
                     return self._pause_listener(sock)
-                looked += 1  # it has failed before it was let in; others may wait behind it
+                examined += 1  # it has failed before it was let in; others may wait behind it
                 continue
-            looked += 1
-            came = time.monotonic()
-            if taken >= self.max_served:
-                age, received = listener.received_before_accept(caller)
+            examined += 1
+            accepted_at = time.monotonic()
+            if in_use >= self.max_served:
+                age, received = listener.received_before_accept(client)
                 if is_lagging(received, age, self.flood.silence_timeout):
-                    caller.close()
+                    client.close()
                     continue
                 if not received:
-                    came -= age
-            self._admit(caller, self.listeners[sock], came)
-            taken += 1
-        self.flood.on_accepted(looked, time.monotonic())
-        if taken > self.max_served:
-            self.evict(taken - self.max_served if full else min(taken - self.max_served, taken - before))
+                    accepted_at -= age
+            self._admit(client, self.listeners[sock], accepted_at)
+            in_use += 1
+        self.flood.on_accepted(examined, time.monotonic())
+        if in_use > self.max_served:
+            self.evict(in_use - self.max_served if full else min(in_use - self.max_served, in_use - before))
         if full:
             self._pause_listener(sock)
         return None
 
     def _log_fault(self, fault: OSError) -> None:
+        """Log a fault of accepting, at most once in LOG_INTERVAL_S."""
         if time.monotonic() > self.last_logged + LOG_INTERVAL_S:
             self.last_logged = time.monotonic()
             log.warning("connections can't be accepted: %s", fault)
 
     def _pause_listener(self, sock: socket.socket) -> None:
+        """Stop accepting from a listener for RESUME_INTERVAL_S, or until a connection ends."""
         if sock not in self.paused:
             self.paused.add(sock)
             self.loop.remove_reader(sock)
             self.loop.call_later(RESUME_INTERVAL_S, self.resume)
 
     def resume(self) -> None:
-        """Some connection has ended, or it is time to look again."""
-        resting, self.paused = self.paused, set()
-        for sock in resting:
+        """Accept from the paused listeners again."""
+        paused, self.paused = self.paused, set()
+        for sock in paused:
             if sock in self.listeners:
                 self.loop.add_reader(sock, self._accept, sock)
 
-    def _admit(self, caller: socket.socket, certificates: Certificates | None, accepted_at: float) -> None:
-        caller.setblocking(False)
-        task = self.loop.create_task(self._handshake(caller, certificates, accepted_at))
+    def _admit(self, client: socket.socket, certificates: Certificates | None, accepted_at: float) -> None:
+        """Start the handshake of an accepted socket."""
+        client.setblocking(False)
+        task = self.loop.create_task(self._handshake(client, certificates, accepted_at))
         self.handshakes.add(task)
         task.add_done_callback(self.handshakes.discard)
         if self.identifier is not None or certificates is not None:
@@ -155,36 +169,36 @@
     async def _handshake(
         self, sock: socket.socket, certificates: Certificates | None, accepted_at: float
     ) -> None:
-        """All that comes before HTTP, within the time of a first request."""
+        """Perform everything that precedes HTTP, within the timeout of a first request."""
         handed_on = False
-        told = "unknown"
+        client = "unknown"
         peer: ClientIdentity | None = None
         try:
-            more: dict[str, Any] = {}
+            options: dict[str, Any] = {}
             if self.identifier is not None or certificates is not None:
                 peer = ClientIdentity(format_address(sock.getpeername()))
-                told = peer.client
+                client = peer.client
             if self.identifier is not None:
                 async with asyncio.timeout(HEAD_TIMEOUT_S):
                     peer = await self.identifier.identify(sock)
             if certificates is not None:
-                more = {
+                options = {
                     "ssl": certificates.context,
                     "ssl_shutdown_timeout": TLS_CLOSE_TIMEOUT_S,
                     "ssl_handshake_timeout": accepted_at + HEAD_TIMEOUT_S - time.monotonic(),
                 }
             handed_on = True
             await self.loop.connect_accepted_socket(
-                partial(self.make_protocol, peer, accepted_at), sock, **more
+                partial(self.make_protocol, peer, accepted_at), sock, **options
             )
         except ConnectionRejectedError as fault:
             if str(fault):
-                log.warning("connection closed: client=%s reason=%s", told, fault)
+                log.warning("connection closed: client=%s reason=%s", client, fault)
         except OSError as fault:
             if handed_on and certificates is not None:
-                log.warning("tls: handshake refused: client=%s reason=%s", told, reason(fault))
+                log.warning("tls: handshake refused: client=%s reason=%s", client, reason(fault))
             elif isinstance(fault, TimeoutError):
-                log.warning("connection closed: client=%s reason=nothing came in time", told)
+                log.warning("connection closed: client=%s reason=nothing came in time", client)
         except Exception:
             log.exception("a connection could not be taken")
         finally:
@@ -192,8 +206,10 @@
                 sock.close()
 
     async def close(self) -> None:
-        """What the kernel has let in already is served, as far as there is room: closing a listener resets
-        what is in its queue."""
+        """Close the listeners after accepting queued connections as far as capacity allows.
+
+        Closing a listener resets the connections in its queue.
+        """
         end = time.monotonic() + FINAL_ACCEPT_S
         for sock, certificates in self.listeners.items():
             if sock not in self.paused:
--- a/gladegw/net/downstream/connection.py
+++ b/gladegw/net/downstream/connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: HTTP/1.1 requests in, and the one answer of each out."""
+"""Downstream connection: parses HTTP/1.1 requests and writes exactly one response to each."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """One caller's connection: requests one after another, each with exactly one answer."""
+    """One downstream connection, whose requests are answered one after another."""
 
-    def __init__(self, server: DownstreamServer, peer: ClientIdentity | None, came: float) -> None:
+    def __init__(self, server: DownstreamServer, peer: ClientIdentity | None, accepted_at: float) -> None:
         self.server, self.peer = server, peer
         self.transport: asyncio.Transport | None = None
         self.parser: Any = httptools.HttpRequestParser(self)
@@ -52,9 +52,9 @@
         self.incoming: PendingResponse | None = (
             None  # the message whose head is whole and whose end has not come
         )
-        self.request_started_at = came  # since when a request is due
+        self.request_started_at = accepted_at  # since when a request is due
         self.received = 0  # bytes of it
-        self.request_deadline = RequestDeadline(came)  # of the request that is awaited
+        self.request_deadline = RequestDeadline(accepted_at)  # of the request that is awaited
         self.had_request = False
         self.waiting: deque[PendingResponse] = deque()
         self.current: PendingResponse | None = None  # whose answer is due
@@ -64,12 +64,13 @@
         self.closing = False
         self.rejected = False  # for want of places
         self.discarding = False  # the answer came before the end of its request, whose rest is not wanted
-        self.changed_at = came  # when bytes last came or went
+        self.changed_at = accepted_at  # when bytes last came or went
         self.full = False  # the peer does not read
         self.paused = False
 
     # transport callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection (called by the event loop)."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
         self.transport.set_write_buffer_limits(high=len(self.server.scratch))
         if self.peer is not None and transport.get_extra_info("ssl_object") is not None:
@@ -77,24 +78,27 @@
         self.server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Unregister the connection and cancel its open request (called by the event loop)."""
         self.transport = None
         self.closing = True
         self._forget()
         self.server.on_closed(self)
-        turn, self.current = self.current, None
-        if turn is not None:
-            self._on_request_end(turn, None)
+        pending, self.current = self.current, None
+        if pending is not None:
+            self._on_request_end(pending, None)
         call, self.call = self.call, None
         if call is not None:
             self.server.handler.on_disconnect(call)
 
     def pause_writing(self) -> None:
+        """The write buffer is full: pause the response's source and reading."""
         self.full = True
         if self.source is not None:
             self.source.pause()
         self._flow()
 
     def resume_writing(self) -> None:
+        """The write buffer has drained: resume the response's source and reading."""
         self.full = False
         self.changed_at = time.monotonic()
         if self.source is not None:
@@ -102,17 +106,20 @@
         self._flow()
 
     def _flow(self) -> None:
-        """Nothing more is read from a peer that reads nothing, that is ahead of its answers, or whose body is
-        not taken."""
+        """Pause or resume reading.
+
+        Paused if the peer does not read, has sent requests ahead of its responses, or sends a body faster
+        than the backend takes it.
+        """
         if self.transport is None or self.transport.is_closing() or (self.closing and not self.discarding):
             return
         upload = self.incoming.upload if self.incoming is not None else None
-        stuck = upload is not None and upload.waiting
+        is_stalled = upload is not None and upload.waiting
         # What is read gets its answer. So that these come to an end, a proxy that leaves reads no further.
-        enough = bool(self.waiting) or (
+        is_ahead = bool(self.waiting) or (
             self.server.draining and self.current is not None and not self.receiving
         )
-        pause = not self.discarding and (self.full or enough or stuck)
+        pause = not self.discarding and (self.full or is_ahead or is_stalled)
         if pause == self.paused:
             return
         self.paused = pause
@@ -126,10 +133,11 @@
                 self.request_deadline.resume(time.monotonic())
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """One for all: what is read is parsed before another connection reads."""
+        """The buffer that all connections share, parsed before another connection reads."""
         return self.server.scratch
 
     def buffer_updated(self, size: int) -> None:
+        """Parse received bytes."""
         if self.closing and not self.discarding:
             return
         self.changed_at = time.monotonic()
@@ -147,21 +155,22 @@
         self._answer_next()
 
     def _on_malformed(self, fault: Exception) -> None:
-        """What comes can't be followed any further."""
-        coming, self.incoming = self.incoming, None
-        if coming is not None and coming.upload is not None:
+        """Respond to input that cannot be parsed any further."""
+        incoming, self.incoming = self.incoming, None
+        if incoming is not None and incoming.upload is not None:
             self.abort_connection()  # its answer, if it has one yet, is of a request that nobody made
             return
         cause = fault if isinstance(fault, BadRequestError) else fault.__context__
-        bad = PendingResponse(
+        pending = PendingResponse(
             cause if isinstance(cause, BadRequestError) else BadRequestError(400, "malformed HTTP")
         )
-        bad.info = self._request_info()
-        self.waiting.append(bad)
+        pending.info = self._request_info()
+        self.waiting.append(pending)
         self.closing = True  # what still comes is read, so that the answer arrives, and dropped
 
     # parser callbacks
     def on_message_begin(self) -> None:
+        """Reset the state for a new request (called by the parser)."""
         self.receiving = True
         if self.had_request:
             self.request_started_at, self.received = self.changed_at, 0
@@ -171,36 +180,43 @@
         self.head_size = self.body_size = self.raw_size = 0
 
     def on_url(self, part: bytes) -> None:
+        """Append a part of the target (called by the parser)."""
         self.target += part
         self._count_head(len(part))
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Append a header field (called by the parser)."""
         self._count_head(len(name) + len(value))
         if self.incoming is None:  # what comes behind a body is no header of the request
             self.headers.append((name.lower(), value.strip(b" \t")))  # the parser leaves what follows
 
     def _count_head(self, size: int) -> None:
+        """Check the size of the head; raises BadRequestError."""
         self.head_size += size
         if self.head_size > MAX_HEAD_BYTES:
             raise BadRequestError(400, "headers too large")
 
     def on_headers_complete(self) -> None:
+        """Validate the head and prepare for the body (called by the parser).
+
+        Raises BadRequestError.
+        """
         parser, now = self.parser, time.monotonic()
         method = parser.get_method()
-        turn = PendingResponse(None)
-        turn.keep_alive = parser.should_keep_alive()
-        turn.bodyless = method == b"HEAD"
-        turn.http_1_0 = parser.get_http_version() == "1.0"
+        pending = PendingResponse(None)
+        pending.keep_alive = parser.should_keep_alive()
+        pending.bodyless = method == b"HEAD"
+        pending.http_1_0 = parser.get_http_version() == "1.0"
         size = next((value for name, value in self.headers if name == b"content-length"), b"0")
         length = int(size) if size.isdigit() else 0
         if length > MAX_BODY_BYTES:
             raise BadRequestError(413, "body too large")
         if parser.should_upgrade():
-            turn.request = BadRequestError(400, "no upgrades")
-            turn.keep_alive = False
+            pending.request = BadRequestError(400, "no upgrades")
+            pending.keep_alive = False
         elif origin_form(self.target).split(b"?", 1)[0] != b"/healthz" or method not in (b"GET", b"HEAD"):
             try:
-                turn.request = read_head(
+                pending.request = read_head(
                     method,
                     self.target,
                     self.headers,
@@ -209,31 +225,35 @@
                     self.server.router,
                     self._source,
                 )
-                if turn.request.bodyless and length:
+                if pending.request.bodyless and length:
                     raise BadRequestError(400, "a GET has no body")
             except BadRequestError as bad:
                 if length > MAX_BUFFERED_BYTES:
                     raise  # it is not worth waiting for
-                turn.request = bad
+                pending.request = bad
             else:
                 chunked = any(name == b"transfer-encoding" for name, _ in self.headers)
-                turn.request.length = None if chunked else length
-        if turn.request is not None:
-            turn.info = self._request_info()
-        self.incoming = turn
+                pending.request.length = None if chunked else length
+        if pending.request is not None:
+            pending.info = self._request_info()
+        self.incoming = pending
         self.request_deadline.on_body_start(now)
         expects = any(n == b"expect" and v.lower() == b"100-continue" for n, v in self.headers)
         if (
             expects
-            and not turn.http_1_0
+            and not pending.http_1_0
             and self.transport is not None
             and not (self.current or self.waiting)
         ):
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, chunk: bytes) -> None:
-        turn = self.incoming
-        assert turn is not None
+        """Buffer or stream a part of the body (called by the parser).
+
+        Raises BadRequestError.
+        """
+        pending = self.incoming
+        assert pending is not None
         self.body_size += len(chunk)
         self.request_deadline.on_body(len(chunk), self.changed_at)
         if self.discarding:
@@ -242,23 +262,26 @@
             return
         if self.body_size > MAX_BODY_BYTES:
             raise BadRequestError(413, "body too large")
-        if turn.upload is not None:
-            turn.upload.feed(chunk)
-        elif not isinstance(turn.request, Request):
+        if pending.upload is not None:
+            pending.upload.feed(chunk)
+        elif not isinstance(pending.request, Request):
             if self.body_size > MAX_BUFFERED_BYTES:
-                raise turn.request or BadRequestError(413, "body too large")
-        elif turn.request.bodyless:
-            turn.request = BadRequestError(400, "a GET has no body")
+                raise pending.request or BadRequestError(413, "body too large")
+        elif pending.request.bodyless:
+            pending.request = BadRequestError(400, "a GET has no body")
         else:
             self.body.append(chunk)
             if self.body_size > MAX_BUFFERED_BYTES:
-                turn.upload = turn.request.upload = RequestBody(turn.request.length, self.body, self._flow)
+                pending.upload = pending.request.upload = RequestBody(
+                    pending.request.length, self.body, self._flow
+                )
                 self.body = []
-                self.waiting.append(turn)
+                self.waiting.append(pending)
 
     def on_message_complete(self) -> None:
-        turn, self.incoming = self.incoming, None
-        assert turn is not None
+        """Queue the complete request, or end its streamed body (called by the parser)."""
+        pending, self.incoming = self.incoming, None
+        assert pending is not None
         self.receiving = False
         self.request_deadline.on_complete()
         self.had_request = True
@@ -267,74 +290,79 @@
             self.discarding = False
             self._finish()
             return
-        request = turn.request
+        request = pending.request
         if isinstance(request, Request):
             request.received_at = self.changed_at - self._waited_unread()
-            turn.received = True
+            pending.received = True
             self.server.counters.on_received()
-            if turn.upload is not None:
-                if turn is self.current and self.call is not None:
+            if pending.upload is not None:
+                if pending is self.current and self.call is not None:
                     self.server.handler.on_body_complete(self.call)
-                turn.upload.end()
+                pending.upload.end()
                 return
             request.body = b"".join(self.body)
         self.body = []
-        self.waiting.append(turn)
+        self.waiting.append(pending)
 
     def _waited_unread(self) -> float:
-        """How long the last bytes that came were in the kernel (seconds): the peer's time runs since then,
-        also while this process stood still or the connection waited to be accepted."""
+        """Seconds that the last received bytes spent in the kernel.
+
+        The client's budget runs since then, also while this process was stalled or the connection waited to
+        be accepted.
+        """
         if self.transport is None or self.transport.is_closing():
             return 0.0
         return min(time_since_data(self.transport.get_extra_info("socket")), MAX_UNREAD_S)
 
     def _source(self) -> str:
-        """The client's address, for routes that ask for it."""
+        """The client's address, for routes that match it."""
         if self.peer is not None:
             return self.peer.client.rpartition(":")[0].strip("[]")
         name = self.transport.get_extra_info("peername") if self.transport is not None else None
         return str(name[0]) if name else ""
 
     def _request_info(self) -> RequestInfo | None:
+        """Attributes of the current request for observers; None if there are no observers."""
         if not self.server.observers:
             return None
-        told = dict(self.headers)
+        headers = dict(self.headers)
         return RequestInfo(
-            id=told.get(b"x-call-id", b"").decode("latin-1"),
+            id=headers.get(b"x-call-id", b"").decode("latin-1"),
             cls=class_of(self.target),
-            tenant=told.get(b"x-caller", b"").decode("latin-1"),
+            tenant=headers.get(b"x-caller", b"").decode("latin-1"),
             received_at=time.monotonic(),
             peer=self.peer,
         )
 
     def _forget(self) -> None:
-        """What waits behind the open request is not answered any more."""
-        for turn in self.waiting:
-            if turn.received and isinstance(turn.request, Request):
-                self.server.counters.on_ended(turn.request.cls, None)
+        """Discard the requests queued behind the open one."""
+        for pending in self.waiting:
+            if pending.received and isinstance(pending.request, Request):
+                self.server.counters.on_ended(pending.request.cls, None)
         self.waiting.clear()
 
-    def _on_request_end(self, turn: PendingResponse, code: int | None) -> None:
-        """The one place where the end of a request is told."""
-        ledger = self.server.counters
-        if isinstance(turn.request, Request) and (turn.received or code is not None):
-            if not turn.received:  # it was answered before it had come whole
-                ledger.on_received()
-            ledger.on_ended(turn.request.cls, code)
-        if turn.info is not None:
-            for watcher in self.server.observers:
-                watcher.on_end(turn.info, code)
+    def _on_request_end(self, pending: PendingResponse, code: int | None) -> None:
+        """Count the end of a request and notify the observers."""
+        counters = self.server.counters
+        if isinstance(pending.request, Request) and (pending.received or code is not None):
+            if not pending.received:  # it was answered before it had come whole
+                counters.on_received()
+            counters.on_ended(pending.request.cls, code)
+        if pending.info is not None:
+            for observer in self.server.observers:
+                observer.on_end(pending.info, code)
 
     # answers
     def _answer_next(self) -> None:
+        """Start the next queued request unless one is open."""
         while self.waiting and self.current is None and self.transport is not None:
-            turn = self.current = self.waiting.popleft()
-            request = turn.request
-            if turn.info is not None:
-                for watcher in self.server.observers:
-                    watcher.on_start(turn.info)
+            pending = self.current = self.waiting.popleft()
+            request = pending.request
+            if pending.info is not None:
+                for observer in self.server.observers:
+                    observer.on_start(pending.info)
             if self.peer is not None and self.peer.denied:
-                turn.close_after = True
+                pending.close_after = True
                 self.answer(403, NO_HEADERS, b"this address is not admitted\n")
             elif request is None:
                 ready = self.server.ready()
@@ -343,7 +371,7 @@
                 self.answer(request.code, request.headers, f"{request}\n".encode())
             elif self.server.at_capacity:
                 # Never sent, so a refusal is harmless.
-                turn.close_after = self.rejected = True
+                pending.close_after = self.rejected = True
                 self.answer(503, ((b"retry-after", b"1"),), b"too many connections\n")
             else:
                 try:
@@ -352,62 +380,68 @@
                     log.exception("a request could not be taken")
                     self.answer(500, NO_HEADERS, b"internal error\n")
                     continue
-                if self.current is turn:
+                if self.current is pending:
                     self.call = call
         self._flow()
 
     def _open_response(self) -> PendingResponse:
-        """Whoever asks for a second answer gets an exception, not a byte."""
+        """The pending response; raises RuntimeError if the request was already answered."""
         if self.current is None or self.source is not None:
             raise RuntimeError("a request has one answer")
         return self.current
 
     def _has_more_pending(self) -> bool:
-        """Whether a request behind the open one was read, or came before this side ceased to read."""
+        """Whether a further request was read, or arrived before the drain stopped reading."""
         return bool(self.waiting) or (time.monotonic() < self.server.reads_until and self.unread)
 
-    def _head(self, turn: PendingResponse, code: int, headers: Any, length: int | None) -> bytes:
-        if turn is self.incoming or (
-            (turn.close_after or self.server.closes_after_response) and not self._has_more_pending()
+    def _head(self, pending: PendingResponse, code: int, headers: Any, length: int | None) -> bytes:
+        """The head of a response, which also decides whether the connection persists."""
+        if pending is self.incoming or (
+            (pending.close_after or self.server.closes_after_response) and not self._has_more_pending()
         ):
-            turn.keep_alive = False
-        self.chunked = length is None and not turn.http_1_0
+            pending.keep_alive = False
+        self.chunked = length is None and not pending.http_1_0
         if length is None and not self.chunked:
-            turn.keep_alive = False
-        return response_head(turn, code, headers, length)
+            pending.keep_alive = False
+        return response_head(pending, code, headers, length)
 
     def answer(self, code: int, headers: Any, body: bytes) -> None:
-        """The one answer to the open request, whole."""
-        turn = self._open_response()
+        """Send a complete response to the open request."""
+        pending = self._open_response()
         if self.transport is not None:
-            head = self._head(turn, code, headers, len(body))
-            self.transport.write(head if turn.bodyless else head + body)
-        self._answered(turn, code)
+            head = self._head(pending, code, headers, len(body))
+            self.transport.write(head if pending.bodyless else head + body)
+        self._answered(pending, code)
 
     def begin(self, headers: Any, length: int | None, source: FlowControl) -> None:
-        """The one answer, served, whose body follows by `send` until `finish` or `abort`."""
-        turn = self._open_response()
+        """Start a streamed response with status 200, continued by `send` until `finish` or `abort`."""
+        pending = self._open_response()
         self.source = source
         if self.transport is not None:
-            self.transport.write(self._head(turn, 200, headers, length))
+            self.transport.write(self._head(pending, 200, headers, length))
         if self.full:
             source.pause()
 
     def send(self, chunk: bytes) -> None:
+        """Send the next part of a streamed body."""
         if self.transport is not None and chunk:
             self.changed_at = time.monotonic()
             self.transport.write(b"%x\r\n%b\r\n" % (len(chunk), chunk) if self.chunked else chunk)
 
     def finish(self) -> None:
-        turn = self.current
-        if turn is not None:
+        """End the streamed response."""
+        pending = self.current
+        if pending is not None:
             if self.chunked and self.transport is not None:
                 self.transport.write(b"0\r\n\r\n")
-            self._answered(turn, 200)
+            self._answered(pending, 200)
 
     def hung_up(self) -> bool:
-        """Whether the caller has closed its connection. The kernel is asked: where the loop reads nothing, or
-        has not come round to it, the close would be learned too late."""
+        """Whether the client has closed its connection.
+
+        The kernel is queried, since the event loop may not be reading, or may not have processed the close
+        yet.
+        """
         if self.transport is None or self.transport.is_closing():
             return True
         if not peer_has_closed(self.transport.get_extra_info("socket").fileno()):
@@ -416,27 +450,31 @@
         return True
 
     def abort(self) -> None:
-        """The rest does not come. The caller sees it: neither the length nor the last chunk is there."""
-        turn, self.current, self.source, self.call = self.current, None, None, None
-        if turn is not None:
-            self._on_request_end(turn, 502)
+        """Break off the streamed response.
+
+        The client can tell, since neither the full length nor the last chunk was sent.
+        """
+        pending, self.current, self.source, self.call = self.current, None, None, None
+        if pending is not None:
+            self._on_request_end(pending, 502)
         self.abort_connection()
 
-    def _answered(self, turn: PendingResponse, code: int) -> None:
+    def _answered(self, pending: PendingResponse, code: int) -> None:
+        """Complete the open request and continue, or close the connection."""
         self.current = self.call = self.source = None
-        self._on_request_end(turn, code)
+        self._on_request_end(pending, code)
         transport = self.transport
         if transport is None:
             return
         self.changed_at = time.monotonic()
-        if turn is self.incoming:
+        if pending is self.incoming:
             # It has not come whole: the rest is read and dropped, so that the answer arrives.
             self.closing = self.discarding = True
-            if turn.upload is not None:
-                turn.upload.drop()
+            if pending.upload is not None:
+                pending.upload.drop()
             self._forget()
             self._flow()
-        elif not turn.keep_alive:
+        elif not pending.keep_alive:
             self._finish(read_out=self.closing)  # its sender may read only when it has written all
         elif self.waiting:
             self.server.loop.call_soon(self._answer_next)
@@ -444,9 +482,12 @@
             self._flow()
 
     def _finish(self, read_out: bool = False) -> None:
-        """The last answer has been written. The peer may still be sending, and closing over unread bytes
-        resets the connection, which can take the answer with it: first only this side ends (RFC 9112,
-        section 9.6). A request that comes now is not read, so that its sender knows that it may repeat it."""
+        """Close the connection after its last response, which the peer must be able to read.
+
+        The peer may still be sending, and closing with unread bytes resets the connection, which can destroy
+        the response. Hence only the sending side is closed first (RFC 9112, section 9.6). A request that
+        arrives now is not read, so that the client knows that it may repeat it.
+        """
         self.closing, self.discarding = True, False
         self._forget()
         transport = self.transport
@@ -461,8 +502,10 @@
         self._linger(time.monotonic() + LINGER_S)
 
     def _linger(self, until: float) -> None:
-        """Until the peer has closed too, or has had its time to, from when its answer has gone out. Where its
-        place is wanted, until that has arrived."""
+        """Close once the peer has closed, or LINGER_S after the response was written.
+
+        If the server is overloaded and the request was shed, close once the response was acknowledged.
+        """
         transport = self.transport
         if transport is None or transport.is_closing():
             return
@@ -470,15 +513,16 @@
         if transport.get_write_buffer_size():
             until = now + LINGER_S
         closed = peer_has_closed(transport.get_extra_info("socket").fileno())
-        wanted = self.rejected and self.server.is_overloaded
-        if now >= until or closed or (wanted and self.delivered):
+        is_needed = self.rejected and self.server.is_overloaded
+        if now >= until or closed or (is_needed and self.delivered):
             transport.abort()
         else:
-            look = OVERLOADED_CHECK_INTERVAL_S if wanted else LINGER_CHECK_INTERVAL_S
-            self.server.loop.call_later(look, self._linger, until)
+            interval = OVERLOADED_CHECK_INTERVAL_S if is_needed else LINGER_CHECK_INTERVAL_S
+            self.server.loop.call_later(interval, self._linger, until)
 
     @property
     def stage(self) -> ConnectionStage:
+        """The stage of the connection, for the eviction policy."""
         if self.current is not None or self.waiting:
             return ConnectionStage.PENDING
         if self.closing and not self.discarding:
@@ -487,14 +531,14 @@
 
     @property
     def unread(self) -> bool:
-        """Whether bytes have come that were not read yet: then nothing can be said of what is due."""
+        """Whether received bytes were not read yet, so that it is unknown whether a request is pending."""
         if self.transport is None or self.transport.is_closing():
             return False
         return has_unread(self.transport.get_extra_info("socket").fileno())
 
     @property
     def delivered(self) -> bool:
-        """Whether a close now takes nothing with it: all that was written has arrived."""
+        """Whether closing now loses nothing: all written bytes were acknowledged."""
         if self.transport is None or self.transport.is_closing():
             return True
         fileno = self.transport.get_extra_info("socket").fileno()
@@ -504,14 +548,17 @@
         return written and not has_unread(fileno)
 
     def overdue(self, now: float) -> bool:
-        """Whether a request that is awaited does not come; not where another is owed its answer."""
+        """Whether the awaited request missed its deadline; False while another response is pending."""
         if self.current is not None and self.current is not self.incoming:
             return False
         return self.request_deadline.due_at < now and not self.waiting
 
     def close(self) -> None:
-        """Ends it where no answer is owed. What comes from now on is not read, so that its sender may repeat
-        it; but where an answer has just gone out, that must not be lost by it."""
+        """Close the connection if no response is pending.
+
+        Bytes that arrive from now on are not read, so that the client may repeat its request. A response sent
+        just before must not be lost, so that the connection then lingers.
+        """
         if self.transport is None or (self.closing and not self.discarding):
             return
         if self.had_request and time.monotonic() < self.changed_at + LINGER_S:
@@ -521,7 +568,7 @@
         self.transport.close()
 
     def abort_connection(self) -> None:
-        """Whatever is still to be written is dropped, so that the descriptor is free at once."""
+        """Close immediately and discard unwritten bytes, which frees the descriptor."""
         self.closing, self.discarding = True, False
         if self.transport is not None:
             self.transport.abort()
--- a/gladegw/net/policy_router.py
+++ b/gladegw/net/policy_router.py
@@ -1,4 +1,4 @@
-"""Requests are answered only while a policy may be used here, and by the policy that they were begun with."""
+"""Routing under a policy: requests are served only while a policy is usable, by the policy of their epoch."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class PolicyRouter:
-    """The router of a proxy under a policy. All of it happens on the serving loop."""
+    """The router of a proxy under a policy; used only on the serving event loop."""
 
     def __init__(
         self, pools: PoolRouter, gate: ServingLease, settings: PolicySettings, may_advise: bool
@@ -44,13 +44,14 @@
 
     # what the policy says
     def on_prepared(self, epoch: int, digest: str, ready: PreparedTable | None) -> None:
-        """Agreed to, and not in force here; None: it is not any more."""
+        """A policy was prepared but is not active yet; `ready` is None if it was withdrawn."""
         self._drop_prepared()
         if ready is not None and self.settings.stamp_from:
             self.retention.on_prepared(PolicyEpoch(epoch, digest))
             self.prepared_table = ready
 
     def activate(self, epoch: int, digest: str, ready: PreparedTable | None) -> None:
+        """Activate a policy; `ready` is None if the proxy's own file is in use."""
         stamp, last = PolicyEpoch(epoch, digest), self.retention.in_use
         made = self.tables.pop(stamp, None)
         self._drop_prepared()
@@ -64,6 +65,7 @@
         self._expire_tables()
 
     def _drop_prepared(self) -> None:
+        """Discard the prepared policy."""
         if self.retention.prepared is not None:
             self.tables.pop(self.retention.prepared, None)
             self.retention.on_prepared(None)
@@ -71,13 +73,14 @@
         self.prepared_table = None
 
     def _expire_tables(self) -> None:
-        """Ends what is held no longer."""
-        for stamp in self.retention.expire(time.monotonic()):
-            self.tables.pop(stamp, None)
+        """Discard tables whose retention has ended."""
+        for epoch in self.retention.expire(time.monotonic()):
+            self.tables.pop(epoch, None)
         self.pools.keep(list(self.tables.values()))
 
     # requests
     def _trusts(self, source: str) -> bool:
+        """Whether policy epoch headers from this address are accepted."""
         try:
             address = plain(ipaddress.ip_address(source))
         except ValueError:
@@ -85,7 +88,10 @@
         return any(address in known for known in self.trusted)
 
     def _told(self, found: list[bytes], source: Callable[[], str]) -> PolicyEpoch | None:
-        """The stamp that the request is to be decided by; None: it has none that counts."""
+        """The policy epoch that the request carries; None if it comes from an untrusted address.
+
+        Raises BadRequestError if the header is malformed.
+        """
         if not self.trusts(source()):
             return None
         if len(found) > 1:
@@ -95,33 +101,37 @@
         except ValueError as fault:
             raise BadRequestError(400, str(fault)) from None
 
-    def _generation(self, stamp: PolicyEpoch) -> Generation:
-        standing = self.retention.state_of(stamp, time.monotonic())
-        if standing not in USABLE_STATES:
-            raise BadRequestError(503, f"policy {stamp} is {standing.value} here", (*self.advice, NEVER_RAN))
-        if standing is TableState.IN_USE:
+    def _generation(self, epoch: PolicyEpoch) -> Generation:
+        """The tables of a policy epoch; raises BadRequestError if they are not usable."""
+        state = self.retention.state_of(epoch, time.monotonic())
+        if state not in USABLE_STATES:
+            raise BadRequestError(503, f"policy {epoch} is {state.value} here", (*self.advice, NEVER_RAN))
+        if state is TableState.IN_USE:
             return self.pools.now
-        if stamp not in self.tables:  # prepared, and asked for the first time
+        if epoch not in self.tables:  # prepared, and asked for the first time
             assert self.prepared_table is not None
-            self.tables[stamp] = self.pools.make(*self.prepared_table, stamp.epoch)
+            self.tables[epoch] = self.pools.make(*self.prepared_table, epoch.epoch)
             self.pools.keep(list(self.tables.values()))
-        return self.tables[stamp]
+        return self.tables[epoch]
 
     def __call__(
         self, method: bytes, target: bytes, headers: Headers, budget: float, source: Callable[[], str]
     ) -> RoutedRequest:
-        """Refuses at once, as never run, what comes while the gate is closed, and what is stamped with a
-        policy that is not here."""
-        kept = [pair for pair in headers if pair[0] != HEADER]
-        stamp = None
-        if len(kept) != len(headers):
-            stamp = self._told([value for name, value in headers if name == HEADER], source)
+        """Route a request.
+
+        Raises BadRequestError, marked as never run, while the serving lease is closed, and for a policy epoch
+        that is not available.
+        """
+        forwarded = [pair for pair in headers if pair[0] != HEADER]
+        epoch = None
+        if len(forwarded) != len(headers):
+            epoch = self._told([value for name, value in headers if name == HEADER], source)
         if not self.serving_lease.open:
-            more = () if stamp is None else (NEVER_RAN,)
-            raise BadRequestError(503, "no policy in force here", (*self.advice, *more))
-        generation = self.pools.now if stamp is None else self._generation(stamp)
-        routed = self.pools.route_by(generation, method, target, kept, budget, source)
+            marks = () if epoch is None else (NEVER_RAN,)
+            raise BadRequestError(503, "no policy in force here", (*self.advice, *marks))
+        generation = self.pools.now if epoch is None else self._generation(epoch)
+        routed = self.pools.route_by(generation, method, target, forwarded, budget, source)
         if any(fnmatchcase(routed.pool, pattern) for pattern in self.settings.stamp_pools):
-            told = str(stamp or self.retention.in_use).encode()
+            told = str(epoch or self.retention.in_use).encode()
             routed.headers.append((HEADER, told))
         return routed
--- a/gladegw/net/timing.py
+++ b/gladegw/net/timing.py
@@ -1,5 +1,8 @@
-"""How requests ended and how long they took, by class, whoever answered them: also routes by themselves and a
-missing route, which are what a bad table does. For rollouts; imported with the block `rollout` alone."""
+"""Outcomes and durations of requests by class, for rollouts.
+
+Responses that routes give themselves and requests without a route count too, since an invalid route table
+causes them. Imported only if the block `rollout` is configured.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,10 @@
 
 
 class RequestTiming:
-    """Read from the agent's thread: figures that may be one step apart."""
+    """Request observer with cumulative counters.
+
+    Read from the fleet member's thread, so counters may be one update apart.
+    """
 
     def __init__(self, classes: Iterable[RequestClass]) -> None:
         self.objectives = {cls.name: cls.latency_objective for cls in classes}
@@ -21,24 +27,26 @@
         self.count = dict.fromkeys(self.durations, 0)
         self.ends = {cls: OutcomeCounts() for cls in self.durations}
 
-    def on_start(self, asked: RequestInfo) -> None:
+    def on_start(self, request: RequestInfo) -> None:
+        """Do nothing; requests are counted when they end."""
         pass
 
-    def on_end(self, asked: RequestInfo, code: int | None) -> None:
-        if asked.cls not in self.durations:
+    def on_end(self, request: RequestInfo, code: int | None) -> None:
+        """Count the request; `code` is None if it got no response."""
+        if request.cls not in self.durations:
             return
-        self.ends[asked.cls].add(code)
+        self.ends[request.cls].add(code)
         if code == 200:
-            took = time.monotonic() - asked.received_at
-            self.durations[asked.cls] += took
-            self.count[asked.cls] += 1
-            self.late[asked.cls] += took > self.objectives[asked.cls]
+            duration = time.monotonic() - request.received_at
+            self.durations[request.cls] += duration
+            self.count[request.cls] += 1
+            self.late[request.cls] += duration > self.objectives[request.cls]
 
     def counters(self) -> dict[str, int]:
-        """Microseconds and counts, which only grow."""
-        told = {f"took.{cls}": round(1e6 * took) for cls, took in self.durations.items()}
+        """Cumulative counters; durations are in microseconds."""
+        counters = {f"took.{cls}": round(1e6 * took) for cls, took in self.durations.items()}
         for cls, ends in self.ends.items():
-            told |= {
+            counters |= {
                 f"late.{cls}": self.late[cls],
                 f"timed.{cls}": self.count[cls],
                 f"ended.{cls}.passed": ends.passed,
@@ -46,4 +54,4 @@
                 f"ended.{cls}.failed": ends.bad_gateway,
                 f"ended.{cls}.gone": ends.disconnected,
             }
-        return told
+        return counters
