--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -37,7 +37,7 @@
 }
 
 # Modules that still import each other in a circle, by the packages that they lie in; this list only shrinks.
-CIRCLES = 6
+CIRCLES = 5
 
 # Folders and modules that are finished whole: names, shape, docstrings, the strict lint rules.
 FINISHED = ("gladegw/limits/buffer_budget.py", "gladegw/net/hop_by_hop.py")
