--- a/gladegw/limits/buffer_budget.py
+++ b/gladegw/limits/buffer_budget.py
@@ -10,7 +10,10 @@
 
 
 def chunk_bytes(memory: int, streams: int) -> int:
-    """Return the read size in bytes that keeps `streams` streams within their fraction of `memory` bytes."""
+    """Return the read size in bytes that keeps `streams` streams within their fraction of `memory` bytes.
+
+    The size is at least `MIN_CHUNK_BYTES`, also where that exceeds the fraction.
+    """
     return int(
         max(
             MIN_CHUNK_BYTES,
--- a/gladegw/limits/connection_eviction.py
+++ b/gladegw/limits/connection_eviction.py
@@ -68,18 +68,19 @@
     would cut off slow clients when there are few connections.
     """
 
-    __slots__ = ("places", "recent_connections", "since")
+    __slots__ = ("max_connections", "recent_connections", "updated_at")
 
-    def __init__(self, places: int) -> None:
-        self.places = places
-        self.recent_connections, self.since = 0.0, 0.0
+    def __init__(self, max_connections: int) -> None:
+        self.max_connections = max_connections
+        self.recent_connections, self.updated_at = 0.0, 0.0
 
     def on_accepted(self, count: int, now: float) -> None:
         """Count `count` connections accepted at `now`."""
         self.recent_connections = (
-            self.recent_connections * math.exp(min(0.0, self.since - now) / NEW_CONNECTION_GRACE_S) + count
+            self.recent_connections * math.exp(min(0.0, self.updated_at - now) / NEW_CONNECTION_GRACE_S)
+            + count
         )
-        self.since = now
+        self.updated_at = now
 
     @property
     def silence_timeout(self) -> float:
@@ -88,7 +89,7 @@
             MIN_SILENCE_S,
             min(
                 NEW_CONNECTION_GRACE_S,
-                NEW_CONNECTION_GRACE_S * self.places / max(1.0, self.recent_connections),
+                NEW_CONNECTION_GRACE_S * self.max_connections / max(1.0, self.recent_connections),
             ),
         )
 
@@ -117,10 +118,8 @@
             return 2, score
         return (3, score) if age > SLOW_REQUEST_GRACE_S else None
     if stage is ConnectionStage.RECEIVING and is_lagging(connection.received, age, silence_timeout):
-        return (
-            4,
-            connection.received - MIN_HEAD_BYTES_PER_S * age,
-        )  # last: only if nothing else can be evicted
+        # last: only if nothing else can be evicted
+        return 4, connection.received - MIN_HEAD_BYTES_PER_S * age
     return None
 
 
--- a/gladegw/limits/descriptor_budget.py
+++ b/gladegw/limits/descriptor_budget.py
@@ -28,8 +28,17 @@
     The sum of all parts stays within `limit` unless the limit is too low for one client and one upstream
     connection; each of these gets at least one descriptor.
     """
-    callers = max(4, min(MAX_OPERATOR_CONNECTIONS, int(limit * OPERATORS_FRACTION))) if operators else 0
-    own = OPERATOR_PORT_DESCRIPTORS if operators else 0
-    free = max(2, limit - max(in_use, MIN_STARTUP_DESCRIPTORS) - OTHER_DESCRIPTORS - callers - own)
+    operator_connections = (
+        max(4, min(MAX_OPERATOR_CONNECTIONS, int(limit * OPERATORS_FRACTION))) if operators else 0
+    )
+    operator_port = OPERATOR_PORT_DESCRIPTORS if operators else 0
+    free = max(
+        2,
+        limit
+        - max(in_use, MIN_STARTUP_DESCRIPTORS)
+        - OTHER_DESCRIPTORS
+        - operator_connections
+        - operator_port,
+    )
     clients = max(1, int(free * CLIENTS_FRACTION))
-    return DescriptorBudget(clients, free - clients, callers)
+    return DescriptorBudget(clients, free - clients, operator_connections)
--- a/gladegw/supervisor/run.py
+++ b/gladegw/supervisor/run.py
@@ -48,11 +48,8 @@
 
 POLL_INTERVAL_S = 0.1
 COMMANDS = {ActionKind.DRAIN: b"LAMEDUCK\n", ActionKind.REJOIN: b"REJOIN\n"}
-REPLACEMENT_SERVES = (
-    Phase.VERIFYING,
-    Phase.RETAINING_PREVIOUS,
-    Phase.STOPPING_PREVIOUS,
-)  # in these, the replacement listens on the clients' address
+# In these phases the replacement listens on the clients' address.
+REPLACEMENT_SERVES = (Phase.VERIFYING, Phase.RETAINING_PREVIOUS, Phase.STOPPING_PREVIOUS)
 EPOCH_OF_FILE = -1  # differs from all epochs of the store, which are not negative
 
 
--- a/tests/limits/test_connection_limits.py
+++ b/tests/limits/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""What makes room, how descriptors are shared, how long a peer may take; then true clients in a crowd."""
+"""Connection eviction, the descriptor budget and request timeouts; then true clients beside a flood."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 from support.loopback import Backend, Caller, Proxy, proxy, run
 
-from gladegw.limits.connection_eviction import MIN_SILENCE_S as SILENT
 from gladegw.limits.connection_eviction import (
+    MIN_SILENCE_S,
     NEW_CONNECTION_GRACE_S,
     SLOW_REQUEST_GRACE_S,
     ConnectionFlood,
@@ -58,16 +58,16 @@
 @given(connections)
 def test_who_is_owed_an_answer_never_gives_way_and_the_idle_do_first(present: list[StubConnection]) -> None:
     found = next(iter(connections_to_evict(present, 10.0)), None)
-    idle = [guest for guest in present if guest.stage is ConnectionStage.IDLE]
+    idle = [connection for connection in present if connection.stage is ConnectionStage.IDLE]
     if idle:
         assert found is not None and found.stage is ConnectionStage.IDLE
-        assert found.changed_at == min(guest.changed_at for guest in idle)
+        assert found.changed_at == min(connection.changed_at for connection in idle)
     elif found is None:
-        coming = [guest for guest in present if guest.stage is ConnectionStage.RECEIVING]
+        coming = [connection for connection in present if connection.stage is ConnectionStage.RECEIVING]
         assert all(
-            10.0 - guest.request_started_at
-            <= (SLOW_REQUEST_GRACE_S if guest.received else NEW_CONNECTION_GRACE_S)
-            for guest in coming
+            10.0 - connection.request_started_at
+            <= (SLOW_REQUEST_GRACE_S if connection.received else NEW_CONNECTION_GRACE_S)
+            for connection in coming
         )
     else:
         assert found.stage is not ConnectionStage.PENDING
@@ -101,29 +101,36 @@
     dripping = StubConnection(ConnectionStage.RECEIVING, 9.85, 9.99, 1)
     silent = StubConnection(ConnectionStage.RECEIVING, 9.9, 9.9)
     fresh = StubConnection(ConnectionStage.RECEIVING, 9.99, 9.99)
-    assert connections_to_evict([writing, silent, fresh, dripping], 10.0, 4, SILENT) == [dripping, silent]
+    assert connections_to_evict([writing, silent, fresh, dripping], 10.0, 4, MIN_SILENCE_S) == [
+        dripping,
+        silent,
+    ]
     assert connections_to_evict([writing, silent, fresh, dripping], 10.0, 4, 0.12) == [dripping]
     assert (
-        is_lagging(0, 0.03, SILENT) and not is_lagging(0, 0.01, SILENT) and not is_lagging(100, 1.9, SILENT)
+        is_lagging(0, 0.03, MIN_SILENCE_S)
+        and not is_lagging(0, 0.01, MIN_SILENCE_S)
+        and not is_lagging(100, 1.9, MIN_SILENCE_S)
     )
 
 
 @given(st.floats(1, 20_000), st.integers(1, 200))
-def test_patience_follows_the_pace_so_that_each_who_comes_finds_a_place(rate: float, places: int) -> None:
-    press = ConnectionFlood(places)
-    assert press.silence_timeout == NEW_CONNECTION_GRACE_S
+def test_patience_follows_the_pace_so_that_each_who_comes_finds_a_place(
+    rate: float, max_connections: int
+) -> None:
+    flood = ConnectionFlood(max_connections)
+    assert flood.silence_timeout == NEW_CONNECTION_GRACE_S
     for number in range(1000):
-        press.on_accepted(10, number * 10 / rate)
+        flood.on_accepted(10, number * 10 / rate)
     if number * 10 / rate > 5 * NEW_CONNECTION_GRACE_S:
-        held = rate * press.silence_timeout  # so many are inside at a time, if nobody says anything
-        assert press.silence_timeout == SILENT or held <= places * 1.1 + 10
+        held = rate * flood.silence_timeout  # so many are inside at a time, if nobody says anything
+        assert flood.silence_timeout == MIN_SILENCE_S or held <= max_connections * 1.1 + 10
         assert (
-            press.silence_timeout == NEW_CONNECTION_GRACE_S
-            or held >= places * 0.6 - 10
-            or press.silence_timeout == SILENT
+            flood.silence_timeout == NEW_CONNECTION_GRACE_S
+            or held >= max_connections * 0.6 - 10
+            or flood.silence_timeout == MIN_SILENCE_S
         )
-    press.on_accepted(0, 1000 / rate * 10 + 60)
-    assert press.silence_timeout == NEW_CONNECTION_GRACE_S
+    flood.on_accepted(0, 1000 / rate * 10 + 60)
+    assert flood.silence_timeout == NEW_CONNECTION_GRACE_S
 
 
 @given(connections, st.integers(0, 5))
@@ -131,7 +138,7 @@
     present: list[StubConnection], count: int
 ) -> None:
     found = connections_to_evict(present, 10.0, count)
-    assert len({id(guest) for guest in found}) == len(found) <= count
+    assert len({id(connection) for connection in found}) == len(found) <= count
     assert found == connections_to_evict(present, 10.0, len(present))[:count]
 
 
@@ -153,66 +160,66 @@
 
 @given(st.floats(0, 2.0), st.lists(st.integers(1, 32_000), min_size=1, max_size=60))
 def test_a_body_at_the_slowest_true_rate_is_sound(head: float, pieces: list[int]) -> None:
-    pace = RequestDeadline(100.0)
+    deadline = RequestDeadline(100.0)
     now = 100.0 + head
-    pace.on_head_start(now)
-    assert pace.due_at >= now
-    pace.on_body_start(now)
+    deadline.on_head_start(now)
+    assert deadline.due_at >= now
+    deadline.on_body_start(now)
     for size in pieces:
         now += size / TRUE_RATE
-        assert pace.due_at > now
-        pace.on_body(size, now)
+        assert deadline.due_at > now
+        deadline.on_body(size, now)
 
 
 @given(st.lists(st.tuples(st.floats(0, 3), st.integers(0, 400)), max_size=30))
 def test_silence_and_drips_end_within_three_seconds(drips: list[tuple[float, int]]) -> None:
     """What is too little for a true client gains no time to speak of, whenever the head was whole."""
-    pace = RequestDeadline(100.0)
+    deadline = RequestDeadline(100.0)
     now = 100.0
     begun = False
     for after, size in drips:
-        if now + after > pace.due_at:
+        if now + after > deadline.due_at:
             break
         now += after
         if not begun:
-            pace.on_body_start(now)
+            deadline.on_body_start(now)
             begun = True
-        pace.on_body(size, now)
+        deadline.on_body(size, now)
     gained = sum(size for _, size in drips) / MIN_BODY_BYTES_PER_S
-    assert pace.due_at <= 100.0 + max(HEAD_TIMEOUT_S, FIRST_BODY_TIMEOUT_S) + gained + 1e-9
-    pace.on_complete()
-    assert pace.due_at == math.inf
+    assert deadline.due_at <= 100.0 + max(HEAD_TIMEOUT_S, FIRST_BODY_TIMEOUT_S) + gained + 1e-9
+    deadline.on_complete()
+    assert deadline.due_at == math.inf
 
 
 def test_a_body_on_a_kept_connection_has_the_same_time() -> None:
-    pace = RequestDeadline(0.0)
-    pace.on_complete()
-    pace.on_head_start(100.0)
-    assert pace.due_at == 100.0 + HEAD_TIMEOUT_S
-    pace.on_body_start(101.5)
-    assert pace.due_at == 101.5 + BODY_STALL_TIMEOUT_S
+    deadline = RequestDeadline(0.0)
+    deadline.on_complete()
+    deadline.on_head_start(100.0)
+    assert deadline.due_at == 100.0 + HEAD_TIMEOUT_S
+    deadline.on_body_start(101.5)
+    assert deadline.due_at == 101.5 + BODY_STALL_TIMEOUT_S
 
 
 def test_a_short_request_written_over_two_seconds_is_sound() -> None:
     for kept in (False, True):
-        pace = RequestDeadline(100.0)
+        deadline = RequestDeadline(100.0)
         if kept:
-            pace.on_complete()
-        pace.on_head_start(100.0)
-        pace.on_body_start(100.1)
+            deadline.on_complete()
+        deadline.on_head_start(100.0)
+        deadline.on_body_start(100.1)
         for tenth in range(2, 21):
-            assert pace.due_at > 100.0 + tenth / 10
-            pace.on_body(20, 100.0 + tenth / 10)
+            assert deadline.due_at > 100.0 + tenth / 10
+            deadline.on_body(20, 100.0 + tenth / 10)
 
 
 def test_a_side_that_does_not_read_blames_nobody() -> None:
-    pace = RequestDeadline(0.0)
-    pace.on_body_start(1.0)
-    pace.suspend()
-    pace.on_body(10, 50.0)
-    assert pace.due_at == math.inf
-    pace.resume(60.0)
-    assert pace.due_at == 60.0 + BODY_STALL_TIMEOUT_S
+    deadline = RequestDeadline(0.0)
+    deadline.on_body_start(1.0)
+    deadline.suspend()
+    deadline.on_body(10, 50.0)
+    assert deadline.due_at == math.inf
+    deadline.resume(60.0)
+    assert deadline.due_at == 60.0 + BODY_STALL_TIMEOUT_S
 
 
 def descriptors(node: Proxy) -> int:
@@ -228,7 +235,7 @@
         crowd: list[Caller] = []
         most = 0
 
-        async def press(node: Proxy) -> None:
+        async def fill_up(node: Proxy) -> None:
             while True:
                 try:
                     peer = await node.caller()
@@ -277,7 +284,9 @@
                 return False
 
         async with proxy({"s-1": Backend()}, sockets=limit) as node:
-            others = [asyncio.create_task(task) for task in (press(node), press(node), drip(), watch(node))]
+            others = [
+                asyncio.create_task(task) for task in (fill_up(node), fill_up(node), drip(), watch(node))
+            ]
             await asyncio.sleep(0.5)
             tasks = []
             for number in range(100):
@@ -291,6 +300,6 @@
             for peer in crowd:
                 peer.writer.close()
         assert most <= limit
-        assert sum(served) >= 80, f"{sum(served)} of {len(served)} were served"  # without room.py: 25
+        assert sum(served) >= 80, f"{sum(served)} of {len(served)} were served"  # without eviction: 25
 
     run(test())
--- a/tests/operators/test_commands.py
+++ b/tests/operators/test_commands.py
@@ -1,4 +1,4 @@
-"""The operators' calls, counts and life-cycle, without sockets."""
+"""Operators' commands, request counters and the life cycle, without sockets."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from gladegw.operators.request_counters import RequestCounters
 
 
-def operators(life: Lifecycle | None = None, able: bool = True) -> CommandHandler:
+def operators(lifecycle: Lifecycle | None = None, able: bool = True) -> CommandHandler:
     return CommandHandler(
-        life or Lifecycle(), RequestCounters(["a", "b"]), lambda: able, lambda: BackendCounts(5, 2)
+        lifecycle or Lifecycle(), RequestCounters(["a", "b"]), lambda: able, lambda: BackendCounts(5, 2)
     )
 
 
 def ready() -> Lifecycle:
-    life = Lifecycle()
-    life.on(Event.ABLE)
-    return life
+    lifecycle = Lifecycle()
+    lifecycle.on(Event.ABLE)
+    return lifecycle
 
 
 def test_the_table_knows_every_event_in_every_state() -> None:
@@ -31,23 +31,25 @@
 
 @given(st.lists(st.sampled_from(Event)))
 def test_any_course_of_events_keeps_the_promises(events: list[Event]) -> None:
-    told: list[State] = []
-    life = Lifecycle(told.append)
+    changes: list[State] = []
+    lifecycle = Lifecycle(changes.append)
     able = lame = leaving = False
     for event in events:
         try:
-            after = life.on(event)
-        except InvalidTransitionError as fault:
-            assert event is Event.REJOIN and event.value in str(fault)
+            after = lifecycle.on(event)
+        except InvalidTransitionError as error:
+            assert event is Event.REJOIN and event.value in str(error)
             assert leaving or not (able or lame)
             continue
         able |= event is Event.ABLE
         leaving |= event is Event.TERMINATE
         lame = event is Event.LAMEDUCK or (lame and event is not Event.REJOIN)
         calm = State.READY if able else State.STARTING
-        assert after is life.state is (State.TERMINATING if leaving else State.DRAINING if lame else calm)
-    assert all(one is not other for one, other in pairwise(told))
-    assert not told or told[-1] is life.state
+        assert (
+            after is lifecycle.state is (State.TERMINATING if leaving else State.DRAINING if lame else calm)
+        )
+    assert all(one is not other for one, other in pairwise(changes))
+    assert not changes or changes[-1] is lifecycle.state
 
 
 @pytest.mark.parametrize(
@@ -61,19 +63,19 @@
     ],
 )
 def test_calls_out_of_turn_get_a_true_answer(calls: list[str], answers: list[str]) -> None:
-    desk = operators(ready())
-    assert [desk.answer(call.encode("latin-1")).split()[0].decode() for call in calls] == answers
+    handler = operators(ready())
+    assert [handler.answer(call.encode("latin-1")).split()[0].decode() for call in calls] == answers
 
 
 def test_nobody_rejoins_while_the_process_leaves_or_starts() -> None:
-    life = Lifecycle()
-    assert operators(life).answer(b"REJOIN").startswith(b"FAILURE")
-    life.on(Event.ABLE)
-    life.on(Event.LAMEDUCK)
-    life.on(Event.TERMINATE)
-    reply = operators(life).answer(b"REJOIN")
+    lifecycle = Lifecycle()
+    assert operators(lifecycle).answer(b"REJOIN").startswith(b"FAILURE")
+    lifecycle.on(Event.ABLE)
+    lifecycle.on(Event.LAMEDUCK)
+    lifecycle.on(Event.TERMINATE)
+    reply = operators(lifecycle).answer(b"REJOIN")
     assert reply.startswith(b"FAILURE") and b"leaving" in reply and reply.endswith(b"\n")
-    assert operators(life).answer(b"PING").startswith(b"FAILURE leaving")
+    assert operators(lifecycle).answer(b"PING").startswith(b"FAILURE leaving")
 
 
 def test_ready_without_a_backend_is_no_readiness() -> None:
@@ -81,12 +83,12 @@
 
 
 def test_info_shows_every_class_from_the_start() -> None:
-    desk = operators(ready())
-    desk.counters.on_received()
-    desk.counters.on_received()
-    desk.counters.on_ended("b", 200)
-    desk.counters.on_attempt()
-    assert desk.answer(b"INFO").decode().splitlines() == [
+    handler = operators(ready())
+    handler.counters.on_received()
+    handler.counters.on_received()
+    handler.counters.on_ended("b", 200)
+    handler.counters.on_attempt()
+    assert handler.answer(b"INFO").decode().splitlines() == [
         "SUCCESS",
         "app.handled.a.passed=0",
         "app.handled.a.dropped=0",
@@ -104,14 +106,14 @@
 
 @given(st.lists(st.tuples(st.sampled_from("ab"), st.sampled_from([200, 429, 503, 502, 504, 409, None]))))
 def test_every_request_taken_ends_in_one_count(ends: list[tuple[str, int | None]]) -> None:
-    ledger = RequestCounters("ab")
+    counters = RequestCounters("ab")
     for _ in ends:
-        ledger.on_received()
+        counters.on_received()
     for done, (cls, code) in enumerate(ends, 1):
-        ledger.on_ended(cls, code)
-        assert ledger.in_progress == len(ends) - done
-        assert sum(handled.total for handled in ledger.handled.values()) == done
-    for cls, handled in ledger.handled.items():
+        counters.on_ended(cls, code)
+        assert counters.in_progress == len(ends) - done
+        assert sum(handled.total for handled in counters.handled.values()) == done
+    for cls, handled in counters.handled.items():
         codes = [code for name, code in ends if name == cls]
         assert handled.passed == codes.count(200) and handled.disconnected == codes.count(None)
         assert handled.dropped == codes.count(429) + codes.count(503)
--- a/tests/supervisor/test_supervise.py
+++ b/tests/supervisor/test_supervise.py
@@ -1,4 +1,4 @@
-"""The supervisor and the program as processes: replacements under load, bad versions, deaths of either."""
+"""Supervisor and program as processes: replacements under load, faulty versions, exits of either."""
 
 from __future__ import annotations
 
@@ -44,8 +44,10 @@
     nodes = await process.start(*process.python("gladegw.rig.nodes.trivial", "3"))
     book = ledger.Ledger(folder / "rig.jsonl")
     assert nodes.stdout is not None
-    told = msgspec.json.decode(await nodes.stdout.readline())
-    raw = config(SCENARIO, "p0", f"127.0.0.1:{free_port()}", told["discovery"], told["known"], 0, 0, "a")
+    addresses = msgspec.json.decode(await nodes.stdout.readline())
+    raw = config(
+        SCENARIO, "p0", f"127.0.0.1:{free_port()}", addresses["discovery"], addresses["known"], 0, 0, "a"
+    )
     raw["limits"]["memory_mb"] = 64
     one = Supervised("p0", raw, folder, book, "", VERSIONS, "1.0", **bounds)
     try:
@@ -149,7 +151,7 @@
                 await asyncio.sleep(0.02)
             await one.until("steady", "1.0")
             second = one.pids()["current"]
-            told = subprocess.run(  # one supervisor for a state file
+            result = subprocess.run(  # one supervisor for a state file
                 (sys.executable, "-m", "gladegw", "supervise", str(one.file)),
                 cwd=ROOT,
                 timeout=30,
@@ -158,7 +160,7 @@
                 text=True,
                 check=False,
             )
-            assert told.returncode == 2 and "another supervisor" in told.stderr
+            assert result.returncode == 2 and "another supervisor" in result.stderr
             async with Steady(one.port) as load:
                 await one.abandon()
                 await load.more(60)
@@ -173,7 +175,7 @@
                 assert gone(second)
                 assert not load.lost, load.codes
             last = one.pids()["current"]
-            await one.end(10.0)  # told to end, it ends what it has
+            await one.end(10.0)  # on SIGTERM it ends its processes
             assert gone(last) and not one.state.exists()
 
     run(test())
@@ -218,7 +220,7 @@
 def test_a_bad_file_is_one_line(text: str, why: str, tmp_path: Path) -> None:
     file = tmp_path / "supervise.hcl"
     file.write_text(text, encoding="utf-8")
-    told = subprocess.run(
+    result = subprocess.run(
         (sys.executable, "-m", "gladegw", "supervise", str(file), "--check"),
         cwd=ROOT,
         capture_output=True,
@@ -226,4 +228,4 @@
         timeout=60,
         check=False,
     )
-    assert told.returncode == 2 and why in told.stderr and told.stderr.count("\n") == 1, told.stderr
+    assert result.returncode == 2 and why in result.stderr and result.stderr.count("\n") == 1, result.stderr
