--- a/gladegw/control/member.py
+++ b/gladegw/control/member.py
@@ -25,7 +25,6 @@
 from gladegw.control.interfaces import OnChange
 from gladegw.control.keys import KeyRange, Keys
 from gladegw.control.leader_election import LeaderElection
-from gladegw.control.policy_participant import PolicyParticipant, ServingHost
 from gladegw.control.store_cache import StoreCache
 from gladegw.control.store_client import StoreClient
 from gladegw.control.store_options import LOG_INTERVAL_S, StoreOptions
@@ -39,6 +38,7 @@
 from gladegw.coordination.store import StoreEvent as Change
 
 if TYPE_CHECKING:
+    from gladegw.control.policy_participant import PolicyParticipant, ServingHost
     from gladegw.coordination.serving_lease import ServingLease
 
 log = logging.getLogger(__name__)
@@ -90,6 +90,9 @@
         self.stored_record: MemberRecord | None = None  # last record that the store has confirmed
         self.participant: PolicyParticipant | None = None
         if host is not None:
+            # Loaded only here: members without policies do without its modules.
+            from gladegw.control.policy_participant import PolicyParticipant
+
             self.participant = PolicyParticipant(self, host)
         self.ready = threading.Event()
         self.revoking: set[asyncio.Task[None]] = set()
