--- a/gladegw/control/fleet_status.py
+++ b/gladegw/control/fleet_status.py
@@ -1,4 +1,4 @@
-"""What is told of a fleet: members, duties, the fleet's own records, out of one read of the store."""
+"""Status of a fleet for operators: members, duties and fleet records from one read of the store."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 async def read(client: StoreClient, prefix: str) -> StoreCache:
-    """Raises StoreFault. The read is linearizable: operators act on what they see. Bundles are not in it."""
+    """Read all records but bundles and timelines; raises StoreClientError.
+
+    The read is linearizable, as operators act on the result.
+    """
     view = StoreCache(Keys(prefix))
     parts = view.keys.live, view.keys.reported
     done = await client.do(*(Get(*part) for part in parts))
@@ -27,8 +30,8 @@
 
 
 def members(view: StoreCache) -> list[dict[str, Any]]:
-    """Who is there, and who is missing; `since_s` by the clocks of those who wrote it down."""
-    told = [
+    """Return the live and the missing members; `since_s` depends on the clocks of the writers."""
+    rows = [
         {
             "name": member.name,
             "incarnation": member.incarnation,
@@ -49,36 +52,37 @@
         }
         for known in view.missing_members()
     ]
-    return sorted(told, key=lambda member: (str(member["name"]), str(member["incarnation"])))
+    return sorted(rows, key=lambda member: (str(member["name"]), str(member["incarnation"])))
 
 
 def duties(view: StoreCache) -> list[dict[str, Any]]:
-    """Also those that nobody holds, if some member knows them."""
-    held = {view.keys.split(kv.key)[1]: (kv, holder) for kv, holder in view.duty_holders()}
-    names = sorted(held.keys() | {name for _, member in view.members() for name in member.can})
+    """Return all duties with their holders, including vacant ones that some member can hold."""
+    holders = {view.keys.split(kv.key)[1]: (kv, holder) for kv, holder in view.duty_holders()}
+    names = sorted(holders.keys() | {name for _, member in view.members() for name in member.can})
     return [
         {
             "name": name,
-            "holder": held[name][1].holder,
-            "token": held[name][0].create_revision,
-            "since_s": _since(held[name][1].since),
+            "holder": holders[name][1].holder,
+            "token": holders[name][0].create_revision,
+            "since_s": _since(holders[name][1].since),
         }
-        if name in held
+        if name in holders
         else {"name": name, "holder": None, "token": 0, "since_s": 0.0}
         for name in names
     ]
 
 
 def status(view: StoreCache) -> dict[str, Any]:
+    """Return the summary of the fleet as `fleet status` shows it."""
     fleet = view.read(view.keys.fleet_record("digest"), FleetSummaryRecord)
-    differs = view.read(view.keys.fleet_record("compare"), ConfigDriftRecord)
+    drift = view.read(view.keys.fleet_record("compare"), ConfigDriftRecord)
     return {
         "members": len(view.members()),
         "missing": [known.name for known in view.missing_members()],
         "totals": fleet.totals if fleet is not None else {},
-        "worst": [{"name": name, "unserved": share} for name, share in fleet.worst] if fleet else [],
+        "worst": [{"name": name, "unserved": fraction} for name, fraction in fleet.worst] if fleet else [],
         "silent": list(fleet.silent) if fleet is not None else [],
-        "discovery": {digest: list(names) for digest, names in differs.discovery.items()} if differs else {},
-        "routes": {digest: list(names) for digest, names in differs.routes.items()} if differs else {},
-        "differ_since_s": _since(differs.since) if differs is not None else 0.0,
+        "discovery": {digest: list(names) for digest, names in drift.discovery.items()} if drift else {},
+        "routes": {digest: list(names) for digest, names in drift.routes.items()} if drift else {},
+        "differ_since_s": _since(drift.since) if drift is not None else 0.0,
     }
--- a/gladegw/control/startup.py
+++ b/gladegw/control/startup.py
@@ -1,4 +1,4 @@
-"""Makes a serving process a member: what the settings, the configuration and the counts give for it."""
+"""Start of a serving process's membership from its settings, configuration and metrics."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
     from gladegw.net.policy_router import PolicyRouter
     from gladegw.net.timing import RequestTiming
 
-ListBackends = Callable[[], Iterable[tuple[int, bool]]]  # backends, and whether each is sent to
+ListBackends = Callable[[], Iterable[tuple[int, bool]]]  # backends, and whether each receives requests
 
-MAX_MEMORY_FRACTION = 0.95  # of the memory that the process may use, above which no second table is held
+MAX_MEMORY_FRACTION = 0.95  # of the memory limit, above which a second table is rejected
 
 
 def version() -> str:
-    """As a supervisor has named it, else as it is installed."""
-    told = os.environ.get("GLADEGW_VERSION")
-    if told:
-        return told
+    """Return the version that the supervisor has set, else the installed one, else an empty string."""
+    configured = os.environ.get("GLADEGW_VERSION")
+    if configured:
+        return configured
     try:
         return importlib.metadata.version("gladegw")
     except importlib.metadata.PackageNotFoundError:  # run from a checkout
@@ -48,26 +48,29 @@
     routes: Callable[[], str],
     timing: RequestTiming | None = None,
 ) -> MemberMetricsRecord:
-    """Read from the agent's thread: figures that may be one step apart."""
-    told = {"upstream_tries": ledger.upstream_attempts, "in_progress": ledger.in_progress}
+    """Return the current metrics.
+
+    Called on the member's thread: counters may be inconsistent by one step.
+    """
+    counters = {"upstream_tries": ledger.upstream_attempts, "in_progress": ledger.in_progress}
     for cls, handled in list(ledger.handled.items()):
-        told |= {
+        counters |= {
             f"handled.{cls}.passed": handled.passed,
             f"handled.{cls}.dropped": handled.dropped,
             f"handled.{cls}.bad_gateway": handled.bad_gateway,
         }
     if timing is not None:
-        told |= timing.counters()
-        told |= {
+        counters |= timing.counters()
+        counters |= {
             "at_ms": round(1000 * time.monotonic()),
             "cpu_us": round(1e6 * time.process_time()),
             "rss_kb": resident_bytes() >> 10,
         }
     listed = sorted(backends())
-    serving = [number for number, sent_to in listed if sent_to]
+    serving = [number for number, active in listed if active]
     return MemberMetricsRecord(
         name=name,
-        figures=told,
+        figures=counters,
         discovery=digest(number for number, _ in listed),
         serving=digest(serving),
         routes=routes(),
@@ -75,12 +78,13 @@
 
 
 def digest(numbers: Iterable[int]) -> str:
+    """Return the digest of a list of backend numbers."""
     joined = ",".join(map(str, numbers))
     return hashlib.blake2b(joined.encode(), digest_size=6).hexdigest()
 
 
 def resident_bytes() -> int:
-    """Bytes of this process in memory; 0 where the system does not tell."""
+    """Return the resident memory of this process in bytes; 0 if the system does not report it."""
     try:
         return int(Path("/proc/self/statm").read_text(encoding="ascii").split()[1]) * resource.getpagesize()
     except (OSError, IndexError, ValueError):
@@ -88,7 +92,7 @@
 
 
 def serving_host(router: PolicyRouter, serving: asyncio.AbstractEventLoop) -> ServingHost:
-    """How a policy gets to what routes requests, whose loop is not the agent's."""
+    """Return the functions that pass policies to the router on the serving loop."""
     from gladegw.control.policy_bundle import BundleError, select_file
     from gladegw.control.policy_participant import ServingHost
 
@@ -102,17 +106,17 @@
             raise BundleError(f"{mib} are in use with both tables")
         return ready
 
-    def take(epoch: int, digest: str, ready: Any, done: Callable[[], None]) -> None:
-        def swapped() -> None:
+    def activate(epoch: int, digest: str, ready: Any, done: Callable[[], None]) -> None:
+        def swap() -> None:
             router.activate(epoch, digest, ready)
             done()
 
-        serving.call_soon_threadsafe(swapped)
+        serving.call_soon_threadsafe(swap)
 
-    def agreed(epoch: int, digest: str, ready: Any) -> None:
+    def on_prepared(epoch: int, digest: str, ready: Any) -> None:
         serving.call_soon_threadsafe(router.on_prepared, epoch, digest, ready)
 
-    return ServingHost(prepare, take, router.serving_lease, router.settings.when_cut_off, agreed)
+    return ServingHost(prepare, activate, router.serving_lease, router.settings.when_cut_off, on_prepared)
 
 
 def join_fleet(
@@ -124,7 +128,7 @@
     host: ServingHost | None = None,
     timing: RequestTiming | None = None,
 ) -> FleetMember:
-    """An agent that is under way. A store that can't be reached is a line of the log, and is tried again."""
+    """Start and return the member; an unreachable store is logged and retried."""
     options = StoreOptions(
         settings.addresses, settings.prefix, settings.ttl_s, settings.timeout_ms / 1000, settings.token_file
     )
@@ -146,12 +150,12 @@
             from gladegw.control.duties.rollout_controller import RolloutController
 
             works = (*works, RolloutController)
-    agent = FleetMember(
+    fleet_member = FleetMember(
         options,
         member,
         works,
         lambda: member_metrics(config.name, ledger, backends, routes, timing),
         host=host,
     )
-    agent.start()
-    return agent
+    fleet_member.start()
+    return fleet_member
--- a/gladegw/control/supervisor_client.py
+++ b/gladegw/control/supervisor_client.py
@@ -1,4 +1,4 @@
-"""A supervisor's link to the store: what the store says of versions, and what it is told of one name."""
+"""Store client of a supervisor: reads the version order and publishes the supervisor's status."""
 
 from __future__ import annotations
 
@@ -24,12 +24,15 @@
 
 log = logging.getLogger(__name__)
 
-POLL_INTERVAL_S = 0.05  # s between looks whether there is something new to tell
+POLL_INTERVAL_S = 0.05  # between checks whether the status has changed
 
 
 class SupervisorClient:
-    """`order` is the store's last word; `told` gives what the store is to know. One task each reads, writes,
-    and neither failing touches the processes."""
+    """Connection of one supervisor to the store.
+
+    `order` is the latest version order and `status` returns the record to publish. `watch` and `publish` run
+    as one task each; faults of the store do not affect the supervised processes.
+    """
 
     def __init__(
         self, options: StoreOptions, name: str, order: VersionOrder, status: Callable[[], SupervisorRecord]
@@ -43,16 +46,17 @@
         self.silence = max(2.0, options.ttl / 2)
         self.last_logged: dict[str, float] = {}
 
-    def log_fault(self, what: str) -> None:
-        """One line for each kind of trouble, every SAID s at most."""
-        kind, now = what.partition(":")[0], time.monotonic()
+    def log_fault(self, message: str) -> None:
+        """Log a fault, at most every LOG_INTERVAL_S for each kind: the part before the first colon."""
+        kind, now = message.partition(":")[0], time.monotonic()
         if now > self.last_logged.get(kind, -LOG_INTERVAL_S) + LOG_INTERVAL_S:
             self.last_logged[kind] = now
-            log.warning("supervise: %s", " ".join(what.split()))
+            log.warning("supervise: %s", " ".join(message.split()))
 
     def on_update(self, events: object) -> None:
+        """Apply the program record and the heartbeat to the order."""
         program = self.cache.read(self.keys.program, ProgramRecord)
-        sign = self.cache.entries.get(self.keys.rollout_heartbeat)
+        heartbeat = self.cache.entries.get(self.keys.rollout_heartbeat)
         if program is not None:
             self.order = apply_order(
                 self.order,
@@ -62,12 +66,13 @@
                 program.new,
                 program.named,
                 float(program.confirm_s),
-                sign.mod_revision if sign is not None else 0,
+                heartbeat.mod_revision if heartbeat is not None else 0,
                 boot_time(),
             )
 
     async def watch(self) -> None:
-        follower = StoreWatcher(
+        """Watch the policy keys until cancelled."""
+        watcher = StoreWatcher(
             self.watch_client,
             self.cache,
             self.keys.policy,
@@ -76,10 +81,10 @@
             self.log_fault,
             self.on_update,
         )
-        await follower.run()
+        await watcher.run()
 
     async def publish(self) -> None:
-        """The record under a lease, at each change; where the lease is gone, under another."""
+        """Publish the status record at each change, under a lease that is replaced when it expires."""
         backoff, lease, due = Backoff(self.random), 0, 0.0
         last: SupervisorRecord | None = None
         while True:
@@ -104,9 +109,10 @@
                 await asyncio.sleep(backoff.next_delay())
 
     def without_clock(self) -> VersionOrder:
-        """What is kept of the order from one supervisor to the next: its clock goes on elsewhere."""
+        """Return the order without clock-dependent fields, to hand over to another supervisor process."""
         return replace(self.order, heard=0.0, sign=0)
 
     def close(self) -> None:
+        """Close the connections."""
         self.client.close()
         self.watch_client.close()
