--- a/gladegw/balancing/balancer.py
+++ b/gladegw/balancing/balancer.py
@@ -1,6 +1,6 @@
 """All decisions of a gladegw instance; its inputs and outputs are defined in gladegw/balancing/events.py.
 
-The Balancer takes events and returns actions; `requests`, `admission`, `server_selection`,
+The Balancer takes events and returns actions; `requests`, `admission`, `server_selection`, `health_checks`,
 `endpoint_freshness` and `subsetting` hold its parts. All times are in seconds. No I/O, no clock, no mutable
 globals; random numbers come from a seeded source of its own.
 """
@@ -26,10 +26,8 @@
     ListKind,
     Log,
     Outcome,
-    Probe,
     ProbeResult,
     ServerList,
-    ServerState,
     SetTimer,
     Settings,
     Status,
@@ -37,6 +35,7 @@
     Timer,
     Watch,
 )
+from gladegw.balancing.health_checks import HealthChecker
 from gladegw.balancing.parameters import (
     CONTROL_STEP_S,
     INITIAL_WINDOW,
@@ -46,7 +45,7 @@
     MIN_EJECTION_S,
     RATE_MEMORY_S,
 )
-from gladegw.balancing.requests import Attempt, Call, RequestLifecycle, counted_attempts
+from gladegw.balancing.requests import Attempt, Call, RequestLifecycle, attempt_states
 from gladegw.balancing.server_selection import Server, ServerSelector
 
 STALL_S = (
@@ -58,12 +57,6 @@
 MIN_LATENCY_S = 1e-4  # keeps means above 0
 INITIAL_WINDOW_FRACTION = 0.5  # initial window, as a fraction of the overload limit
 SAMPLE_RETENTION = 0.9  # weight of older samples at each new one
-PROBES_PER_CALL = 0.15
-MIN_PROBES_PER_S = 0.3  # an idle instance still knows its servers
-INITIAL_PROBES = 8.0  # at the start: without load reports all instances pick the same servers
-MAX_CANDIDATE_PROBE_PRICE = 0.006  # points per call, for probes sent for that call alone
-CANDIDATES = 3  # servers probed for one call
-CANDIDATE_PROBE_WAIT_S = 0.01
 TAIL_LATENCIES = 2.0  # mean latencies a queued call needs at dispatch: latencies have a long tail
 RETRY_BUDGET_FRACTION = 0.15  # retries per arriving call: prevents multiplication through tiers
 RETRY_BUDGET_BURST = 5.0  # retries at once
@@ -75,8 +68,7 @@
 EXPENSIVE_CONNECT_LATENCIES = 1.5  # mean latencies; above this an untrusted idle connection is used instead
 CONNECT_SAMPLES = 30  # over which new and open connections are compared
 RETRY_AFTER_FRACTION = 0.25  # of the processing time
-PROBE_ROUND_S = 2.0  # each unverified server is probed once per round
-TICK_TOKEN, CANDIDATE_PROBE_TOKEN = 1, 2
+TICK_TOKEN = 1
 # Verdicts; captures store the values.
 QUEUED, SHED, TOO_LATE, QUEUE_FULL, DISPLACED, ATTEMPTS_EXHAUSTED = (
     "held",
@@ -110,10 +102,6 @@
         self.window_in_use = 0  # attempts that count against the window
         self.arrivals = self.sends = 0
         self.retry_tokens = RETRY_BUDGET_BURST
-        self.probe_tokens = INITIAL_PROBES
-        self.probes_candidates = (
-            settings.may_probe and CANDIDATES * settings.price_probe <= MAX_CANDIDATE_PROBE_PRICE
-        )
         self.now = 0.0
         self.last_step = -1.0
         self.stalled = False  # the instance itself paused before this batch
@@ -122,6 +110,9 @@
             self.random, settings.polls_endpoints, settings.drain_grace, settings.connect_timeout
         )
         self.servers.verified_for = self.freshness.valid_for
+        self.health_checks = HealthChecker(
+            settings, self.random, self.servers, self.admission, self.freshness, self.actions
+        )
         self.observer: DecisionObserver | None = None
         self.arrival_inputs: dict[int, dict[str, Any]] = {}  # by call, for the observer
 
@@ -350,7 +341,7 @@
                 "at": now,
                 "mean": cls.mean.value,
                 "tokens": self.retry_tokens,
-                "tries": counted_attempts(call),
+                "tries": attempt_states(call),
             }
             self.observer(call.id, "repeat", used, QUEUED if retried else ATTEMPTS_EXHAUSTED)
         if retried:
@@ -369,8 +360,7 @@
 
         `elapsed` is in seconds; `busy` is the number of attempts in the window before this outcome.
         """
-        cls, server, admission, servers = attempt.call.cls, attempt.server, self.admission, self.servers
-        now = self.now
+        server, now = attempt.server, self.now
         if status in (Status.CANCELLED, Status.NOT_SENT):
             return
         if self.stalled and status in (Status.OK, Status.TIMEOUT):
@@ -381,6 +371,13 @@
                 server.completed_at = max(server.completed_at, attempt.sent_at)
             return
         elapsed = max(elapsed, MIN_LATENCY_S)
+        self.learn_admission(attempt, status, elapsed, busy)
+        self.learn_server_latency(attempt, status, elapsed)
+        self.update_server_health(attempt, status)
+
+    def learn_admission(self, attempt: Attempt, status: int, elapsed: float, busy: int) -> None:
+        """Update the latency statistics and the concurrency window; `elapsed` is in seconds."""
+        cls, server, admission, servers = attempt.call.cls, attempt.server, self.admission, self.servers
         ok = status == Status.OK
         if ok or (status == Status.TIMEOUT and not server.ejected_until):
             admission.observe_latency(elapsed)
@@ -389,15 +386,22 @@
             admission.on_good_answer(busy)
         elif status in (Status.ERROR, Status.REJECTED):
             own_fault = server.errors > servers.errors.value + 0.1
-            if not own_fault and (status == Status.REJECTED or servers.is_overloaded(server, now)):
+            if not own_fault and (status == Status.REJECTED or servers.is_overloaded(server, self.now)):
                 admission.on_late_answer()
         elif (
             not attempt.counted_late
             and attempt.in_window
-            and (status == Status.TIMEOUT or (ok and servers.is_overloaded(server, now)))
+            and (status == Status.TIMEOUT or (ok and servers.is_overloaded(server, self.now)))
         ):
             admission.on_late_answer()
-        # Capacity: load against latency in mean latencies of the class.
+
+    def learn_server_latency(self, attempt: Attempt, status: int, elapsed: float) -> None:
+        """Update the server's capacity (load against latency) and the cost of connections.
+
+        Latencies are in mean latencies of the class; `elapsed` is in seconds.
+        """
+        cls, server, servers = attempt.call.cls, attempt.server, self.servers
+        ok = status == Status.OK
         latency = elapsed / cls.mean.value
         if ok or (status == Status.CONNECT_FAILED and elapsed > 0.1 * cls.mean.value):
             cost = min(MAX_FAILURE_LATENCIES, latency + (not ok))
@@ -412,6 +416,11 @@
             server.latency_sum = server.latency_sum * SAMPLE_RETENTION + latency
             server.load_sum = server.load_sum * SAMPLE_RETENTION + attempt.load + 1
             servers.mean_load.add(attempt.load + 1, 100)
+
+    def update_server_health(self, attempt: Attempt, status: int) -> None:
+        """Update the server's error rate and streaks, and eject it if it is an outlier."""
+        server, servers, now = attempt.server, self.servers, self.now
+        ok = status == Status.OK
         failed = status in (Status.ERROR, Status.RESET, Status.REJECTED)
         server.errors += (failed - server.errors) * 0.2
         servers.errors.add(float(failed), 100)
@@ -499,9 +508,9 @@
         servers.trusted_idle = min(
             self.settings.conn_idle, servers.trusted_idle * (1 + span / IDLE_TRUST_DOUBLING_S)
         )
-        self.recover_ejected()
+        self.health_checks.recover_ejected(now)
         self.check_list_age()
-        self.probe(span)
+        self.health_checks.probe(now, span)
         admission.update_threshold()
 
     def poll_endpoints(self) -> None:
@@ -576,83 +585,6 @@
         elif self.settings.may_cancel:
             self.actions.append(Cancel(call.id, attempt.number))
 
-    def recover_ejected(self) -> None:
-        """Probe servers whose ejection is over; where probes are not allowed, put them on trial."""
-        now, servers = self.now, self.servers
-        due = [s for s in servers.servers.values() if s.ejected_until and now >= s.ejected_until]
-        for server in due:
-            if server.state is not ServerState.SERVING:
-                continue
-            if not self.settings.may_probe:
-                servers.readmit(server, now)
-            elif not server.probe_pending:
-                self.send_probe(server)
-        if due and not self.settings.may_probe:
-            servers.fill_pool(now)
-
-    def unverified_servers(self) -> list[Server]:
-        """Return the servers that would be withheld without updates, unless a probe verifies them."""
-        if not self.freshness.is_going_stale(self.now):
-            return []
-        since = self.now - PROBE_ROUND_S
-        return [s for s in self.servers.pool if s.healthy_at < since and not s.ejected_until]
-
-    def probe(self, span: float) -> None:
-        """Send the steady health probes that the last `span` seconds allow."""
-        if not self.settings.may_probe or not self.servers.pool:
-            return
-        rate = max(MIN_PROBES_PER_S, PROBES_PER_CALL * self.admission.rate)
-        unverified = self.unverified_servers()
-        rate = max(rate, len(unverified) / PROBE_ROUND_S)
-        self.probe_tokens = max(self.probe_tokens, min(2.0, self.probe_tokens + rate * span))
-        while self.probe_tokens >= 1 and not self.probes_candidates:
-            idle = [s for s in self.servers.pool if not s.probe_pending and not s.ejected_until]
-            if not idle:
-                break
-            self.probe_tokens -= 1
-            idle = [s for s in idle if s in unverified] or idle
-            oldest = min(s.probed_at for s in idle)
-            self.send_probe(self.random.choice([s for s in idle if s.probed_at == oldest]))
-
-    def awaits_candidate_probes(self, call: Call) -> bool:
-        """Return whether a call waits for probes of its candidate servers, sending them first if due.
-
-        Used where calls are so few that steady load reports are older than a call's latency, and probes are
-        cheap. Prevents picks from outdated reports when many instances share few calls.
-        """
-        if call.probed_candidates is None:
-            call.probed_candidates = []
-            servers = self.servers
-            probe_rate = max(MIN_PROBES_PER_S, PROBES_PER_CALL * self.admission.rate)
-            if call.attempts or call.deadline - self.now < 3 * CANDIDATE_PROBE_WAIT_S:
-                return False
-            if (
-                len(servers.pool) < probe_rate * servers.mean_latency
-                or servers.mean_latency < 2 * CANDIDATE_PROBE_WAIT_S
-            ):
-                return False
-            usable = [s for s in servers.pool if servers.is_usable(s, self.now)]
-            warm = [s for s in usable if servers.has_warm_connection(s, self.now)]
-            call.probed_candidates = self.random.sample(warm, min(CANDIDATES - 1, len(warm)))
-            others = [s for s in usable if s not in call.probed_candidates]
-            call.probed_candidates += self.random.sample(
-                others, min(CANDIDATES - len(call.probed_candidates), len(others))
-            )
-            for server in call.probed_candidates:
-                if not server.probe_pending:
-                    self.send_probe(server)
-            call.probe_wait_until = self.now + CANDIDATE_PROBE_WAIT_S
-            self.actions.append(SetTimer(CANDIDATE_PROBE_WAIT_S, CANDIDATE_PROBE_TOKEN))
-        return self.now < call.probe_wait_until - 1e-9 and any(
-            server.probe_pending for server in call.probed_candidates
-        )
-
-    def send_probe(self, server: Server) -> None:
-        """Append a Probe action for a server."""
-        server.probe_pending = True
-        server.probed_at = self.now + self.random.random() * 1e-3
-        self.actions.append(Probe(server.id))
-
     # the queue
     def is_too_late(self, call: Call) -> bool:
         """Return whether a call would most likely end too late to be useful.
@@ -681,12 +613,12 @@
                         "at": now,
                         "mean": call.cls.mean.value,
                         "busy": self.window_in_use,
-                        "tries": counted_attempts(call),
+                        "tries": attempt_states(call),
                     }
                     self.observer(call.id, "start", used, TOO_LATE)
                 self.reject(call)
                 continue
-            if self.probes_candidates and self.awaits_candidate_probes(call):
+            if self.health_checks.awaits_candidate_probes(call, now):
                 position += 1
                 continue
             choice = servers.pick(call, self.lifecycle, now)
@@ -701,7 +633,7 @@
                     "at": now,
                     "mean": call.cls.mean.value,
                     "busy": self.window_in_use,
-                    "tries": counted_attempts(call),
+                    "tries": attempt_states(call),
                 }
                 self.observer(call.id, "pick", used | servers.pick_inputs(), server.id)
             until = call.deadline if call.cls.counts_late else max(call.useful_until, now + CONTROL_STEP_S)
@@ -747,7 +679,7 @@
                     "before": call.queue_position,
                     "wait": wait,
                     "asked_until": call.probe_wait_until,
-                    "tries": counted_attempts(call),
+                    "tries": attempt_states(call),
                 }
                 self.observer(call.id, "hold", used, verdict)
             if verdict == QUEUED:
--- a/gladegw/balancing/requests.py
+++ b/gladegw/balancing/requests.py
@@ -225,6 +225,6 @@
             self.remember(call.id)
 
 
-def counted_attempts(call: Call) -> list[tuple[int, float]]:
+def attempt_states(call: Call) -> list[tuple[int, float]]:
     """Return the status and the send time of each attempt of a call."""
     return [(attempt.status, attempt.sent_at) for attempt in call.attempts]
