--- a/gladegw/net/acceptor.py
+++ b/gladegw/net/acceptor.py
@@ -25,13 +25,13 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ACCEPTED_PER_TURN = 32  # connections let in before the loop turns to others
-MAX_EXAMINED_PER_TURN = 128  # connections looked at before that
-HANDSHAKE_FRACTION = 0.1  # of the bound, that may be at their handshake
-RESUME_INTERVAL_S = 0.02  # s until the next look for room, when no end of a connection makes it
-LOG_INTERVAL_S = 5.0  # s between two lines about connections that can't be let in
-TLS_CLOSE_TIMEOUT_S = 1.0  # s for the end of a TLS connection to be answered
-FINAL_ACCEPT_S = 0.3  # s for which what waits in a listener's queue is let in before it closes
+MAX_ACCEPTED_PER_TURN = 32  # so that others get their turn in the event loop
+MAX_EXAMINED_PER_TURN = 128  # the same, including those closed unread
+HANDSHAKE_FRACTION = 0.1  # of the descriptor limit, for handshakes
+RESUME_INTERVAL_S = 0.02  # until the next check, if no connection ends
+LOG_INTERVAL_S = 5.0  # between log lines about failures to accept
+TLS_CLOSE_TIMEOUT_S = 1.0  # for the peer's closing alert
+FINAL_ACCEPT_S = 0.3  # to accept queued connections before closing
 
 MakeProtocol = Callable[[ClientIdentity | None, float], asyncio.BaseProtocol]  # who, and when it came
 
@@ -61,7 +61,7 @@
         self.flood = ConnectionFlood(self.max_served)
         self.identifier: ClientIdentifier | None = None
         self.listeners: dict[socket.socket, Certificates | None] = {}
-        self.paused: set[socket.socket] = set()  # listeners that are not read now
+        self.paused: set[socket.socket] = set()  # listeners not being accepted from
         self.handshakes: set[asyncio.Task[None]] = set()
         self.identifying: dict[
             asyncio.Task[None], None
@@ -114,7 +114,7 @@
                     self._log_fault(fault)
                     self.evict(1)
                     return self._pause_listener(sock)
-                examined += 1  # it has failed before it was let in; others may wait behind it
+                examined += 1  # it failed before it was accepted; others may be queued behind it
                 continue
             examined += 1
             accepted_at = time.monotonic()
@@ -162,7 +162,7 @@
         task.add_done_callback(self.handshakes.discard)
         if self.identifier is not None or certificates is not None:
             if len(self.identifying) >= max(1, int(self.max_descriptors * HANDSHAKE_FRACTION)):
-                next(iter(self.identifying)).cancel()  # it has said nothing for the longest
+                next(iter(self.identifying)).cancel()  # the oldest one
             self.identifying[task] = None
             task.add_done_callback(self.identifying.pop)
 
@@ -222,7 +222,7 @@
                     self._admit(sock.accept()[0], certificates, time.monotonic())
                 except BlockingIOError:  # the queue is empty
                     break
-                except OSError:  # for a moment, or of one connection: what waits behind it is owed the same
+                except OSError:  # temporary, or of one connection only: others can be accepted
                     await asyncio.sleep(RESUME_INTERVAL_S / 4)
             sock.close()
         self.listeners = {}
--- a/gladegw/net/addresses.py
+++ b/gladegw/net/addresses.py
@@ -15,7 +15,7 @@
 V1, V2 = b"PROXY ", b"\r\n\r\n\x00\r\nQUIT\n"  # how the two versions of the header begin
 LONGEST_V1 = 107  # bytes, with its line end
 LONGEST = 2048  # bytes of a version 2 header, with what it carries beside the addresses
-PEEK_PAUSE = 0.02  # s between looks at bytes that are not taken yet
+PEEK_INTERVAL_S = 0.02  # s between looks at bytes that are not taken yet
 PORT = re.compile(r"0|[1-9]\d{0,4}", re.ASCII)
 
 Ip = ipaddress.IPv4Address | ipaddress.IPv6Address
@@ -202,4 +202,4 @@
                     return True
                 if not seen or not any(start.startswith(seen) for start in (V1, V2)):
                     return False
-            await asyncio.sleep(PEEK_PAUSE)  # these bytes may be HTTP's, so they stay where they are
+            await asyncio.sleep(PEEK_INTERVAL_S)  # these bytes may be HTTP's, so they stay where they are
--- a/gladegw/net/admin.py
+++ b/gladegw/net/admin.py
@@ -17,19 +17,19 @@
 
 log = logging.getLogger(__name__)
 
-HOLD = 5.0  # s that a caller may take for its line and for its answer
-LOOK = 0.5  # s between looks for those that took longer
-READ = 4096  # bytes at a time
-PAUSE = 0.05  # s without accepting once it failed
+CONNECTION_TIMEOUT_S = 5.0  # for the command and its response
+SWEEP_INTERVAL_S = 0.5  # between checks for overdue connections
+READ_BYTES = 4096  # bytes at a time
+ACCEPT_RETRY_INTERVAL_S = 0.05  # after accepting failed
 
 
 class CommandConnection:
     """One operator connection, which carries one command."""
 
-    __slots__ = ("came", "line", "reply", "sock")
+    __slots__ = ("accepted_at", "line", "reply", "sock")
 
-    def __init__(self, sock: socket.socket, came: float) -> None:
-        self.sock, self.came = sock, came
+    def __init__(self, sock: socket.socket, accepted_at: float) -> None:
+        self.sock, self.accepted_at = sock, accepted_at
         self.line = LineReader()
         self.reply: bytes | None = None
 
@@ -80,7 +80,9 @@
         self.poll.register(self.end, select.POLLIN | select.POLLHUP)
         resume = next_check = 0.0
         while True:
-            ready = self.poll.poll(LOOK * 1000 if self.accepting else PAUSE * 1000)
+            ready = self.poll.poll(
+                SWEEP_INTERVAL_S * 1000 if self.accepting else ACCEPT_RETRY_INTERVAL_S * 1000
+            )
             now = time.monotonic()
             if not self.accepting and now >= resume:
                 self.accepting = True
@@ -91,7 +93,7 @@
                     return
                 if descriptor == self.listener.fileno():
                     if not self._accept(now):
-                        self.accepting, resume = False, now + PAUSE
+                        self.accepting, resume = False, now + ACCEPT_RETRY_INTERVAL_S
                         self.poll.unregister(self.listener)
                 elif descriptor in self.callers:
                     try:
@@ -102,9 +104,9 @@
                         log.exception("an operators' call failed")
                         self._drop(descriptor)
             if now >= next_check:
-                next_check = now + LOOK
+                next_check = now + SWEEP_INTERVAL_S
                 for descriptor, caller in list(self.callers.items()):
-                    if caller.came < now - HOLD:
+                    if caller.accepted_at < now - CONNECTION_TIMEOUT_S:
                         self._drop(descriptor)
 
     def _accept(self, now: float) -> bool:
@@ -137,8 +139,8 @@
     def _serve(self, caller: CommandConnection) -> None:
         descriptor = caller.sock.fileno()
         if caller.reply is None or caller.reply == b"":
-            data = caller.sock.recv(READ)
-            if caller.reply is not None:  # after the answer: a close on unread bytes could take it away
+            data = caller.sock.recv(READ_BYTES)
+            if caller.reply is not None:  # after the response: closing with unread bytes could destroy it
                 if not data:
                     self._drop(descriptor)
                 return
--- a/gladegw/net/background_writer.py
+++ b/gladegw/net/background_writer.py
@@ -9,12 +9,12 @@
 from collections import deque
 from collections.abc import Callable, Iterable, Sequence
 
-LOG_BYTES = 128 * 1024  # bytes of log lines that wait to be written
-CHUNK = 32 * 1024  # bytes that go out at a time: other writers of the same descriptor come in between
+MAX_LOG_BYTES = 128 * 1024  # of queued log lines
+CHUNK_BYTES = 32 * 1024  # per write, so that other writers of the descriptor get their turn
 
 Write = Callable[[Sequence[bytes]], int]  # takes lines, returns how many it could not hand on
 
-_whole_lines = threading.Lock()  # lines of different writers do not mix
+_write_lock = threading.Lock()  # lines of different writers do not mix
 
 
 class BackgroundWriter:
@@ -83,9 +83,9 @@
         chunk = bytearray()
         for place, line in enumerate(lines, 1):
             chunk += line
-            if len(chunk) < CHUNK and place < len(lines):
+            if len(chunk) < CHUNK_BYTES and place < len(lines):
                 continue
-            with _whole_lines:
+            with _write_lock:
                 view = memoryview(bytes(chunk))
                 while view:
                     try:
--- a/gladegw/net/capture.py
+++ b/gladegw/net/capture.py
@@ -22,7 +22,7 @@
 
 VERSION = 1
 MAX_TEXT_CHARS = 200  # characters of a peer's text
-TABLE_TEXT_DIVISOR = 4  # a table of routes is kept with its text up to this part of the ring
+TABLE_TEXT_DIVISOR = 4  # of the ring, maximum size of a route table's text
 STATUS = {ServerState.SERVING: "Ready", ServerState.DRAINING: "Terminating", ServerState.REMOVED: "Gone"}
 
 
@@ -181,8 +181,8 @@
         self.uses: dict[int, int] = {}
         self.tables: dict[int, bytes] = {}  # of routes, by generation: the latest, and those that are needed
         self.generation = 0
-        self.held_generations: set[int] = set()  # generations that requests can still go by
-        self.reports: dict[int, tuple[str, float]] = {}  # as received, with the figure that the module takes
+        self.generations_in_use: set[int] = set()  # generations that requests can still go by
+        self.reports: dict[int, tuple[str, float]] = {}  # as received, with the value that the balancer uses
         self.open: dict[int, OpenRequest] = {}
         self.records: deque[RequestRecord] = deque()
         self.size = len(self.start)
@@ -196,7 +196,7 @@
     def _line(self, kind: str, **fields: Any) -> bytes:
         return self.encode({"v": VERSION, "kind": kind, **fields}) + b"\n"
 
-    # what the driver tells
+    # events of the driver
     def on_list(self, listing: Listing) -> None:
         """Record a list, always as a full snapshot; only changed entries are encoded again."""
         for server in self.removed:
@@ -260,7 +260,7 @@
 
     def retain_generations(self, generations: set[int]) -> None:
         """Set the route tables in use; others are retained only while a record refers to them."""
-        left, self.held_generations = self.held_generations - generations, generations
+        left, self.generations_in_use = self.generations_in_use - generations, generations
         for generation in left:
             self._forget_table(generation)
 
@@ -268,7 +268,7 @@
         """Record a decision of the balancer on a request: its inputs and its result."""
         try:
             self._step(number, step, used, verdict)
-        except Exception:  # whatever a record lacks, the call goes on
+        except Exception:  # a faulty record must not fail the request
             log.exception("capture: a decision could not be recorded")
             opened = self.open.pop(number, None)
             if opened is not None:
@@ -365,7 +365,7 @@
     # the ring
     def _forget_table(self, generation: int) -> None:
         """Discard a route table that is neither in use nor referred to."""
-        if generation and generation != self.generation and generation not in self.held_generations:
+        if generation and generation != self.generation and generation not in self.generations_in_use:
             needed = any(record.generation == generation for record in self.records)
             needed = needed or any(
                 opened.request.routed is not None and opened.request.routed.generation == generation
--- a/gladegw/net/discovery.py
+++ b/gladegw/net/discovery.py
@@ -16,29 +16,27 @@
 
 log = logging.getLogger(__name__)
 
-HOLD_FRACTION = 0.25  # of the time within which the settings want a proxy to ask, that one watch may wait
+HOLD_FRACTION = 0.25  # of the maximum interval between polls, for one watch
 # A watch that has fallen silent looks like one with nothing to tell until its call is given up. That takes a
 # third of the 6 s after which a change counts as told; the rest is for the calls that follow, which may be
 # refused while all proxies call at once.
-MAX_HOLD_S = 0.8  # s that a watch may wait
-ANSWER_TIMEOUT_S = 1.2  # s beyond a watch's wait after which it has failed
-FIRST_HOLD_S = 0.05  # s that a call waits which opens a watch: until it is answered, nothing is known
+MAX_HOLD_S = 0.8  # of one watch
+ANSWER_TIMEOUT_S = 1.2  # beyond the hold time of a watch
+FIRST_HOLD_S = 0.05  # of a call that opens a watch: until its response nothing is known
 CONNECT_TIMEOUT_S = 1.0  # s
-FULL_LIST_TIMEOUT_S = 2.1  # s for a call to get its turn: discovery may take 2 s before it refuses one
-LONG_ANSWER_TIMEOUT_S = 4.0  # s for it after one that was not answered: discovery may be slow
-IMMEDIATE_REJECTION_S = 0.3  # s within which a refusal has cost discovery no turn
-MAX_READ_S = 3.0  # s beyond its time that an answer may take whose parts go on coming
-MIN_CALL_SPACING_S = 0.05  # s between calls on average, should discovery answer each at once
-MAX_CONCURRENT_FETCHES = (
-    4.0  # calls of a watch that go out at once all the same: news may come one after another
-)
-MAX_SILENCE_S = 100  # bytes of an answer that tells of nothing new
+FULL_LIST_TIMEOUT_S = 2.1  # discovery may queue a call for 2 s before it rejects it
+LONG_ANSWER_TIMEOUT_S = 4.0  # after a call without a response: discovery may be slow
+IMMEDIATE_REJECTION_S = 0.3  # a rejection within this time was not queued
+MAX_READ_S = 3.0  # beyond its timeout, for a response whose parts keep arriving
+MIN_CALL_SPACING_S = 0.05  # on average, if discovery answers each call immediately
+MAX_CONCURRENT_FETCHES = 4.0  # a burst of calls without spacing: updates may follow one another closely
+MAX_EMPTY_UPDATE_BYTES = 100  # of a response without updates
 LIST_PATH = "/v1/servers"
-MAX_LIST_BYTES = 8 << 20  # bytes of an answer
+MAX_LIST_BYTES = 8 << 20  # of a response
 REJECTION_CODES = (
     429,
     503,
-)  # what discovery answers where it is down or has too many calls to answer in time
+)  # discovery is down or overloaded
 
 
 class DiscoveryRejectedError(ValueError):
@@ -53,9 +51,9 @@
         self.answer: asyncio.Future[tuple[int, bytes]] | None = None
         self.parser: Any = None
         self.body = bytearray()
-        self.framed = False  # the answer's headers tell where its body ends
+        self.framed = False  # the response headers delimit its body
         self.until_close = False  # its body ends with the connection
-        self.moved_at = 0.0  # when bytes last came
+        self.last_received_at = 0.0  # when bytes last arrived
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
@@ -65,7 +63,7 @@
         self._fail(ConnectionError("discovery closed the connection"))
 
     def data_received(self, data: bytes) -> None:
-        self.moved_at = time.monotonic()
+        self.last_received_at = time.monotonic()
         try:
             self.parser.feed_data(data)
         except Exception as fault:  # whatever it is, the stream can't be followed any further
@@ -93,7 +91,7 @@
             raise ValueError("the answer is too large")
 
     def on_message_complete(self) -> None:
-        if self.parser.get_status_code() >= 200:  # what comes before it is an interim answer
+        if self.parser.get_status_code() >= 200:  # others are interim responses
             self._complete()
             if not self.parser.should_keep_alive():
                 self.close()
@@ -113,7 +111,7 @@
         return self.transport is not None and not self.transport.is_closing()
 
     def close(self) -> None:
-        self.answer = None  # nobody waits for it any more
+        self.answer = None  # it is not awaited any more
         if self.transport is not None:
             self.transport.close()
             self.transport = None
@@ -140,13 +138,13 @@
 class DiscoveryCall:
     """One pending call to discovery: its target and its deadline."""
 
-    def __init__(self, target: str, timeout: float, moves: int, goes_on: bool = False) -> None:
+    def __init__(self, target: str, timeout: float, moves: int, continues_watch: bool = False) -> None:
         """Create a call that begins now.
 
-        `timeout` is in seconds; `moves` is the number of address changes so far; `goes_on` marks a call that
-        continues a watch, which does not queue at discovery.
+        `timeout` is in seconds; `moves` is the number of address changes so far; `continues_watch` marks a
+        call that does not queue at discovery.
         """
-        self.target, self.timeout, self.moves, self.continues_watch = target, timeout, moves, goes_on
+        self.target, self.timeout, self.moves, self.continues_watch = target, timeout, moves, continues_watch
         self.begun_at = time.monotonic()
         self.answer: asyncio.Future[tuple[int, bytes]] | None = None
 
@@ -160,7 +158,7 @@
         due = self.begun_at + self.timeout
         while not self.answer.done():
             now = time.monotonic()
-            latest = max(due, min(channel.moved_at + ANSWER_TIMEOUT_S, due + MAX_READ_S))
+            latest = max(due, min(channel.last_received_at + ANSWER_TIMEOUT_S, due + MAX_READ_S))
             if now >= latest:
                 raise TimeoutError
             await asyncio.wait((self.answer,), timeout=latest - now)
@@ -196,14 +194,14 @@
         self.hold = min(HOLD_FRACTION * max_poll_gap, MAX_HOLD_S)  # s
         self.on_list, self.on_failed = on_list, on_failed
         self.inventory = inventory or EndpointInventory()
-        self.list_received = asyncio.Event()  # has a list come
+        self.list_received = asyncio.Event()  # whether a list was received
         self.turn_timeout = FULL_LIST_TIMEOUT_S
         self.address_changing = (
             False  # a new configuration is being read: what comes meanwhile is no news any more
         )
         self.moves = 0  # to other addresses; what began before the last one has no say in what follows
         self._watch: asyncio.Task[None] | None = None
-        self._left: list[asyncio.Task[None]] = []  # watches at addresses before
+        self._left: list[asyncio.Task[None]] = []  # watches at previous addresses
         self._fetches: set[asyncio.Task[None]] = set()
 
     def watch(self, on: bool) -> None:
@@ -287,7 +285,7 @@
             hold = min(self.hold, MAX_HOLD_S if channel.up else FIRST_HOLD_S)
             timeout = ANSWER_TIMEOUT_S if channel.up else self.turn_timeout
             target = f"{LIST_PATH}?from={self.version}&hold_ms={int(hold * 1000)}"
-            call = DiscoveryCall(target, hold + timeout, self.moves, goes_on=channel.up)
+            call = DiscoveryCall(target, hold + timeout, self.moves, continues_watch=channel.up)
         return await self._write(channel, call)
 
     async def _write(self, channel: _Channel, call: DiscoveryCall) -> DiscoveryCall | None:
@@ -379,7 +377,7 @@
             self.inventory.forget()
             self.version = None
             self.watch(True)
-        if size > MAX_SILENCE_S:
+        if size > MAX_EMPTY_UPDATE_BYTES:
             log.info(
                 "discovery: list taken: version=%d whole=%s changed=%d known=%d bytes=%d after_ms=%d "
                 "took_ms=%d",
--- a/gladegw/net/downstream/connection.py
+++ b/gladegw/net/downstream/connection.py
@@ -30,10 +30,10 @@
 MAX_RAW_BYTES = 2 * (
     MAX_HEAD_BYTES + MAX_BUFFERED_BYTES
 )  # bytes of what is held as it comes; the parser holds what is unfinished
-LINGER_S = 1.0  # s that a peer has to close after its last answer
-MAX_UNREAD_S = 10.0  # s that bytes may have waited unread; what is longer is not believed
-LINGER_CHECK_INTERVAL_S = 0.01  # s between looks whether it has
-OVERLOADED_CHECK_INTERVAL_S = 0.001  # s between these where others wait for its place
+LINGER_S = 1.0  # for the peer to close after its last response
+MAX_UNREAD_S = 10.0  # longer times are considered implausible
+LINGER_CHECK_INTERVAL_S = 0.01  # between checks whether the peer has closed
+OVERLOADED_CHECK_INTERVAL_S = 0.001  # between these checks while overloaded
 NO_HEADERS: tuple[tuple[bytes, bytes], ...] = ()
 
 
@@ -48,23 +48,23 @@
         self.headers: list[tuple[bytes, bytes]] = []
         self.body: list[bytes] = []
         self.head_size = self.body_size = self.raw_size = 0
-        self.receiving = False  # a request has begun to come
+        self.receiving = False  # a request is being received
         self.incoming: PendingResponse | None = (
-            None  # the message whose head is whole and whose end has not come
+            None  # the message whose head is complete and whose end was not received
         )
-        self.request_started_at = accepted_at  # since when a request is due
+        self.request_started_at = accepted_at  # start of the request's deadline
         self.received = 0  # bytes of it
         self.request_deadline = RequestDeadline(accepted_at)  # of the request that is awaited
         self.had_request = False
         self.waiting: deque[PendingResponse] = deque()
-        self.current: PendingResponse | None = None  # whose answer is due
+        self.current: PendingResponse | None = None  # whose response is pending
         self.call: object | None = None
-        self.source: FlowControl | None = None  # of the answer that is being passed on
-        self.chunked = False  # that answer's length is not known
+        self.source: FlowControl | None = None  # of the streamed response
+        self.chunked = False  # the length of the streamed response is unknown
         self.closing = False
-        self.rejected = False  # for want of places
-        self.discarding = False  # the answer came before the end of its request, whose rest is not wanted
-        self.changed_at = accepted_at  # when bytes last came or went
+        self.rejected = False  # shed for lack of capacity
+        self.discarding = False  # the response preceded the end of its request, whose rest is discarded
+        self.changed_at = accepted_at  # when bytes were last received or sent
         self.full = False  # the peer does not read
         self.paused = False
 
@@ -115,7 +115,7 @@
             return
         upload = self.incoming.upload if self.incoming is not None else None
         is_stalled = upload is not None and upload.waiting
-        # What is read gets its answer. So that these come to an end, a proxy that leaves reads no further.
+        # Every request that is read is answered. So that they end, a draining proxy reads no further.
         is_ahead = bool(self.waiting) or (
             self.server.draining and self.current is not None and not self.receiving
         )
@@ -158,7 +158,7 @@
         """Respond to input that cannot be parsed any further."""
         incoming, self.incoming = self.incoming, None
         if incoming is not None and incoming.upload is not None:
-            self.abort_connection()  # its answer, if it has one yet, is of a request that nobody made
+            self.abort_connection()  # a response would belong to a request that nobody made
             return
         cause = fault if isinstance(fault, BadRequestError) else fault.__context__
         pending = PendingResponse(
@@ -166,7 +166,7 @@
         )
         pending.info = self._request_info()
         self.waiting.append(pending)
-        self.closing = True  # what still comes is read, so that the answer arrives, and dropped
+        self.closing = True  # the rest is read and discarded, so that the response arrives
 
     # parser callbacks
     def on_message_begin(self) -> None:
@@ -187,8 +187,8 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """Append a header field (called by the parser)."""
         self._count_head(len(name) + len(value))
-        if self.incoming is None:  # what comes behind a body is no header of the request
-            self.headers.append((name.lower(), value.strip(b" \t")))  # the parser leaves what follows
+        if self.incoming is None:  # trailer fields are no headers of the request
+            self.headers.append((name.lower(), value.strip(b" \t")))  # the parser retains trailing whitespace
 
     def _count_head(self, size: int) -> None:
         """Check the size of the head; raises BadRequestError."""
@@ -229,7 +229,7 @@
                     raise BadRequestError(400, "a GET has no body")
             except BadRequestError as bad:
                 if length > MAX_BUFFERED_BYTES:
-                    raise  # it is not worth waiting for
+                    raise  # not worth receiving
                 pending.request = bad
             else:
                 chunked = any(name == b"transfer-encoding" for name, _ in self.headers)
@@ -345,7 +345,7 @@
         """Count the end of a request and notify the observers."""
         counters = self.server.counters
         if isinstance(pending.request, Request) and (pending.received or code is not None):
-            if not pending.received:  # it was answered before it had come whole
+            if not pending.received:  # it was answered before it was complete
                 counters.on_received()
             counters.on_ended(pending.request.cls, code)
         if pending.info is not None:
@@ -370,7 +370,7 @@
             elif isinstance(request, BadRequestError):
                 self.answer(request.code, request.headers, f"{request}\n".encode())
             elif self.server.at_capacity:
-                # Never sent, so a refusal is harmless.
+                # Never sent, so shedding is harmless.
                 pending.close_after = self.rejected = True
                 self.answer(503, ((b"retry-after", b"1"),), b"too many connections\n")
             else:
@@ -468,14 +468,14 @@
             return
         self.changed_at = time.monotonic()
         if pending is self.incoming:
-            # It has not come whole: the rest is read and dropped, so that the answer arrives.
+            # Its request is incomplete: the rest is read and discarded, so that the response arrives.
             self.closing = self.discarding = True
             if pending.upload is not None:
                 pending.upload.drop()
             self._forget()
             self._flow()
         elif not pending.keep_alive:
-            self._finish(read_out=self.closing)  # its sender may read only when it has written all
+            self._finish(read_out=self.closing)  # its sender may read only after it has written everything
         elif self.waiting:
             self.server.loop.call_soon(self._answer_next)
         else:
@@ -493,7 +493,7 @@
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        if transport.can_write_eof():  # TLS has no such half end; there the answer's length tells it
+        if transport.can_write_eof():  # TLS has no half-close; the response's length marks its end
             transport.write_eof()
         if read_out or not transport.can_write_eof():
             transport.resume_reading()
--- a/gladegw/net/downstream/pending_response.py
+++ b/gladegw/net/downstream/pending_response.py
@@ -41,12 +41,12 @@
 
     def __init__(self, request: Request | BadRequestError | None) -> None:
         self.request = request
-        self.upload: RequestBody | None = None  # its body is passed on while it comes
+        self.upload: RequestBody | None = None  # its body is streamed
         self.keep_alive = False
-        self.close_after = False  # the connection is to end with this answer, if none is owed behind it
-        self.bodyless = False  # HEAD: its answer has no body
+        self.close_after = False  # close after this response, if no further one is pending
+        self.bodyless = False  # HEAD: the response has no body
         self.http_1_0 = False  # HTTP/1.0
-        self.received = False  # it has come whole, and is counted
+        self.received = False  # received completely, and counted
         self.info: RequestInfo | None = None
 
 
--- a/gladegw/net/downstream/server.py
+++ b/gladegw/net/downstream/server.py
@@ -19,11 +19,11 @@
 from gladegw.net.request import Router
 from gladegw.operators.request_counters import RequestCounters, RequestObserver
 
-IDLE_TIMEOUT_S = 120.0  # s after which a connection that asks nothing more is closed
+IDLE_TIMEOUT_S = 120.0  # without a request
 READ_AFTER_DRAIN_S = (
-    0.25  # s from the beginning of a drain: 0.7 s after SIGTERM a client may not rely on an answer
+    0.25  # after the start of a drain: clients may not rely on a response 0.7 s after SIGTERM
 )
-SWEEP_INTERVAL_S = 0.1  # s between looks for connections whose time is over
+SWEEP_INTERVAL_S = 0.1  # between checks for overdue connections
 
 
 class DownstreamServer:
@@ -43,8 +43,8 @@
         self.counters, self.ready = counters, ready
         self.scratch = scratch  # into which all connections read
         self.connections: set[ClientConnection] = set()  # until their descriptors are closed
-        self.draining = False  # each answer is the last on its connection
-        self.reads_until = math.inf  # when requests that come behind one that waits are no longer read
+        self.draining = False  # each response is the last on its connection
+        self.reads_until = math.inf  # when requests behind a pending one are no longer read
         self.observers: tuple[RequestObserver[RequestInfo], ...] = ()
         self.router: Router | None = None
         self.acceptor = Acceptor(
--- a/gladegw/net/drain.py
+++ b/gladegw/net/drain.py
@@ -9,12 +9,12 @@
 from gladegw.net.downstream.server import DownstreamServer
 from gladegw.operators.lifecycle import State
 
-ACCEPT_AFTER_TERM_S = 0.45  # s in which all is served as before, while the front takes notice
-LAST_ACCEPT_S = 0.6  # s after SIGTERM at which the listener and the idle connections close
-POLL_INTERVAL_S = 0.01  # s between looks whether all is answered
-DRAIN_POLL_INTERVAL_S = 0.1  # s between looks at connections that came while lame
-UNUSED_CONNECTION_S = 1.0  # s for which a connection that came while lame may say nothing
-LAST_BYTES_S = 1.0  # s for the last answers to be taken
+ACCEPT_AFTER_TERM_S = 0.45  # while the load balancer in front notices
+LAST_ACCEPT_S = 0.6  # after SIGTERM, when the listener and idle connections close
+POLL_INTERVAL_S = 0.01  # between checks for pending responses
+DRAIN_POLL_INTERVAL_S = 0.1  # between checks of connections accepted while draining
+UNUSED_CONNECTION_S = 1.0  # for the first request of a connection accepted while draining
+LAST_BYTES_S = 1.0  # for the last responses to be received
 
 
 class Drain:
@@ -77,6 +77,6 @@
             if self.has_pending() or server.has_pending:
                 answered_at = time.monotonic()
             elif time.monotonic() > answered_at + LAST_BYTES_S:
-                break  # the last answers' peers have had their time
+                break  # the peers of the last responses had their time
             await asyncio.sleep(POLL_INTERVAL_S)
         server.abort()
--- a/gladegw/net/driver.py
+++ b/gladegw/net/driver.py
@@ -31,15 +31,15 @@
 
 log = logging.getLogger(__name__)
 
-MIN_MARGIN_S = 0.02  # s before a caller's deadline at which its answer leaves at the latest
+MIN_MARGIN_S = 0.02  # before the client's deadline
 MAX_MARGIN_S = 0.15  # s
-BALANCER_MARGIN_S = 0.02  # s by which the module's deadline lies before the proxy's own
-LAG_RETENTION = 0.995  # of the measured loop lag that is kept at each timer
+BALANCER_MARGIN_S = 0.02  # of the balancer's deadline before the proxy's own
+LAG_RETENTION = 0.995  # of the measured event loop lag, at each timer
 MAX_PROBES = 32  # at once
-PROBE_TIMEOUT_S = 0.2  # s; a report that comes later is of no use
-LARGE_ANSWER_STALL_S = 2.0  # s that a backend may pause in a large answer whose deadline has passed
-UNKNOWN_LENGTH_STALL_S = 1.0  # s, in one that tells no length and has not become large
-STREAM_CHECK_INTERVAL_S = 0.05  # s between looks whether it moves
+PROBE_TIMEOUT_S = 0.2  # a later report is of no use
+LARGE_ANSWER_STALL_S = 2.0  # of a large response whose deadline has passed
+UNKNOWN_LENGTH_STALL_S = 1.0  # of a response of unknown length that is not large yet
+STREAM_CHECK_INTERVAL_S = 0.05  # between checks for progress
 DROPPED_HEADERS = HOP_BY_HOP | {b"x-load-report", b"x-rejected"}
 
 
@@ -71,16 +71,16 @@
         self.balancer = Balancer(self.settings, config.seed ^ zlib.crc32(pool.encode()))
         self.shared = shared or SharedResources(config)
         self.upstreams, self.ids = self.shared.upstreams, self.shared.ids
-        self.retired = False  # a newer one has taken its place: it rests when nothing of it is open
-        self.deferred_timers: list[int] = []  # timers that came meanwhile
+        self.retired = False  # replaced by a newer one, idle once nothing of it is open
+        self.deferred_timers: list[int] = []  # timers that expired meanwhile
         self.calls: dict[int, PendingRequest] = {}
-        self.in_flight: dict[int, Exchange] = {}  # attempts, by call: also of calls whose caller has left
-        self.ended: dict[int, int] = {}  # attempts of calls that ended since the module was last asked
+        self.in_flight: dict[int, Exchange] = {}  # attempts by request, also of disconnected clients
+        self.ended: dict[int, int] = {}  # attempts of requests that ended since the balancer was last called
         self.probes = 0
         self.events: list[api.Event] = []
         self.flush_at: asyncio.Handle | None = None
         self.flushed = 0.0
-        self.lag = 0.0  # s, how late this loop was lately
+        self.lag = 0.0  # s, recent delay of this event loop
         self.on_empty: Callable[[], None] | None = None
         self.action_handlers: dict[type, Callable[[Any], None]] = {
             api.Send: self._send,
@@ -93,7 +93,7 @@
             api.Watch: lambda action: self.endpoint_source.watch(action.on),
             api.Fetch: lambda action: self.endpoint_source.fetch(),
             api.Log: lambda action: log.info("module: %s", action.text),
-            api.SendToPeer: lambda action: None,  # there is no talk between proxies
+            api.SendToPeer: lambda action: None,  # proxies do not communicate
         }
         self.endpoint_source: EndpointSource = endpoint_source or self._own_feed()
         if capture is not None:
@@ -153,7 +153,7 @@
         self.flush_at = None
         now = self.flushed = time.monotonic()
         events, self.events = self.events, []
-        ended = list(self.ended)  # what the module learns only with this batch
+        ended = list(self.ended)  # unknown to the balancer before this batch
         try:
             actions = self.balancer.handle(now, events)
         except Exception:
@@ -221,7 +221,7 @@
         """
         self._push(api.ServerList(kind, entries, version, current=current))
 
-    # the callers' side
+    # downstream side
     def ready(self) -> bool:
         """Whether any backend receives requests."""
         return self.upstreams.ready
@@ -233,7 +233,7 @@
     def on_request(self, request: Request, reply: ResponseSink) -> PendingRequest | None:
         """Start handling a request; None if it was answered immediately."""
         if request.id and request.id in self.ids:
-            # An earlier one of this name is still out, and a second copy could run beside it.
+            # An earlier request with this identifier is in flight, and both could run.
             reply.answer(409, (), b"this X-Call-Id is in use\n")
             return None
         if self.settings.max_open_requests and len(self.calls) >= self.settings.max_open_requests:
@@ -252,7 +252,7 @@
             self.ids.add(request.id)
         now = time.monotonic()
         left = request.budget - margin - BALANCER_MARGIN_S
-        if not coming:  # its time begins with its last byte
+        if not coming:  # its deadline starts with its last byte
             call.timer = self.loop.call_later(max(0.0, deadline - now), self._on_deadline, call)
             left += request.received_at - now
         arrival = api.Arrival(
@@ -306,7 +306,7 @@
             self._settle(call, None)
             self._push(api.ClientDisconnected(call.number))
             if exchange is not None and (call.streaming or exchange.uploading):
-                exchange.cancel()  # the module does not, where something has begun to flow
+                exchange.cancel()  # the balancer does not cancel once streaming has begun
 
     def _on_deadline(self, call: PendingRequest, late: bool = False) -> None:
         """Answer a request that the balancer did not answer in time.
@@ -316,7 +316,7 @@
         if not call.open:
             return
         if not late and time.monotonic() > call.deadline + TIMER_LAG_S:
-            # This process stood still, and timers come before sockets: the answer may have come meanwhile.
+            # The process was stalled and timers run before sockets: the response may have arrived meanwhile.
             call.timer = self.loop.call_later(ONE_LOOP_TURN_S, self._on_deadline, call, True)
             return
         harmless = not call.ran and (call.exchange is None or not call.exchange.sent)
@@ -350,7 +350,7 @@
         """Start an attempt."""
         call = self.calls.get(action.call)
         if call is None:
-            # It ended before the module had heard of it; every send is owed an outcome, under its number.
+            # It ended before the balancer was notified; every send needs an outcome, with its number.
             number = self.ended.get(action.call, 0)
             self.ended[action.call] = number + 1
             self._push(api.Outcome(action.call, number, action.server, api.Status.NOT_SENT, 0.0, True))
@@ -497,7 +497,7 @@
             if report is not None and self.capture is not None:
                 self.capture.on_load_report(action.server, exchange.body)
             if status is api.Status.NOT_SENT:
-                status = api.Status.REJECTED  # not asked, so nothing is known against it
+                status = api.Status.REJECTED  # not probed, so nothing is known about its health
             self._push(api.ProbeResult(action.server, status, exchange.elapsed, report))
 
         probe = Exchange(upstream, lambda: request, PROBE_TIMEOUT_S, lambda: upstream.serving, done)
--- a/gladegw/net/endpoint_lists.py
+++ b/gladegw/net/endpoint_lists.py
@@ -52,7 +52,7 @@
     version: int
     complete: bool
     backends: list[ListedBackend]
-    current: bool = True  # False: from an address that discovery has left
+    current: bool = True  # False: from a previous address of discovery
 
 
 _decoder: msgspec.json.Decoder[ListResponse] = msgspec.json.Decoder(ListResponse, strict=False)
--- a/gladegw/net/hcl.py
+++ b/gladegw/net/hcl.py
@@ -18,7 +18,7 @@
 from gladegw.net.config import ConfigError
 
 LARGEST = 256 * 1024  # bytes of a settings file
-KEPT = "gladegw-settings"  # folder below the environment's
+CACHE_FOLDER = "gladegw-settings"  # folder below the environment's
 BLOCK = "__is_block__"  # by which the parser marks what is no attribute
 
 MARKS = re.compile(r'"(?:\\.|[^"\\])*"|#[^\n]*|//[^\n]*|/\*.*?\*/|[][{},]', re.S)
@@ -140,8 +140,8 @@
     return blocks
 
 
-def _kept(text: bytes) -> Path:
-    return Path(sys.prefix) / KEPT / (blake2b(text, digest_size=16).hexdigest() + ".json")
+def _cache_path(text: bytes) -> Path:
+    return Path(sys.prefix) / CACHE_FOLDER / (blake2b(text, digest_size=16).hexdigest() + ".json")
 
 
 def _in_a_process(path: str) -> Blocks:
@@ -165,7 +165,7 @@
         text = Path(path).read_bytes()
         if len(text) > LARGEST:
             raise ValueError("too large")
-        cached = _kept(text)
+        cached = _cache_path(text)
         if cached.exists():
             blocks: Blocks = json.loads(cached.read_bytes())
             return blocks
@@ -185,7 +185,7 @@
         print(" ".join(str(fault).split()), file=sys.stderr)
         return 2
     try:
-        cached = _kept(text)
+        cached = _cache_path(text)
         cached.parent.mkdir(exist_ok=True)
         part = cached.with_suffix(".part")
         part.write_text(found, encoding="utf-8")
--- a/gladegw/net/interfaces.py
+++ b/gladegw/net/interfaces.py
@@ -16,7 +16,7 @@
     """The client at the other end of a downstream connection, as far as a feature identified it."""
 
     client: str  # address and port
-    via: str | None = None  # the front's address
+    via: str | None = None  # address of the load balancer in front
     denied: bool = False
     subject: str | None = None  # of its certificate; None: not TLS
 
--- a/gladegw/net/metrics.py
+++ b/gladegw/net/metrics.py
@@ -20,8 +20,8 @@
 
 log = logging.getLogger(__name__)
 
-OTHER = "other"  # the tag of a class or caller that the settings do not name: tags stay few
-NO_ANSWER = "none"  # the code of a request whose caller left
+OTHER = "other"  # tag of classes and tenants that are not configured, which limits the number of tags
+NO_ANSWER = "none"  # code of a request whose client disconnected
 DATAGRAM = 1400  # bytes: with its headers it stays within one packet of an ordinary network
 SINKS = {"stderr": 2, "stdout": 1, "none": None}
 STATSD_SPECIAL = re.compile(r"[\s|#:,@\x00-\x1f\x7f]")
@@ -214,7 +214,7 @@
         self.requests: dict[str, int] = {}  # ended since the last flush, by tags
         self.answers: dict[str, int] = {}
         self.inflight: dict[tuple[str, str], int] = {}
-        self.moved: set[tuple[str, str]] = set()  # whose gauge has changed since the last flush
+        self.changed_gauges: set[tuple[str, str]] = set()  # whose gauge has changed since the last flush
         self.rendered: dict[tuple[str, str, str], str] = {}
 
     def _tags_of(self, request: RequestInfo) -> tuple[str, str]:
@@ -228,13 +228,13 @@
         """Count a request in flight."""
         key = self._tags_of(request)
         self.inflight[key] = self.inflight.get(key, 0) + 1
-        self.moved.add(key)
+        self.changed_gauges.add(key)
 
     def on_end(self, request: RequestInfo, code: int | None) -> None:
         """Record an ended request; `code` is None if it got no response."""
         who = self._tags_of(request)
         self.inflight[who] -= 1
-        self.moved.add(who)
+        self.changed_gauges.add(who)
         key = (*who, str(code or NO_ANSWER))
         tags = self.rendered.get(key)
         if tags is None:
@@ -259,10 +259,10 @@
         batch += [self.format.count("answers", count, tags) for tags, count in self.answers.items()]
         self.requests.clear()
         self.answers.clear()
-        for who in self.moved | {who for who, count in self.inflight.items() if count}:
+        for who in self.changed_gauges | {who for who, count in self.inflight.items() if count}:
             tags = self.format.tags((("class", who[0]), ("tenant", who[1])))
             batch.append(self.format.gauge("inflight", self.inflight[who], tags))
-        self.moved.clear()
+        self.changed_gauges.clear()
         self.dropped += sum(target.lost() for target in self.targets)
         if self.dropped:
             batch.append(self.format.count("figures.dropped", self.dropped, ""))
--- a/gladegw/net/policy_router.py
+++ b/gladegw/net/policy_router.py
@@ -32,17 +32,17 @@
     """The router of a proxy under a policy; used only on the serving event loop."""
 
     def __init__(
-        self, pools: PoolRouter, gate: ServingLease, settings: PolicySettings, may_advise: bool
+        self, pools: PoolRouter, serving_lease: ServingLease, settings: PolicySettings, may_advise: bool
     ) -> None:
-        self.pools, self.serving_lease, self.settings = pools, gate, settings
+        self.pools, self.serving_lease, self.settings = pools, serving_lease, settings
         self.advice = ((b"retry-after", RETRY_AFTER_S),) if may_advise else ()
         self.retention = TableRetention(float(settings.hold_s))
-        self.tables: dict[PolicyEpoch, Generation] = {}  # that are beside the one in use
-        self.prepared_table: PreparedTable | None = None  # what is prepared, until a request asks for it
+        self.tables: dict[PolicyEpoch, Generation] = {}  # retained beside the one in use
+        self.prepared_table: PreparedTable | None = None  # prepared table, until first requested
         self.trusted = tuple(network(text) for text in settings.stamp_from)
         self.trusts = lru_cache(maxsize=1024)(self._trusts)
 
-    # what the policy says
+    # policy changes
     def on_prepared(self, epoch: int, digest: str, ready: PreparedTable | None) -> None:
         """A policy was prepared but is not active yet; `ready` is None if it was withdrawn."""
         self._drop_prepared()
@@ -58,7 +58,7 @@
         self.retention.activate(stamp, time.monotonic())
         if ready is None:  # by the own file
             return
-        if last is not None and last != stamp and self.settings.stamp_from:  # within an epoch nothing is held
+        if last is not None and last != stamp and self.settings.stamp_from:  # not within an epoch
             self.tables[last] = self.pools.now
             self.pools.loop.call_later(self.retention.retention_s, self._expire_tables)
         self.pools.take(ready, epoch, made, list(self.tables.values()))
@@ -87,7 +87,7 @@
             return False
         return any(address in known for known in self.trusted)
 
-    def _told(self, found: list[bytes], source: Callable[[], str]) -> PolicyEpoch | None:
+    def _requested_epoch(self, found: list[bytes], source: Callable[[], str]) -> PolicyEpoch | None:
         """The policy epoch that the request carries; None if it comes from an untrusted address.
 
         Raises BadRequestError if the header is malformed.
@@ -108,7 +108,7 @@
             raise BadRequestError(503, f"policy {epoch} is {state.value} here", (*self.advice, NEVER_RAN))
         if state is TableState.IN_USE:
             return self.pools.now
-        if epoch not in self.tables:  # prepared, and asked for the first time
+        if epoch not in self.tables:  # prepared, requested for the first time
             assert self.prepared_table is not None
             self.tables[epoch] = self.pools.make(*self.prepared_table, epoch.epoch)
             self.pools.keep(list(self.tables.values()))
@@ -125,7 +125,7 @@
         forwarded = [pair for pair in headers if pair[0] != HEADER]
         epoch = None
         if len(forwarded) != len(headers):
-            epoch = self._told([value for name, value in headers if name == HEADER], source)
+            epoch = self._requested_epoch([value for name, value in headers if name == HEADER], source)
         if not self.serving_lease.open:
             marks = () if epoch is None else (NEVER_RAN,)
             raise BadRequestError(503, "no policy in force here", (*self.advice, *marks))
--- a/gladegw/net/request.py
+++ b/gladegw/net/request.py
@@ -19,7 +19,7 @@
 FORWARDED_UNCHANGED = frozenset({b"host", b"x-call-id", b"x-caller", b"x-budget", b"idempotency-key"})
 REPLACED = HOP_BY_HOP | {b"x-budget", b"expect", b"x-load-report"}
 
-MAX_TEXT_CHARS = 200  # characters of a header that is told of
+MAX_TEXT_CHARS = 200  # of a recorded header
 Headers = list[tuple[bytes, bytes]]
 
 
@@ -30,7 +30,7 @@
     cls: str  # empty: the first part of the path
     target: bytes
     headers: Headers
-    timeout: float  # s; 0: the caller's
+    timeout: float  # s; 0: the client's
     attempts: int  # 0: the settings'
     route: Route
     pool: str  # the first choice
@@ -85,12 +85,12 @@
     subject: str
     work: float
     resent: bool
-    head: bytes  # what goes on to a backend, but for the last headers
-    received_at: float  # monotonic: when it was whole, or its head where its body is still coming
+    head: bytes  # the head for a backend, without the last headers
+    received_at: float  # monotonic: when it was complete, or its head if the body is streamed
     bodyless: bool  # a GET
     body: bytes = b""
-    length: int | None = 0  # of a body that is still coming; None: unknown until its end
-    upload: RequestBody | None = None  # its body, where that is passed on while it comes
+    length: int | None = 0  # of a streamed body; None: unknown until its end
+    upload: RequestBody | None = None  # its streamed body
     routed: RoutedRequest | None = None  # where routes are on
 
     def framing(self) -> bytes:
--- a/gladegw/net/routes.py
+++ b/gladegw/net/routes.py
@@ -45,15 +45,15 @@
 
 log = logging.getLogger(__name__)
 
-CHECK_INTERVAL_S = 0.25  # s between looks at what time changes: quotas, spill-over, members that were ejected
-MAX_MOVES = 4  # from pool to pool, of one request
-NO_MEMBER_RETRY_AFTER_S = 1.0  # s that a client is told to stay away from a pool without members
+CHECK_INTERVAL_S = 0.25  # between checks of quotas, spill-over and ejected members
+MAX_MIGRATIONS = 4  # between pools, of one request
+NO_MEMBER_RETRY_AFTER_S = 1.0  # for clients of a pool without members
 STATUS = {
     api.ServerState.SERVING: "Ready",
     api.ServerState.DRAINING: "Terminating",
     api.ServerState.REMOVED: "Gone",
 }
-RULES = frozenset({"x-call-id", "idempotency-key", "x-budget"})  # headers that are never told of
+UNRECORDED_HEADERS = frozenset({"x-call-id", "idempotency-key", "x-budget"})  # never recorded
 
 
 class ServedPool:
@@ -125,7 +125,7 @@
         if (
             code == 503
             and unsent
-            and self.migrations < MAX_MOVES
+            and self.migrations < MAX_MIGRATIONS
             and not self.served[self.name].members.usable
         ):
             assert self.request.routed is not None
@@ -189,9 +189,9 @@
         self.watching = False
         self.retired: list[ServedPool] = []  # of older tables, as long as something of them is open
         self.mirrored: set[PendingRequest] = set()
-        self.refused_digest = ""  # of the text that was found bad last
+        self.refused_digest = ""  # of the text that was last found invalid
         self.table_rules = False  # by a policy that all proxies have, whatever the file says
-        self.beside: list[Generation] = []  # not in use, and kept for requests that are stamped with them
+        self.beside: list[Generation] = []  # not in use, retained for requests with their policy epoch
         inventory = EndpointInventory()
         known = Driver.known_list(config, inventory)
         version, within = known.version if config.known else None, config.settings.max_poll_gap
@@ -227,7 +227,7 @@
         matches = [match for route in description.routes for match in route.matches]
         headers = {text.name for match in matches for text in match.headers}
         splits = {route.split.by.partition(":")[2] for route in description.routes if route.split}
-        looked_at = tuple(sorted((headers | splits | {TENANT_HEADER}) - RULES - {""}))
+        looked_at = tuple(sorted((headers | splits | {TENANT_HEADER}) - UNRECORDED_HEADERS - {""}))
         self.made += 1
         if self.capture is not None:
             self.capture.on_routes(self.made, digest_of(text), self.settings.file, text, epoch)
@@ -537,7 +537,7 @@
 
     def forward(self, one: ServedPool, request: Request, reply: ResponseSink) -> PendingRequest | None:
         """Pass a request to the driver of a pool."""
-        if one.driver.retired and one not in self.retired:  # it was read before the table was changed
+        if one.driver.retired and one not in self.retired:  # read before the table changed
             self.retired.append(one)
             self._notify(one, api.ListKind.FULL)
         return one.driver.on_request(request, reply)
--- a/gladegw/net/serve.py
+++ b/gladegw/net/serve.py
@@ -20,7 +20,7 @@
 from gladegw.net.access_log import AccessLog
 from gladegw.net.addresses import Addresses
 from gladegw.net.admin import CommandServer
-from gladegw.net.background_writer import LOG_BYTES, BackgroundWriter, LogHandler, to_descriptor
+from gladegw.net.background_writer import MAX_LOG_BYTES, BackgroundWriter, LogHandler, to_descriptor
 from gladegw.net.capture import Capture
 from gladegw.net.config import Config, ConfigError, discovery_now, load
 from gladegw.net.downstream.server import DownstreamServer
@@ -40,13 +40,11 @@
     from gladegw.net.routes import PoolRouter
     from gladegw.net.timing import RequestTiming
 
-LOG_FLUSH_TIMEOUT_S = 0.5  # s for each target of figures or logs to take what is held at the end
-POLL_INTERVAL_S = 0.02  # s between looks whether a backend has said anything
-REREAD_INTERVAL_S = 0.1  # s between tries to read a configuration that can't be used
-MAX_REREADS = 30  # of these: what discovery tells at a new address counts as known 4 s after the signal
-FIRST_LIST_TIMEOUT_S = (
-    3.0  # s that a process which replaces another waits for discovery's list and a backend's first word
-)
+LOG_FLUSH_TIMEOUT_S = 0.5  # for each target of metrics or logs at shutdown
+POLL_INTERVAL_S = 0.02  # between checks
+REREAD_INTERVAL_S = 0.1  # between attempts to read an invalid configuration
+MAX_REREADS = 30  # updates at a new address count as known 4 s after the signal
+FIRST_LIST_TIMEOUT_S = 3.0  # for the first list and the first response of a backend, when replacing a process
 
 log = logging.getLogger(__name__)
 
@@ -129,13 +127,13 @@
     Returns after FIRST_LIST_TIMEOUT_S in any case, or when `term` is set.
     """
 
-    async def news() -> None:
+    async def both_responded() -> None:
         await driver.discovery.list_received.wait()
         while not driver.shared.upstreams.list_received:
             await asyncio.sleep(POLL_INTERVAL_S)
 
     driver.discovery.fetch()
-    waits = [asyncio.ensure_future(news()), asyncio.ensure_future(term.wait())]
+    waits = [asyncio.ensure_future(both_responded()), asyncio.ensure_future(term.wait())]
     await asyncio.wait(waits, timeout=FIRST_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
     for wait in waits:
         wait.cancel()
@@ -144,7 +142,7 @@
 async def serve(config: Config, features: Features) -> None:
     """Serve until SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
-    if features.coordination is not None:  # its descriptors are not there to be shared out
+    if features.coordination is not None:  # its descriptors are not shared out
         config = dataclasses.replace(config, sockets=config.sockets - FLEET_MEMBER_DESCRIPTORS)
     term = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -163,7 +161,7 @@
     timing = request_timing(features, config)
     member, router = join_fleet(features, config, driver, timing)
 
-    def able() -> bool:
+    def can_serve() -> bool:
         return driver.ready() and (member is None or member.may_serve)
 
     server = DownstreamServer(
@@ -171,17 +169,17 @@
         driver,
         driver.shared.budget.clients,
         counters,
-        lambda: lifecycle.state is State.READY and able(),
+        lambda: lifecycle.state is State.READY and can_serve(),
         driver.shared.scratch,
     )
     draining = Drain(server, lambda: len(driver.calls) if isinstance(driver, Driver) else driver.calls)
 
-    def changed(state: State) -> None:
+    def on_state_change(state: State) -> None:
         draining.on_state(state)
         if member is not None:
             member.set_lifecycle_state(state.value)
 
-    lifecycle.on_change = changed
+    lifecycle.on_change = on_state_change
     observers: list[RequestObserver[RequestInfo]] = []
     metrics = Metrics(features.figures, config.settings) if features.figures is not None else None
     if metrics is not None:
@@ -200,7 +198,7 @@
             CommandHandler(
                 lifecycle,
                 counters,
-                able,
+                can_serve,
                 driver.listed_backends,
                 member.info if member is not None else tuple,
             ),
@@ -209,7 +207,7 @@
     if replaces:
         await wait_for_first_list(driver, term)
         while member is not None and not member.may_serve and not term.is_set():
-            await asyncio.sleep(POLL_INTERVAL_S)  # every new connection is this one's from its listening on
+            await asyncio.sleep(POLL_INTERVAL_S)  # from then on this process gets every new connection
     server.acceptor.listen(*config.listen)
     if metrics is not None:
         running.append(loop.create_task(metrics.run()))
@@ -248,9 +246,9 @@
         features = settings_file.read(file) if file is not None else Features()
         config = load(os.environ)
         if features:
-            logs = BackgroundWriter(to_descriptor(sys.stderr.fileno()), LOG_BYTES, "log")
+            logs = BackgroundWriter(to_descriptor(sys.stderr.fileno()), MAX_LOG_BYTES, "log")
             logging.basicConfig(handlers=[LogHandler(logs)], format=log_format)
-            for module in (discovery, decisions):  # calls for the list, lists taken, servers withheld
+            for module in (discovery, decisions):  # discovery calls, lists applied, servers withheld
                 logging.getLogger(module.__name__).setLevel(logging.INFO)
         else:
             logging.basicConfig(stream=sys.stderr, format=log_format)
--- a/gladegw/net/shared_resources.py
+++ b/gladegw/net/shared_resources.py
@@ -46,7 +46,7 @@
         self.open = True
         self.attempts = 0
         self.ran = False  # some attempt may have run
-        self.streaming = False  # some of its answer has gone out
+        self.streaming = False  # a part of the response was sent
         self.exchange: Exchange | None = None
         self.timer: asyncio.TimerHandle | None = None
 
@@ -69,7 +69,7 @@
         self.counters = RequestCounters(cls.name for cls in settings.classes)
         self.scratch = memoryview(bytearray(chunk_bytes(config.memory, self.budget.clients)))
         self.upstreams.scratch = self.scratch
-        self.ids: set[bytes] = set()  # of the calls in the tables, and of attempts still out
+        self.ids: set[bytes] = set()  # of open requests, and of attempts in flight
         self.last_call = 0
 
     def listed(self) -> list[tuple[int, bool]]:
--- a/gladegw/net/upload.py
+++ b/gladegw/net/upload.py
@@ -18,10 +18,10 @@
     def __init__(self, length: int | None, chunks: list[bytes], on_progress: Callable[[], None]) -> None:
         self.length = length  # None: unknown until its end
         self.chunks = deque(chunks)
-        self.size = sum(map(len, chunks))  # bytes that have come
+        self.size = sum(map(len, chunks))  # bytes received
         self.on_progress = on_progress
         self.complete = False
-        self.released = False  # some bytes are no longer held
+        self.released = False  # some bytes are no longer retained
         self.on_release: Callable[[], None] | None = None
         self.reader: Callable[[], None] | None = None
 
--- a/gladegw/net/upstream/connections.py
+++ b/gladegw/net/upstream/connections.py
@@ -22,16 +22,12 @@
 
 log = logging.getLogger(__name__)
 
-MAX_HEAD_BYTES = 32 * 1024  # bytes of an answer's headers
+MAX_HEAD_BYTES = 32 * 1024  # of a response's headers
 IDLE_FRACTION = 0.9  # of the settings' idle time after which this side closes first
 SWEEP_INTERVAL_S = 1.0  # s between looks for idle connections
-MIN_REST_S = (
-    0.01  # s for which a connection is not used after an answer: a faulty backend may send a second one
-)
+MIN_REST_S = 0.01  # no reuse so soon after a response: a faulty backend may send a second one
 REFUSED_FOR_S = 5.0  # s after a refused connection in which connections are used without a rest
-FLUSH_TIMEOUT_S = (
-    0.05  # s after its head for which an answer of unknown length is held, so that it may be tried again
-)
+FLUSH_TIMEOUT_S = 0.05  # while a response of unknown length is buffered, so that it can be retried
 IDLE_SINCE = attrgetter("idle_since")
 # A connect that fails so has not left this machine: the backend is not at fault, and the next try may
 # succeed.
@@ -46,7 +42,7 @@
     )
 )
 CONNECT_RETRY_INTERVAL_S = 0.01  # s until it is tried again, within the time of a connect
-CHUNKED_BEGUN = -1  # stands for the length of an answer that tells none
+CHUNKED_BEGUN = -1  # the length of a response that declares none
 
 
 class LocalFaultError(Exception):
@@ -82,12 +78,12 @@
         self.headers: list[tuple[bytes, bytes]] = []
         self.body: list[bytes] = []
         self.size = self.head_size = 0
-        self.length: int | None = None  # of the answer's body; None: unknown until its end
-        self.until_close = False  # the answer's body ends with the connection
-        self.flush_at: asyncio.TimerHandle | None = None  # when a slow answer is passed on as far as it came
-        self.answer: tuple[Exchange, int, bytes, bool] | None = None  # whole, not handed on yet
+        self.length: int | None = None  # of the response body; None: unknown until its end
+        self.until_close = False  # the response body ends with the connection
+        self.flush_at: asyncio.TimerHandle | None = None  # when a slow response is streamed
+        self.answer: tuple[Exchange, int, bytes, bool] | None = None  # complete, not delivered yet
         self.broken = False
-        self.stopped = False  # the backend takes no more for now
+        self.stopped = False  # the backend does not read at present
         self.idle_since = 0.0
 
     # transport callbacks
@@ -134,7 +130,7 @@
         """Parse received bytes."""
         self.upstream.last_received_at = time.monotonic()
         if self.exchange is None:
-            self.abandon()  # nothing was asked: an answer to nobody
+            self.abandon()  # an unsolicited response
             return
         try:
             self.parser.feed_data(self.upstream.owner.scratch[:size])
@@ -234,7 +230,7 @@
         body, self.body = b"".join(self.body), []
         self.size, self.head_size, self.length = 0, 0, None
         if 100 <= code < 200 and code != 101:
-            self.headers = []  # an interim answer
+            self.headers = []  # an interim response
         elif self.exchange is not None:
             self.answer = self.exchange, code, body, keep_alive and code != 101
 
@@ -298,7 +294,7 @@
         exchange = self.exchange
         self.abandon()
         if exchange is not None:
-            # The backend did answer, so it is up: a reset would tell of a process that has died.
+            # The backend did respond, so it is up: a reset would indicate a process that has died.
             exchange.connection = None
             exchange.end(Status.ERROR)
 
@@ -392,7 +388,7 @@
         self.connect_timeout = connect_timeout
         self.idle_for = IDLE_FRACTION * conn_idle
         self.max_connections = max_connections
-        self.made = 0  # connections that are up
+        self.made = 0  # open connections
         self.scratch = memoryview(bytearray(MAX_BUFFERED_BYTES))  # into which all connections read
         self.by_id: dict[int, Upstream] = {}
         self.with_idle: set[Upstream] = set()  # a few of thousands
@@ -456,7 +452,7 @@
         if connection is not None:
             exchange.start_on(connection)
         elif self.open >= self.max_connections and not self._close_idlest():
-            exchange.end(Status.NOT_SENT)  # this proxy's own bound: no fault of the backend's
+            exchange.end(Status.NOT_SENT)  # this proxy's own limit: no fault of the backend
         else:
             task = self.loop.create_task(self._connect(exchange, upstream))
             self._connects.add(task)
--- a/gladegw/net/upstream/exchange.py
+++ b/gladegw/net/upstream/exchange.py
@@ -79,11 +79,11 @@
         self.sent = False  # some of the request has gone out
         self.request_complete = False  # all of it has
         self.upload: RequestBody | None = None  # the body that follows `request` while it comes
-        self.sink: Callable[[bytes], None] | None = None  # where the answer goes as it comes
+        self.sink: Callable[[bytes], None] | None = None  # receives a streamed response
         self.progressed_at = 0.0  # when bytes of a streamed message last moved
-        self.length: int | None = None  # of its answer's body, where that is told
+        self.length: int | None = None  # of the response body, if known
         self.forwarded_bytes = 0  # bytes of that body that have gone to the sink
-        self.paused = False  # the caller takes nothing for now
+        self.paused = False  # the client does not read at present
         self.connection: UpstreamConnection | None = None
         self.code = 0
         self.headers: list[tuple[bytes, bytes]] = []
@@ -130,7 +130,7 @@
             self._check_stream(now)
             return
         if now > self.due + TIMER_LAG_S:
-            # This process stood still, and timers come before sockets: the answer may have come long ago.
+            # The process was stalled and timers run before sockets: the response may already have arrived.
             self.due = math.inf
             self.timer = self.loop.call_later(ONE_LOOP_TURN_S, self._out_of_time)
             return
--- a/gladegw/net/wallclock.py
+++ b/gladegw/net/wallclock.py
@@ -4,7 +4,7 @@
 
 import time
 
-STEP = 0.02  # s by which the wall clock has to move against the monotonic one to count as stepped
+MIN_STEP_S = 0.02  # s by which the wall clock has to move against the monotonic one to count as stepped
 MAX_STEPS = 8  # that are remembered
 
 
@@ -24,10 +24,10 @@
         now = time.monotonic()
         self._check_step(now)
         readings = [since_ms / 1000 - offset for offset in self.offsets]
-        past = [reading for reading in readings if reading <= now + STEP]
+        past = [reading for reading in readings if reading <= now + MIN_STEP_S]
         return max(max(past, default=now), 1e-3)
 
     def _check_step(self, now: float) -> None:
         offset = time.time() - now
-        if all(abs(offset - known) > STEP for known in self.offsets):
+        if all(abs(offset - known) > MIN_STEP_S for known in self.offsets):
             self.offsets = [*self.offsets[-MAX_STEPS + 1 :], offset]
