--- a/gladegw/balancing/balancer.py
+++ b/gladegw/balancing/balancer.py
@@ -636,25 +636,33 @@
                     "tries": attempt_states(call),
                 }
                 self.observer(call.id, "pick", used | servers.pick_inputs(), server.id)
-            until = call.deadline if call.cls.counts_late else max(call.useful_until, now + CONTROL_STEP_S)
-            idle = servers.idle(server, now)
-            if idle > servers.trusted_idle and servers.connect_cost < EXPENSIVE_CONNECT_LATENCIES:
-                self.actions.append(CloseIdle(server.id))
-                idle, server.used_at = 0.0, -math.inf
-            opened = server.used_at < now - self.settings.conn_idle
-            attempt = self.lifecycle.send(call, server, now, until - now, load)
             del queue[position]
             call.queued = False
-            if attempt is None:
-                continue
-            self.in_flight[(call.id, attempt.number)] = attempt
-            attempt.connection_idle, attempt.new_connection, server.used_at = idle, opened, now
-            server.in_flight += 1
-            server.sent_since_report += 1
-            if servers.warmup_fraction(server, now) < 1:
-                server.warmup_tokens -= self.mean_call_equivalents(call)
-            self.window_in_use += 1
-            self.sends += 1
+            self.send_attempt(call, server, load)
+
+    def send_attempt(self, call: Call, server: Server, load: float) -> None:
+        """Send an attempt to a server with this estimated load, and account for it.
+
+        An untrusted idle connection is closed first, unless a new one is expensive.
+        """
+        now, servers = self.now, self.servers
+        until = call.deadline if call.cls.counts_late else max(call.useful_until, now + CONTROL_STEP_S)
+        idle = servers.idle(server, now)
+        if idle > servers.trusted_idle and servers.connect_cost < EXPENSIVE_CONNECT_LATENCIES:
+            self.actions.append(CloseIdle(server.id))
+            idle, server.used_at = 0.0, -math.inf
+        opened = server.used_at < now - self.settings.conn_idle
+        attempt = self.lifecycle.send(call, server, now, until - now, load)
+        if attempt is None:
+            return
+        self.in_flight[(call.id, attempt.number)] = attempt
+        attempt.connection_idle, attempt.new_connection, server.used_at = idle, opened, now
+        server.in_flight += 1
+        server.sent_since_report += 1
+        if servers.warmup_fraction(server, now) < 1:
+            server.warmup_tokens -= self.mean_call_equivalents(call)
+        self.window_in_use += 1
+        self.sends += 1
 
     def mean_call_equivalents(self, call: Call) -> float:
         """Return the call's expected work in calls of mean latency, the unit of slow-start budgets."""
