--- a/gladegw/control/policy_participant.py
+++ b/gladegw/control/policy_participant.py
@@ -136,7 +136,7 @@
         self._apply(*policy_commit.on_store_update(self.state, committed, opened, revision))
 
     def on_rejoin(self) -> None:
-        """Process a new registration after the lease was lost."""
+        """Process a registration under a new lease."""
         continue_serving = self.host.when_cut_off == SERVE
         self._apply(policy_commit.on_rejoin(self.state, continue_serving), (Action.DISCARD_PREPARED,))
 
