--- a/gladegw/net/admin.py
+++ b/gladegw/net/admin.py
@@ -54,7 +54,7 @@
             why = fault.strerror or fault
             raise ConfigError(f"bad configuration: admin_addr {at[0]}:{at[1]}: {why}") from None
         self.listener.setblocking(False)
-        self.callers: dict[int, CommandConnection] = {}  # by descriptor, the oldest first
+        self.connections: dict[int, CommandConnection] = {}  # by descriptor, the oldest first
         self.poll = select.poll()
         self.end, self.wake = os.pipe()
         self.accepting = True
@@ -95,9 +95,9 @@
                     if not self._accept(now):
                         self.accepting, resume = False, now + ACCEPT_RETRY_INTERVAL_S
                         self.poll.unregister(self.listener)
-                elif descriptor in self.callers:
+                elif descriptor in self.connections:
                     try:
-                        self._serve(self.callers[descriptor])
+                        self._serve(self.connections[descriptor])
                     except OSError:
                         self._drop(descriptor)
                     except Exception:
@@ -105,8 +105,8 @@
                         self._drop(descriptor)
             if now >= next_check:
                 next_check = now + SWEEP_INTERVAL_S
-                for descriptor, caller in list(self.callers.items()):
-                    if caller.accepted_at < now - CONNECTION_TIMEOUT_S:
+                for descriptor, connection in list(self.connections.items()):
+                    if connection.accepted_at < now - CONNECTION_TIMEOUT_S:
                         self._drop(descriptor)
 
     def _accept(self, now: float) -> bool:
@@ -115,44 +115,44 @@
         False if no descriptor is available, even after closing the oldest connection.
         """
         while True:
-            if len(self.callers) >= self.max_connections:
-                self._drop(next(iter(self.callers)))
+            if len(self.connections) >= self.max_connections:
+                self._drop(next(iter(self.connections)))
             try:
                 sock, _ = self.listener.accept()
             except BlockingIOError:
                 return True
             except OSError as fault:
-                if self.callers:
-                    self._drop(next(iter(self.callers)))
+                if self.connections:
+                    self._drop(next(iter(self.connections)))
                     continue
                 log.warning("an operators' connection could not be accepted: %s", fault)
                 return False
             sock.setblocking(False)
-            self.callers[sock.fileno()] = CommandConnection(sock, now)
+            self.connections[sock.fileno()] = CommandConnection(sock, now)
             self.poll.register(sock, select.POLLIN)
 
     def _drop(self, descriptor: int) -> None:
-        caller = self.callers.pop(descriptor)
+        connection = self.connections.pop(descriptor)
         self.poll.unregister(descriptor)
-        caller.sock.close()
+        connection.sock.close()
 
-    def _serve(self, caller: CommandConnection) -> None:
-        descriptor = caller.sock.fileno()
-        if caller.reply is None or caller.reply == b"":
-            data = caller.sock.recv(READ_BYTES)
-            if caller.reply is not None:  # after the response: closing with unread bytes could destroy it
+    def _serve(self, connection: CommandConnection) -> None:
+        descriptor = connection.sock.fileno()
+        if connection.reply is None or connection.reply == b"":
+            data = connection.sock.recv(READ_BYTES)
+            if connection.reply is not None:  # after the response: closing with unread bytes could destroy it
                 if not data:
                     self._drop(descriptor)
                 return
-            line = caller.line.feed(data) if data else caller.line.ended()
+            line = connection.line.feed(data) if data else connection.line.ended()
             if line is None:
                 if not data:
                     self._drop(descriptor)
                 return
-            caller.reply = self.handler.answer(line, caller.line.too_long)
+            connection.reply = self.handler.answer(line, connection.line.too_long)
             self.poll.modify(descriptor, select.POLLOUT)
         with contextlib.suppress(BlockingIOError):
-            caller.reply = caller.reply[caller.sock.send(caller.reply) :]
-        if not caller.reply:
-            caller.sock.shutdown(socket.SHUT_WR)
+            connection.reply = connection.reply[connection.sock.send(connection.reply) :]
+        if not connection.reply:
+            connection.sock.shutdown(socket.SHUT_WR)
             self.poll.modify(descriptor, select.POLLIN)
--- a/gladegw/net/driver.py
+++ b/gladegw/net/driver.py
@@ -204,7 +204,7 @@
         """A discovery call failed."""
         self._push(api.ServerList(api.ListKind.FAILED, failure=failure))
 
-    def discovery_moved(self) -> None:
+    def on_discovery_address_change(self) -> None:
         """A new configuration may contain another address of discovery."""
         self._push(api.ServerList(api.ListKind.ADDRESS_CHANGED))
 
--- a/gladegw/net/endpoint_lists.py
+++ b/gladegw/net/endpoint_lists.py
@@ -15,6 +15,10 @@
 STATES = {"Ready": ServerState.SERVING, "Terminating": ServerState.DRAINING, "Gone": ServerState.REMOVED}
 
 
+class EndpointListError(ValueError):
+    """An endpoint list is malformed."""
+
+
 class Entry(msgspec.Struct, frozen=True, gc=False):
     """A backend as encoded in a discovery response."""
 
@@ -61,18 +65,18 @@
 def decode(body: bytes) -> ListResponse:
     """Decode the body of a discovery response.
 
-    Raises ValueError if it is malformed.
+    Raises EndpointListError if it is malformed.
     """
     try:
         return _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
-        raise ValueError(f"malformed list: {fault}") from None
+        raise EndpointListError(f"malformed list: {fault}") from None
 
 
 def read_listing(raw: object) -> Listing:
     """Convert a list that was already parsed from JSON.
 
-    Raises ValueError if it is malformed.
+    Raises EndpointListError if it is malformed.
     """
     return EndpointInventory().adopt(raw)
 
@@ -85,13 +89,13 @@
 def listed(entry: Entry, started: float) -> ListedBackend:
     """Convert an entry; `started` is in seconds of the monotonic clock.
 
-    Raises ValueError if a value is invalid.
+    Raises EndpointListError, or ValueError for an invalid address.
     """
     if not (entry.weight - entry.weight == 0.0 and started - started == 0.0):
-        raise ValueError("malformed list: a figure is not finite")
+        raise EndpointListError("malformed list: a figure is not finite")
     state = STATES.get(entry.status)
     if state is None:
-        raise ValueError(f"malformed list: no status: {entry.status!r}")
+        raise EndpointListError(f"malformed list: no status: {entry.status!r}")
     server = ServerEntry(
         server=server_id(entry.name),
         zone=entry.zone or "",
@@ -163,10 +167,10 @@
     def adopt(self, raw: object) -> Listing:
         """Apply the list that a configuration holds.
 
-        Raises ValueError if it is malformed.
+        Raises EndpointListError if it is malformed.
         """
         try:
             answer: ListResponse = msgspec.convert(raw, ListResponse, strict=False)
         except msgspec.MsgspecError as fault:
-            raise ValueError(f"malformed list: {fault}") from None
+            raise EndpointListError(f"malformed list: {fault}") from None
         return self.apply(answer)
--- a/gladegw/net/routes.py
+++ b/gladegw/net/routes.py
@@ -129,7 +129,7 @@
             and not self.served[self.name].members.usable
         ):
             assert self.request.routed is not None
-            name = mirrored_copy(self.request.routed, self.served)
+            name = available_pool(self.request.routed, self.served)
             if name is not None and name != self.name:
                 self.migrations += 1
                 self.open(name)
@@ -153,7 +153,7 @@
         self.reply.abort()
 
 
-def mirrored_copy(routed: RoutedRequest, served: Mapping[str, ServedPool]) -> str | None:
+def available_pool(routed: RoutedRequest, served: Mapping[str, ServedPool]) -> str | None:
     """The first pool of the route and its fallbacks that has a usable member; None if there is none."""
     pools = {name: one.pool for name, one in served.items()}
     return standing_in(
@@ -378,10 +378,10 @@
         for one in self._every():
             one.driver.list_failed(failure)
 
-    def discovery_moved(self) -> None:
+    def on_discovery_address_change(self) -> None:
         """A new configuration may contain another address of discovery."""
         for one in self._every():
-            one.driver.discovery_moved()
+            one.driver.on_discovery_address_change()
 
     def _every(self) -> list[ServedPool]:
         found = {id(one): one for one in (*self.now.served.values(), *self.retired)}
@@ -511,7 +511,7 @@
         routed = request.routed
         assert routed is not None
         served: dict[str, ServedPool] = routed.table
-        name = mirrored_copy(routed, served)
+        name = available_pool(routed, served)
         self.division.arrived(request.tenant, name or routed.pool)
         if name is None:
             advice = (
--- a/gladegw/net/serve.py
+++ b/gladegw/net/serve.py
@@ -55,7 +55,7 @@
     A file that cannot be read is retried for a while, since it may be half written when the signal arrives.
     If it remains invalid, nothing changes.
     """
-    driver.discovery_moved()
+    driver.on_discovery_address_change()
     driver.discovery.address_changing = True
     try:
         for _ in range(MAX_REREADS):
