--- a/benchmarks/stamps.py
+++ b/benchmarks/stamps.py
@@ -63,12 +63,12 @@
 
     figures = {
         "route alone": microseconds(
-            lambda: bare.route_by("table", b"GET", b"/status/1", HEADERS, 2.0, source)),
+            lambda: bare.route_by("table", b"GET", b"/status/1", HEADERS, 2.0, source)
+        ),
         "gate, no stamps": microseconds(lambda: plain(b"GET", b"/status/1", HEADERS, 2.0, source)),
         "gate, stamp written": microseconds(lambda: both(b"GET", b"/status/1", HEADERS, 2.0, source)),
-        "gate, stamp read and written": microseconds(
-            lambda: both(b"GET", b"/status/1", told, 2.0, source)),
-    }  # fmt: skip
+        "gate, stamp read and written": microseconds(lambda: both(b"GET", b"/status/1", told, 2.0, source)),
+    }
     if "--json" in sys.argv:
         print(json.dumps(figures))
         return
--- a/gladegw/apps/check.py
+++ b/gladegw/apps/check.py
@@ -135,8 +135,10 @@
         longest = max((route.timeout_ms for route in own), default=0.0)
         for route in claimed[called.name].get(cls, ()):
             if longest and route.timeout_ms > longest:
-                what = (f"route {route} waits {route.timeout_ms:g} ms; {app.name}, which calls it, is given "
-                        f"{longest:g} ms for {cls}")  # fmt: skip
+                what = (
+                    f"route {route} waits {route.timeout_ms:g} ms; {app.name}, which calls it, is given "
+                    f"{longest:g} ms for {cls}"
+                )
                 findings.append(Finding("R303", route.place, what, own[0].place))
 
 
@@ -144,9 +146,12 @@
 
 
 def _most(
-    name: str, cls: str, landscape: Landscape, claimed: dict[str, dict[str, list[Route]]],
+    name: str,
+    cls: str,
+    landscape: Landscape,
+    claimed: dict[str, dict[str, list[Route]]],
     worst: dict[str, Chain],
-) -> Chain:  # fmt: skip
+) -> Chain:
     """The dearest chain of calls that begins at an application."""
     if name not in worst:
         best: Chain = (1, (name,))
--- a/gladegw/apps/sarif.py
+++ b/gladegw/apps/sarif.py
@@ -20,14 +20,17 @@
     for found in findings:
         text = f"{found.message}; {found.hint}" if found.hint else found.message
         result: dict[str, Any] = {
-            "ruleId": found.code, "level": "error", "message": {"text": text},
+            "ruleId": found.code,
+            "level": "error",
+            "message": {"text": text},
             "locations": [_location(found.place)],
-        }  # fmt: skip
+        }
         if found.other is not None:
             result["relatedLocations"] = [_location(found.other)]
         results.append(result)
     rules = [{"id": code, "shortDescription": {"text": text}} for code, text in CODES.items()]
     return {
-        "$schema": SCHEMA, "version": "2.1.0",
+        "$schema": SCHEMA,
+        "version": "2.1.0",
         "runs": [{"tool": {"driver": {"name": "gladegw", "rules": rules}}, "results": results}],
-    }  # fmt: skip
+    }
--- a/gladegw/apps/sidecar.py
+++ b/gladegw/apps/sidecar.py
@@ -149,8 +149,11 @@
         values[name.lower()] = value
     budget = float(values.pop("budget_ms", "1000"))
     source = values.pop("source", "")
-    raw = [(name.encode("latin-1", "replace"), value.encode("latin-1", "replace"))
-           for name, value in values.items() if name != "host"]  # fmt: skip
+    raw = [
+        (name.encode("latin-1", "replace"), value.encode("latin-1", "replace"))
+        for name, value in values.items()
+        if name != "host"
+    ]
     return Ask(
         parts[0].upper(), parts[1], values.get("host", ""), raw, budget, values.get("x-caller", ""), source
     )
--- a/gladegw/balancing/balancer.py
+++ b/gladegw/balancing/balancer.py
@@ -641,8 +641,15 @@
         for call in self.queue:
             verdict = self.holds(call, len(kept), wait)
             if self.observer is not None and (verdict != HELD or call.place is None):
-                used = {"at": self.now, "mean": call.cls.mean.value, "place": len(kept), "before": call.place,
-                        "wait": wait, "asked_until": call.asked_until, "tries": tries(call)}  # fmt: skip
+                used = {
+                    "at": self.now,
+                    "mean": call.cls.mean.value,
+                    "place": len(kept),
+                    "before": call.place,
+                    "wait": wait,
+                    "asked_until": call.asked_until,
+                    "tries": tries(call),
+                }
                 self.observer(call.id, "hold", used, verdict)
             if verdict == HELD:
                 call.place = len(kept)
--- a/gladegw/balancing/server_selection.py
+++ b/gladegw/balancing/server_selection.py
@@ -31,10 +31,23 @@
 
 # What the pick uses of a server beside what the list says of it, and what stands for nothing known.
 USED_OF_SERVER: dict[str, float] = {
-    "out": 0, "since": 0, "usual": 0.0, "last_report": 0.0, "reported_at": -math.inf, "latency_sum": 0.0,
-    "load_sum": 0.0, "used_at": -math.inf, "ramp_from": 0.0, "tokens": 0.0, "ejected_until": 0.0,
-    "trial": False, "most_out": 0, "most_out_until": 0.0, "drawn": 0.0, "withheld": False,
-}  # fmt: skip
+    "out": 0,
+    "since": 0,
+    "usual": 0.0,
+    "last_report": 0.0,
+    "reported_at": -math.inf,
+    "latency_sum": 0.0,
+    "load_sum": 0.0,
+    "used_at": -math.inf,
+    "ramp_from": 0.0,
+    "tokens": 0.0,
+    "ejected_until": 0.0,
+    "trial": False,
+    "most_out": 0,
+    "most_out_until": 0.0,
+    "drawn": 0.0,
+    "withheld": False,
+}
 
 
 class Server:
@@ -257,10 +270,14 @@
             for server in self.pool
         }
         return {
-            "unit": self.unit, "mean_load": self.mean_load.value, "idle_safe": self.idle_safe,
-            "on_new": self.on_new.value, "on_open": self.on_open.value,
-            "zones": {zone: load.value for zone, load in self.zone_load.items()}, "servers": pool,
-        }  # fmt: skip
+            "unit": self.unit,
+            "mean_load": self.mean_load.value,
+            "idle_safe": self.idle_safe,
+            "on_new": self.on_new.value,
+            "on_open": self.on_open.value,
+            "zones": {zone: load.value for zone, load in self.zone_load.items()},
+            "servers": pool,
+        }
 
     # connections
     def idle(self, server: Server, now: float) -> float:
--- a/gladegw/cli/apps.py
+++ b/gladegw/cli/apps.py
@@ -43,9 +43,14 @@
 def as_object(found: Finding) -> dict[str, Any]:
     other = None if found.other is None else {"file": found.other.file, "line": found.other.line}
     return {
-        "code": found.code, "file": found.place.file, "line": found.place.line,
-        "column": found.place.column, "message": found.message, "other": other, "hint": found.hint,
-    }  # fmt: skip
+        "code": found.code,
+        "file": found.place.file,
+        "line": found.place.line,
+        "column": found.place.column,
+        "message": found.message,
+        "other": other,
+        "hint": found.hint,
+    }
 
 
 @click.group()
@@ -109,10 +114,17 @@
         change = difference(name, sidecar(then, before), sidecar(now, after))
         if change:
             moved = [{"request": one, "from": was, "to": goes} for one, was, goes in change.moved]
-            found.append({
-                "app": name, "sidecar": "changed", "added": change.added, "removed": change.removed,
-                "changed": change.changed, "moved": moved, "complete": change.complete,
-            })  # fmt: skip
+            found.append(
+                {
+                    "app": name,
+                    "sidecar": "changed",
+                    "added": change.added,
+                    "removed": change.removed,
+                    "changed": change.changed,
+                    "moved": moved,
+                    "complete": change.complete,
+                }
+            )
     if as_json:
         show_json({"sidecars": found})
     else:
@@ -144,8 +156,10 @@
         raise click.ClickException(f"{request!r}: {fault}") from None
     found = explain(sidecar(described, landscape), ask)
     if as_json:
-        others = [{"route": name, "file": file, "line": line, "reasons": why}
-                  for name, file, line, why in found.why_not]  # fmt: skip
+        others = [
+            {"route": name, "file": file, "line": line, "reasons": why}
+            for name, file, line, why in found.why_not
+        ]
         show_json({"route": found.route, "outcome": found.outcome, "others": others})
         return
     click.echo(found.outcome)
--- a/gladegw/cli/demo.py
+++ b/gladegw/cli/demo.py
@@ -68,10 +68,18 @@
             if most:
                 used.append(f"behind {others:4.0%} {most:.0f} MB")
             faults = ", ".join(kind for kind, begin, end in bands(self.scenario) if begin <= at <= end)
-            self.rows.append((
-                f"{at:.0f}", str(now["sent"] - self.before["sent"]), str(good), str(ended - good),
-                str(now["open"]), f"{served:.1%}", "  ".join(used), faults,
-            ))  # fmt: skip
+            self.rows.append(
+                (
+                    f"{at:.0f}",
+                    str(now["sent"] - self.before["sent"]),
+                    str(good),
+                    str(ended - good),
+                    str(now["open"]),
+                    f"{served:.1%}",
+                    "  ".join(used),
+                    faults,
+                )
+            )
         self.before = now
         return self.table(self.rows[-14:])
 
@@ -88,10 +96,14 @@
 def summary(loaded: Loaded, verdict: Verdict) -> dict[str, Any]:
     figures = loaded.figures()
     return {
-        "broken_rules": verdict.broken_rules, "served_worth": round(verdict.served_worth, 4),
-        "requests": verdict.requests, "tries": verdict.tries, "valid": figures["valid"],
-        "codes": figures["codes"], "latency_ms": figures["latency_ms"],
-    }  # fmt: skip
+        "broken_rules": verdict.broken_rules,
+        "served_worth": round(verdict.served_worth, 4),
+        "requests": verdict.requests,
+        "tries": verdict.tries,
+        "valid": figures["valid"],
+        "codes": figures["codes"],
+        "latency_ms": figures["latency_ms"],
+    }
 
 
 @click.command()
--- a/gladegw/cli/experiment.py
+++ b/gladegw/cli/experiment.py
@@ -42,8 +42,10 @@
                 f"p99 {part['added_p99_ms']:.2f} ms; CPU {part['cpu_us']:.0f} us a request"
             )
         held = result["held"]
-        lines.append(f"  with {held['connections']} connections: {held['memory_mb']:.1f} MB, "
-                     f"{held['descriptors']} descriptors")  # fmt: skip
+        lines.append(
+            f"  with {held['connections']} connections: {held['memory_mb']:.1f} MB, "
+            f"{held['descriptors']} descriptors"
+        )
         for one in result["schedule"]:
             late = one["lateness_ms"]
             lines.append(
@@ -66,9 +68,13 @@
     made = load(Path(file))
     where = Path(folder or f"{Path(file).stem}-results")
     bar = Progress(
-        TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn(),
-        console=Console(stderr=True), disable=not sys.stderr.isatty(),
-    )  # fmt: skip
+        TextColumn("{task.description}"),
+        BarColumn(),
+        MofNCompleteColumn(),
+        TimeElapsedColumn(),
+        console=Console(stderr=True),
+        disable=not sys.stderr.isatty(),
+    )
     with bar:
         task = bar.add_task("", total=None)
         results = run_async(
--- a/gladegw/cli/load.py
+++ b/gladegw/cli/load.py
@@ -119,19 +119,36 @@
     if how["mix"]:
         deployment = scenario.read(how["mix"])
         mix = play.mix_of(deployment)
-        shape = Shape(rate=shape.rate, duration=shape.duration, shape=shape.shape, low=shape.low,
-                      surges=(*surges, *schedule.surges(deployment)))  # fmt: skip
+        shape = Shape(
+            rate=shape.rate,
+            duration=shape.duration,
+            shape=shape.shape,
+            low=shape.low,
+            surges=(*surges, *schedule.surges(deployment)),
+        )
     if how["trace"] and not Path(how["trace"]).is_file():
         raise RigError(f"{how['trace']}: no such file")
     plan = Plan(
-        target=targets, names=tuple(targets), mix=mix, shape=shape, process=how["arrivals"], seed=how["seed"],
-        connections=how["connections"], plain=not how["mix"], trace=how["trace"] or "",
+        target=targets,
+        names=tuple(targets),
+        mix=mix,
+        shape=shape,
+        process=how["arrivals"],
+        seed=how["seed"],
+        connections=how["connections"],
+        plain=not how["mix"],
+        trace=how["trace"] or "",
         trace_options=Options(
-            format=how["form"], bad_lines=how["bad_lines"], late=how["late"], speed=how["speed"],
-            begin=begin, end=end, longest_gap=how["longest_gap"],
+            format=how["form"],
+            bad_lines=how["bad_lines"],
+            late=how["late"],
+            speed=how["speed"],
+            begin=begin,
+            end=end,
+            longest_gap=how["longest_gap"],
         ),
         prefix=f"{how['seed']:x}-{time.time_ns():x}-",
-    )  # fmt: skip
+    )
     bar = sys.stderr.isatty() and not how["as_json"]
 
     def progress(now: dict[str, Any]) -> None:
--- a/gladegw/cli/policy.py
+++ b/gladegw/cli/policy.py
@@ -87,9 +87,15 @@
 
 
 def put_to_vote(
-    ctx: click.Context, file: str | None, files: dict[str, str] | None, digest: str, wait: bool, why: str,
-    dry: bool, as_json: bool,
-) -> None:  # fmt: skip
+    ctx: click.Context,
+    file: str | None,
+    files: dict[str, str] | None,
+    digest: str,
+    wait: bool,
+    why: str,
+    dry: bool,
+    as_json: bool,
+) -> None:
     _, found = settings_of(ctx, file)
     assert found.policy is not None
     deadline, everyone = found.policy.deadline_s, found.policy.when_cut_off == "serve"
@@ -279,15 +285,23 @@
         raise ConfigError(str(fault)) from None
     found = []
     for name in sorted(before.keys() | after.keys()):
-        then, now = (read_text(files[name], name, ("expect",)) if name in files else Description()
-                     for files in (before, after))  # fmt: skip
+        then, now = (
+            read_text(files[name], name, ("expect",)) if name in files else Description()
+            for files in (before, after)
+        )
         change = difference(name, then, now)
         if change:
             moved = [{"request": one, "from": was, "to": goes} for one, was, goes in change.moved]
-            found.append({
-                "file": name, "added": change.added, "removed": change.removed, "changed": change.changed,
-                "moved": moved, "complete": change.complete,
-            })  # fmt: skip
+            found.append(
+                {
+                    "file": name,
+                    "added": change.added,
+                    "removed": change.removed,
+                    "changed": change.changed,
+                    "moved": moved,
+                    "complete": change.complete,
+                }
+            )
     if as_json:
         show_json({"files": found})
     else:
--- a/gladegw/cli/rollout.py
+++ b/gladegw/cli/rollout.py
@@ -219,15 +219,32 @@
 
     found = asked(ctx, file, look)
     if as_json:
-        return show_json({"history": [
-            {"id": one.id, "state": one.phase, "stage": one.stage + 1, "stages": len(one.stages) + 1,
-             "verdict": one.reason, "old": one.old, "new": one.new, "who": one.who, "why": one.why,
-             "at": one.at, "lasted_s": round(one.ended_at - one.at, 1)} for one in found
-        ]})  # fmt: skip
+        return show_json(
+            {
+                "history": [
+                    {
+                        "id": one.id,
+                        "state": one.phase,
+                        "stage": one.stage + 1,
+                        "stages": len(one.stages) + 1,
+                        "verdict": one.reason,
+                        "old": one.old,
+                        "new": one.new,
+                        "who": one.who,
+                        "why": one.why,
+                        "at": one.at,
+                        "lasted_s": round(one.ended_at - one.at, 1),
+                    }
+                    for one in found
+                ]
+            }
+        )
     for one in found:
         at = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(one.at))
-        click.echo(f"{one.id} {at} {one.phase:<8} stage {one.stage + 1} of {len(one.stages) + 1} "
-                   f"{one.reason}".rstrip())  # fmt: skip
+        click.echo(
+            f"{one.id} {at} {one.phase:<8} stage {one.stage + 1} of {len(one.stages) + 1} "
+            f"{one.reason}".rstrip()
+        )
 
 
 @rollout.command("page")
--- a/gladegw/cli/routes.py
+++ b/gladegw/cli/routes.py
@@ -25,8 +25,12 @@
 def plain_table(documents: list[Document], findings: list[Finding]) -> tuple[Result, dict[str, Place], int]:
     """Files that hold routes themselves: one table, and the expectations beside it."""
     description = describe(documents, findings, ("expect",))
-    expects = [read_expect(block, findings) for document in documents for block in document.blocks
-               if block.name == "expect"]  # fmt: skip
+    expects = [
+        read_expect(block, findings)
+        for document in documents
+        for block in document.blocks
+        if block.name == "expect"
+    ]
     if findings:
         raise RoutingError(findings)
     places = {str(route): route.place for route in description.routes}
@@ -73,10 +77,16 @@
     result, places, count = by_sidecar(folder, []) if described else plain_table(documents, findings)
     untouched = sorted(places.keys() - result.touched)
     failed: list[dict[str, Any]] = [
-        {"expectation": one.expectation, "file": one.place.file, "line": one.place.line,
-         "expected": one.expected, "got": one.got, "impossible": one.impossible}
+        {
+            "expectation": one.expectation,
+            "file": one.place.file,
+            "line": one.place.line,
+            "expected": one.expected,
+            "got": one.got,
+            "impossible": one.impossible,
+        }
         for one in result.failures
-    ]  # fmt: skip
+    ]
     if as_json:
         told: dict[str, Any] = {"failed": failed}
         if coverage:
@@ -86,8 +96,10 @@
         show_json(told)
     else:
         for one in failed:
-            click.echo(f"{one['file']}:{one['line']}: {one['expectation']}: expected {one['expected']}; "
-                       f"got: {one['got']}")  # fmt: skip
+            click.echo(
+                f"{one['file']}:{one['line']}: {one['expectation']}: expected {one['expected']}; "
+                f"got: {one['got']}"
+            )
         if coverage:
             for name in untouched:
                 click.echo(f"{places[name].file}:{places[name].line}: no expectation touches route {name}")
--- a/gladegw/cli/serving.py
+++ b/gladegw/cli/serving.py
@@ -50,13 +50,20 @@
     names = [name for name in features.BLOCKS if getattr(on, name) is not None]
     settings = found.settings
     told = {
-        "name": found.name, "listen": "{}:{}".format(*found.listen), "sockets": found.sockets,
-        "classes": [cls.name for cls in settings.classes], "tenants": len(settings.tenants),
-        "tier": settings.stage, "known": len(found.known.get("endpoints", ())), "features": names,
-    }  # fmt: skip
+        "name": found.name,
+        "listen": "{}:{}".format(*found.listen),
+        "sockets": found.sockets,
+        "classes": [cls.name for cls in settings.classes],
+        "tenants": len(settings.tenants),
+        "tier": settings.stage,
+        "known": len(found.known.get("endpoints", ())),
+        "features": names,
+    }
     if as_json:
         show_json(told)
     else:
-        click.echo(f"ok: {told['name']} listens at {told['listen']}, tier {told['tier']}, "
-                   f"{len(settings.classes)} classes, {told['known']} known backends, "
-                   f"features: {', '.join(names) or 'none'}")  # fmt: skip
+        click.echo(
+            f"ok: {told['name']} listens at {told['listen']}, tier {told['tier']}, "
+            f"{len(settings.classes)} classes, {told['known']} known backends, "
+            f"features: {', '.join(names) or 'none'}"
+        )
--- a/gladegw/cli/simulate.py
+++ b/gladegw/cli/simulate.py
@@ -16,9 +16,11 @@
 
 def shown(one: Simulated) -> None:
     wrong = one.broken + [f"in the end: {what}" for what in one.missing]
-    click.echo(f"seed {one.seed}: {one.seconds:.0f} s, {sum(one.faults.values())} faults, changes "
-               f"{one.changes}, rollouts {one.rollouts}, {one.begins} begins: "
-               f"{'whole' if not wrong else 'BROKEN'}")  # fmt: skip
+    click.echo(
+        f"seed {one.seed}: {one.seconds:.0f} s, {sum(one.faults.values())} faults, changes "
+        f"{one.changes}, rollouts {one.rollouts}, {one.begins} begins: "
+        f"{'whole' if not wrong else 'BROKEN'}"
+    )
     for line in (*one.told, *wrong) if wrong else ():
         click.echo(f"  {line}")
 
@@ -27,18 +29,31 @@
 @click.option("--seeds", type=click.IntRange(1, 1_000_000), default=10, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True, help="The first one.")
 @click.option("--members", type=click.IntRange(2, 50), default=5, show_default=True)
-@click.option("--for", "lasts", type=click.FloatRange(1, 100_000), default=120.0, show_default=True,
-              help="Simulated s of faults.")  # fmt: skip
+@click.option(
+    "--for",
+    "lasts",
+    type=click.FloatRange(1, 100_000),
+    default=120.0,
+    show_default=True,
+    help="Simulated s of faults.",
+)
 @click.option("--when-cut-off", type=click.Choice(["serve", "refuse"]), default="serve", show_default=True)
 @click.option("--planted", metavar="NAME", default="", help="A defect to be found; `list` names them.")
-@click.option("--at-once", type=click.IntRange(1, 256), default=os.cpu_count() or 1,
-              show_default="one a core")  # fmt: skip
+@click.option(
+    "--at-once", type=click.IntRange(1, 256), default=os.cpu_count() or 1, show_default="one a core"
+)
 @click.option("--json", "as_json", is_flag=True, help="Print one object.")
 @mendable
 def simulate(
-    seeds: int, seed: int, members: int, lasts: float, when_cut_off: str, planted: str, at_once: int,
+    seeds: int,
+    seed: int,
+    members: int,
+    lasts: float,
+    when_cut_off: str,
+    planted: str,
+    at_once: int,
     as_json: bool,
-) -> None:  # fmt: skip
+) -> None:
     """Live through changes, rollouts and faults on a clock that jumps; a seed is a course."""
     from gladegw.rig.simulate.parallel_runs import Asked, courses
     from gladegw.rig.simulate.seeded_defects import DEFECTS
@@ -52,8 +67,10 @@
     found: list[Simulated] = []
 
     async def play() -> None:
-        asked = (Asked(seed=number, members=members, lasts=lasts, when_cut_off=when_cut_off, planted=planted)
-                 for number in range(seed, seed + seeds))  # fmt: skip
+        asked = (
+            Asked(seed=number, members=members, lasts=lasts, when_cut_off=when_cut_off, planted=planted)
+            for number in range(seed, seed + seeds)
+        )
         async for one in courses(asked, at_once):
             found.append(one)
             if not as_json:
@@ -61,8 +78,13 @@
 
     run_async(play())
     if as_json:
-        show_json({"members": members, "when_cut_off": when_cut_off,
-                   "runs": [msgspec.to_builtins(one) for one in found]})  # fmt: skip
+        show_json(
+            {
+                "members": members,
+                "when_cut_off": when_cut_off,
+                "runs": [msgspec.to_builtins(one) for one in found],
+            }
+        )
     if any(one.broken or one.missing for one in found):
         raise SystemExit(1)
 
@@ -84,24 +106,32 @@
     if as_json:
         return show_json({"proxies": proxies, "ttl_s": ttl, "rows": rows})
     for row in rows:
-        click.echo("{when_cut_off:<7} away {away_s:g} s: {refused} of {answers} refused, from {first_s} s on "
-                   "until {last_after_s} s after its return".format(**row))  # fmt: skip
+        click.echo(
+            "{when_cut_off:<7} away {away_s:g} s: {refused} of {answers} refused, from {first_s} s on "
+            "until {last_after_s} s after its return".format(**row)
+        )
 
 
 def simulated_outages(aways: tuple[float, ...], as_json: bool) -> None:
     """Exit code 1 where something broke, or is not whole afterwards."""
     from gladegw.rig.simulate.outages import PHASES, Asked, measure
 
-    wanted = [Asked(when_cut_off=mode, away=away, phase=phase)
-              for away in aways for mode in ("serve", "refuse") for phase in PHASES]  # fmt: skip
+    wanted = [
+        Asked(when_cut_off=mode, away=away, phase=phase)
+        for away in aways
+        for mode in ("serve", "refuse")
+        for phase in PHASES
+    ]
     found = run_async(measure(wanted, os.cpu_count() or 1))
     if as_json:
         show_json({"rows": [msgspec.to_builtins(one) for one in found]})
     else:
         for one in found:
-            click.echo(f"{one.when_cut_off:<7} away {one.away:g} s, {one.phase}: {100 * one.served:.1f}% "
-                       f"of the time served, all again {max(0.0, one.last):.2f} s after its return"
-                       f"{'; the change is ' + one.outcome if one.outcome else ''}")  # fmt: skip
+            click.echo(
+                f"{one.when_cut_off:<7} away {one.away:g} s, {one.phase}: {100 * one.served:.1f}% "
+                f"of the time served, all again {max(0.0, one.last):.2f} s after its return"
+                f"{'; the change is ' + one.outcome if one.outcome else ''}"
+            )
             for what in one.wrong:
                 click.echo(f"  {what}")
     if any(one.wrong for one in found):
@@ -118,8 +148,10 @@
         show_json({"rows": [msgspec.to_builtins(one) for one in found]})
     else:
         for one in found:
-            click.echo(f"{one.members} members, {'bad' if one.bad else 'good'}: {one.state}, all by one "
-                       f"bundle after {one.seconds:g} s, {one.baked:g} of them baked; {one.messages} messages"
-                       f"{'; ' if one.wrong else ''}{'; '.join(one.wrong)}")  # fmt: skip
+            click.echo(
+                f"{one.members} members, {'bad' if one.bad else 'good'}: {one.state}, all by one "
+                f"bundle after {one.seconds:g} s, {one.baked:g} of them baked; {one.messages} messages"
+                f"{'; ' if one.wrong else ''}{'; '.join(one.wrong)}"
+            )
     if any(one.wrong or one.state != ("back" if one.bad else "done") for one in found):
         raise SystemExit(1)
--- a/gladegw/cli/soak.py
+++ b/gladegw/cli/soak.py
@@ -35,9 +35,7 @@
 @click.option("--harm", default="", help="A harm of rig/bad.py that the proxy does, to try the judge.")
 @click.option("--json", "as_json", is_flag=True, help="Print one object.")
 @mendable
-def soak(
-    seed: int, seeds: int, servers: int | None, at_once: int, harm: str, as_json: bool
-) -> None:  # fmt: skip
+def soak(seed: int, seeds: int, servers: int | None, at_once: int, harm: str, as_json: bool) -> None:
     """Play days of failing calls, stepped clocks, crowded discovery, drains and signals; a seed is a day."""
     from gladegw.rig import soak as days
     from gladegw.rig.faulty_versions import HARMS
--- a/gladegw/cli/supervise.py
+++ b/gladegw/cli/supervise.py
@@ -23,7 +23,7 @@
 @mendable
 def supervise(
     ctx: click.Context, settings: str, file: str | None, check: bool, status: bool, as_json: bool
-) -> None:  # fmt: skip
+) -> None:
     """Start the proxy that EDGE_CONFIG configures, watch it, and replace it side by side.
 
     The version is that of SETTINGS until the store has a word on it (with -f and its block `coordination`),
@@ -39,8 +39,11 @@
     config = load(os.environ)
     named = file or ctx.obj
     coordination = features.read(named).coordination if named else None
-    told: dict[str, object] = {"name": config.name, "version": found.version,
-                               "programs": sorted(found.programs)}  # fmt: skip
+    told: dict[str, object] = {
+        "name": config.name,
+        "version": found.version,
+        "programs": sorted(found.programs),
+    }
     if status:
         try:
             raw = run.state_file(found, config.name).read_bytes()
@@ -48,10 +51,17 @@
         except (OSError, msgspec.MsgspecError) as fault:
             raise ConfigError(f"{run.state_file(found, config.name)}: {fault}") from None
         state = kept.supervision
-        told |= {"version": state.current, "state": state.phase.value, "wanted": state.wanted,
-                 "coming": state.coming, "refused": sorted(state.refused), "reason": state.reason,
-                 "restarts": state.restarts, "alone": kept.order.alone,
-                 "pids": {slot: one.pid for slot, one in kept.processes.items()}}  # fmt: skip
+        told |= {
+            "version": state.current,
+            "state": state.phase.value,
+            "wanted": state.wanted,
+            "coming": state.coming,
+            "refused": sorted(state.refused),
+            "reason": state.reason,
+            "restarts": state.restarts,
+            "alone": kept.order.alone,
+            "pids": {slot: one.pid for slot, one in kept.processes.items()},
+        }
     if check or status:
         if as_json:
             return show_json(told)
@@ -60,7 +70,12 @@
     if coordination is not None:
         from gladegw.control.member import Options
 
-        options = Options(coordination.addresses, coordination.prefix, coordination.ttl_s,
-                          coordination.timeout_ms / 1000, coordination.token_file)  # fmt: skip
+        options = Options(
+            coordination.addresses,
+            coordination.prefix,
+            coordination.ttl_s,
+            coordination.timeout_ms / 1000,
+            coordination.token_file,
+        )
     logging.basicConfig(stream=sys.stderr, format="%(levelname)s %(name)s: %(message)s")
     run.supervise(settings, config, options)
--- a/gladegw/control/duties/fleet_summary.py
+++ b/gladegw/control/duties/fleet_summary.py
@@ -12,8 +12,10 @@
 
 def unserved(figures: dict[str, int]) -> float:
     """Share of the requests that ended and were not served; 0 where none ended."""
-    ended = {end: sum(value for name, value in figures.items() if name.endswith("." + end))
-             for end in ("passed", "dropped", "bad_gateway")}  # fmt: skip
+    ended = {
+        end: sum(value for name, value in figures.items() if name.endswith("." + end))
+        for end in ("passed", "dropped", "bad_gateway")
+    }
     total = sum(ended.values())
     return 1 - ended["passed"] / total if total else 0.0
 
@@ -25,8 +27,10 @@
     for name in members:
         for figure, value in told[name].figures.items() if name in told else ():
             totals[figure] = totals.get(figure, 0) + value
-    ranked = sorted(((name, round(unserved(told[name].figures), 4)) for name in members if name in told),
-                    key=lambda entry: (-entry[1], entry[0]))  # fmt: skip
+    ranked = sorted(
+        ((name, round(unserved(told[name].figures), 4)) for name in members if name in told),
+        key=lambda entry: (-entry[1], entry[0]),
+    )
     worst = tuple(entry for entry in ranked[:WORST] if entry[1] > 0)
     silent = tuple(name for name in members if name not in told)
     return Fleet(token=token, members=len(members), totals=totals, worst=worst, silent=silent)
--- a/gladegw/control/duties/policy_coordinator.py
+++ b/gladegw/control/duties/policy_coordinator.py
@@ -50,9 +50,14 @@
     cast = common(votes(view), change)
     opened = policy_commit.Open(id, change.epoch, change.digest)
     found = policy_commit.verdict(
-        opened, policy_commit.Force(force.epoch, force.digest), change.members, registered(view), cast,
-        signed_off, unreached,
-    )  # fmt: skip
+        opened,
+        policy_commit.Force(force.epoch, force.digest),
+        change.members,
+        registered(view),
+        cast,
+        signed_off,
+        unreached,
+    )
     return found, cast
 
 
@@ -60,8 +65,9 @@
     """The votes on this change, for its record and for people."""
     return {
         who: {"vote": "yes" if vote.yes else "no", "reason": vote.reason}
-        for who, vote in cast.items() if vote.change == change
-    }  # fmt: skip
+        for who, vote in cast.items()
+        if vote.change == change
+    }
 
 
 class Decide(Work):
@@ -92,15 +98,29 @@
         yes = found.outcome is Outcome.YES and not change.dry
         reason = found.reason or ("a dry run: all would go over" if change.dry else "")
         ended = Ended(
-            id=change.id, epoch=change.epoch, digest=change.digest, reason=reason, at=now,
-            votes=told(cast, kv.create_revision), who=change.who, why=change.why,
+            id=change.id,
+            epoch=change.epoch,
+            digest=change.digest,
+            reason=reason,
+            at=now,
+            votes=told(cast, kv.create_revision),
+            who=change.who,
+            why=change.why,
             outcome="everywhere" if yes else "nowhere",
-        )  # fmt: skip
+        )
         done: list[Operation] = [Delete(at.change), Put(at.ended(change.id), encode(ended))]
         if yes:
-            new = InForce(epoch=change.epoch, digest=change.digest, who=change.who, why=change.why, at=now,
-                          new=change.new, named=change.named, rollout=change.rollout,
-                          confirm_s=change.confirm_s)  # fmt: skip
+            new = InForce(
+                epoch=change.epoch,
+                digest=change.digest,
+                who=change.who,
+                why=change.why,
+                at=now,
+                new=change.new,
+                named=change.named,
+                rollout=change.rollout,
+                confirm_s=change.confirm_s,
+            )
             done += [Put(at.force, encode(new)), Put(at.history(change.epoch), encode(new))]
             if change.epoch > HISTORY:
                 done.append(Delete(at.history(change.epoch - HISTORY)))
--- a/gladegw/control/duties/rollout_controller.py
+++ b/gladegw/control/duties/rollout_controller.py
@@ -61,8 +61,12 @@
         await self._window(holding, kv, record, weighed)
         judged = self._judged(record, weighed)
         world = replace(self._world(view, record), quiet=blackout_windows.holds(record.quiet, time.time()))
-        after, do = step(pure(record), world, judged.answer if judged is not None else None,
-                         judged.reason if judged is not None else "")  # fmt: skip
+        after, do = step(
+            pure(record),
+            world,
+            judged.answer if judged is not None else None,
+            judged.reason if judged is not None else "",
+        )
         await self._do(holding, kv, record, msgspec.structs.replace(record, **move(after)), do, weighed)
         await asyncio.sleep(LOOK)
 
@@ -124,7 +128,7 @@
 
     async def _do(
         self, holding: Holding, kv: KeyValue, record: Rollout, after: Rollout, do: Do, weighed: Weighed
-    ) -> None:  # fmt: skip
+    ) -> None:
         view = holding.view
         put = Put(view.at.rollout, encode(after, kv.value))
         program = record.kind == program_rollouts.KIND
@@ -178,11 +182,19 @@
         whole = record.phase == Phase.FINISHING.value
         members = tuple(sorted(f"{one.name}#{one.incarnation}" for _, one in view.members()))
         change = Change(
-            id=change_id(record), epoch=force.epoch + 1, digest=record.new if whole else record.old,
-            new="" if whole else record.new, named=() if whole else record.stages[record.stage],
-            rollout=record.id, confirm_s=record.confirm_s, members=members, everyone=record.everyone,
-            who=record.who, why=record.why, at=time.time(),
-        )  # fmt: skip
+            id=change_id(record),
+            epoch=force.epoch + 1,
+            digest=record.new if whole else record.old,
+            new="" if whole else record.new,
+            named=() if whole else record.stages[record.stage],
+            rollout=record.id,
+            confirm_s=record.confirm_s,
+            members=members,
+            everyone=record.everyone,
+            who=record.who,
+            why=record.why,
+            at=time.time(),
+        )
         lease = await holding.grant(record.deadline_s)
         absent = Compare(view.at.change, Target.CREATE, "=", 0)
         same = Compare(view.at.force, Target.MOD, "=", held.mod_revision)
@@ -198,9 +210,14 @@
     new = [sample for name, sample in window.items() if name in named]
     others = [sample for name, sample in window.items() if name not in named]
     log_e = {figure: round(canary_analysis.mixed(wager), 3) for figure, wager in evidence.wagers.items()}
-    return Point(at=round(time.time() - record.at, 2), stage=record.stage, baked_s=round(baked, 2),
-                 log_e=log_e, new=canary_analysis.whole(new),
-                 others=canary_analysis.whole(others))  # fmt: skip
+    return Point(
+        at=round(time.time() - record.at, 2),
+        stage=record.stage,
+        baked_s=round(baked, 2),
+        log_e=log_e,
+        new=canary_analysis.whole(new),
+        others=canary_analysis.whole(others),
+    )
 
 
 def limits_of(record: Rollout) -> Limits:
@@ -225,8 +242,18 @@
 
 def weighed_of(record: Rollout, evidence: Evidence, baked: float) -> Weighed:
     base = {name: dict(levels) for name, levels in evidence.base.items()}
-    return Weighed(rollout=record.id, stage=record.stage, baked_s=baked, wagers=dict(evidence.wagers),
-                   peaks=dict(evidence.peaks), base=base, usual=dict(evidence.usual),
-                   pool=dict(evidence.pool),
-                   requests=evidence.requests, windows=evidence.windows, apart=evidence.apart,
-                   past=evidence.past, lately=evidence.lately)  # fmt: skip
+    return Weighed(
+        rollout=record.id,
+        stage=record.stage,
+        baked_s=baked,
+        wagers=dict(evidence.wagers),
+        peaks=dict(evidence.peaks),
+        base=base,
+        usual=dict(evidence.usual),
+        pool=dict(evidence.pool),
+        requests=evidence.requests,
+        windows=evidence.windows,
+        apart=evidence.apart,
+        past=evidence.past,
+        lately=evidence.lately,
+    )
--- a/gladegw/control/fleet_status.py
+++ b/gladegw/control/fleet_status.py
@@ -29,14 +29,26 @@
 def members(view: View) -> list[dict[str, Any]]:
     """Who is there, and who is missing; `since_s` by the clocks of those who wrote it down."""
     told = [
-        {"name": member.name, "incarnation": member.incarnation, "version": member.version,
-         "zone": member.zone, "state": member.state, "since_s": _since(member.since)}
+        {
+            "name": member.name,
+            "incarnation": member.incarnation,
+            "version": member.version,
+            "zone": member.zone,
+            "state": member.state,
+            "since_s": _since(member.since),
+        }
         for _, member in view.members()
     ] + [
-        {"name": known.name, "incarnation": "", "version": "", "zone": known.zone, "state": "missing",
-         "since_s": _since(known.lost)}
+        {
+            "name": known.name,
+            "incarnation": "",
+            "version": "",
+            "zone": known.zone,
+            "state": "missing",
+            "since_s": _since(known.lost),
+        }
         for known in view.missing()
-    ]  # fmt: skip
+    ]
     return sorted(told, key=lambda member: (str(member["name"]), str(member["incarnation"])))
 
 
@@ -45,11 +57,16 @@
     held = {view.at.split(kv.key)[1]: (kv, holder) for kv, holder in view.holders()}
     names = sorted(held.keys() | {name for _, member in view.members() for name in member.can})
     return [
-        {"name": name, "holder": held[name][1].holder, "token": held[name][0].create_revision,
-         "since_s": _since(held[name][1].since)} if name in held
+        {
+            "name": name,
+            "holder": held[name][1].holder,
+            "token": held[name][0].create_revision,
+            "since_s": _since(held[name][1].since),
+        }
+        if name in held
         else {"name": name, "holder": None, "token": 0, "since_s": 0.0}
         for name in names
-    ]  # fmt: skip
+    ]
 
 
 def status(view: View) -> dict[str, Any]:
--- a/gladegw/control/member.py
+++ b/gladegw/control/member.py
@@ -62,12 +62,15 @@
     """`figures` is asked for own counts, from this thread. All else happens on it."""
 
     def __init__(
-        self, options: Options, member: Member, works: Iterable[type[Work]],
+        self,
+        options: Options,
+        member: Member,
+        works: Iterable[type[Work]],
         figures: Callable[[], Figures | None] = lambda: None,
         clock: Callable[[], float] = boot,
         told: Callable[[str, int, bool], None] = lambda name, token, begun: None,
         carrier: Carrier | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.options, self.clock, self.figures = options, clock, figures
         self.incarnation = member.incarnation or secrets.token_hex(8)
         self.works = [work() for work in works]
@@ -206,9 +209,7 @@
     @property
     def able(self) -> bool:
         """Whether it may claim: its lease is good, and it has seen the store as it is under it."""
-        return (
-            self.registered and self.live.informed and not self.leaving and self.lease.live(self.clock())
-        )  # fmt: skip
+        return self.registered and self.live.informed and not self.leaving and self.lease.live(self.clock())
 
     async def _keep(self) -> None:
         backoff = Backoff(self.draws)
--- a/gladegw/control/policy_proposals.py
+++ b/gladegw/control/policy_proposals.py
@@ -38,8 +38,10 @@
 
 
 def ballots(cast: Mapping[str, Mapping[str, str]], awaited: tuple[str, ...] = ()) -> list[dict[str, str]]:
-    found = [{"member": who.partition("#")[0], "vote": one["vote"], "reason": one["reason"]}
-             for who, one in cast.items()]  # fmt: skip
+    found = [
+        {"member": who.partition("#")[0], "vote": one["vote"], "reason": one["reason"]}
+        for who, one in cast.items()
+    ]
     found += [{"member": who.partition("#")[0], "vote": "awaited", "reason": ""} for who in awaited]
     return sorted(found, key=lambda one: (one["member"], one["vote"]))
 
@@ -96,15 +98,23 @@
         if rollout is not None:
             raise ValueError(f"rollout {rollout.id} is under way: wait for its end, or `rollout back`")
         change = Change(
-            id=secrets.token_hex(8), epoch=force.epoch + 1, digest=digest, everyone=everyone, dry=dry,
-            members=tuple(sorted(registered(view))), who=who, why=why, at=time.time(),
-        )  # fmt: skip
+            id=secrets.token_hex(8),
+            epoch=force.epoch + 1,
+            digest=digest,
+            everyone=everyone,
+            dry=dry,
+            members=tuple(sorted(registered(view))),
+            who=who,
+            why=why,
+            at=time.time(),
+        )
         lease, _ = await self.again(lambda: self.client.grant(deadline))
         kv = view.keys.get(at.force)
         compares = (
-            Compare(at.change, Target.CREATE, "=", 0), Compare(at.piece(digest, 0), Target.CREATE, ">", 0),
+            Compare(at.change, Target.CREATE, "=", 0),
+            Compare(at.piece(digest, 0), Target.CREATE, ">", 0),
             Compare(at.force, Target.MOD, "=", kv.mod_revision if kv is not None else 0),
-        )  # fmt: skip
+        )
         try:
             done = await self.client.txn(Txn(compares, (Put(at.change, encode(change), lease),)))
             taken = done.succeeded
@@ -156,14 +166,22 @@
         if kv is None or change is None:
             return None
         ended = Ended(
-            id=change.id, epoch=change.epoch, digest=change.digest, outcome="nowhere",
-            reason=f"called off by {who}", votes=told(votes(view), kv.create_revision), who=change.who,
-            why=change.why, at=time.time(),
-        )  # fmt: skip
-        done = await self.client.txn(Txn(
-            (Compare(view.at.change, Target.MOD, "=", kv.mod_revision),),
-            (Delete(view.at.change), Put(view.at.ended(change.id), encode(ended))),
-        ))  # fmt: skip
+            id=change.id,
+            epoch=change.epoch,
+            digest=change.digest,
+            outcome="nowhere",
+            reason=f"called off by {who}",
+            votes=told(votes(view), kv.create_revision),
+            who=change.who,
+            why=change.why,
+            at=time.time(),
+        )
+        done = await self.client.txn(
+            Txn(
+                (Compare(view.at.change, Target.MOD, "=", kv.mod_revision),),
+                (Delete(view.at.change), Put(view.at.ended(change.id), encode(ended))),
+            )
+        )
         return change if done.succeeded else None
 
     async def remove(self, name: str) -> str:
@@ -190,15 +208,31 @@
     open_one = None
     if kv is not None and change is not None:
         found, cast = looked(view, change, kv.create_revision)
-        open_one = {"id": change.id, "epoch": change.epoch, "digest": change.digest, "who": change.who,
-                    "why": change.why, "dry": change.dry, "reason": found.reason,
-                    "votes": ballots(told(cast, kv.create_revision), found.awaited)}  # fmt: skip
-    members = [{"name": member.name, "epoch": member.epoch, "state": state(member, force)}
-               for _, member in view.members()]  # fmt: skip
-    members += [{"name": known.name, "epoch": -1, "state": "missing"}
-                for known in view.missing() if not known.left]  # fmt: skip
-    return {"epoch": force.epoch, "digest": force.digest, "who": force.who, "why": force.why,
-            "change": open_one, "members": sorted(members, key=lambda one: str(one["name"]))}  # fmt: skip
+        open_one = {
+            "id": change.id,
+            "epoch": change.epoch,
+            "digest": change.digest,
+            "who": change.who,
+            "why": change.why,
+            "dry": change.dry,
+            "reason": found.reason,
+            "votes": ballots(told(cast, kv.create_revision), found.awaited),
+        }
+    members = [
+        {"name": member.name, "epoch": member.epoch, "state": state(member, force)}
+        for _, member in view.members()
+    ]
+    members += [
+        {"name": known.name, "epoch": -1, "state": "missing"} for known in view.missing() if not known.left
+    ]
+    return {
+        "epoch": force.epoch,
+        "digest": force.digest,
+        "who": force.who,
+        "why": force.why,
+        "change": open_one,
+        "members": sorted(members, key=lambda one: str(one["name"])),
+    }
 
 
 def history(view: View) -> list[dict[str, Any]]:
--- a/gladegw/control/program_rollouts.py
+++ b/gladegw/control/program_rollouts.py
@@ -102,8 +102,9 @@
     program, held = in_force(view), view.keys.get(view.at.program)
     same = Compare(view.at.program, Target.MOD, "=", held.mod_revision if held is not None else 0)
     epoch = program.epoch + 1 if program is not None else 1
-    made = Program(epoch=epoch, version=version, rollout=record.id, who=record.who,
-                   why=why or record.why, at=time.time())  # fmt: skip
+    made = Program(
+        epoch=epoch, version=version, rollout=record.id, who=record.who, why=why or record.why, at=time.time()
+    )
     return made, same
 
 
@@ -148,15 +149,29 @@
         raise ValueError(f"{program.version} is in force and {versions[0]} runs")
     if versions[0] == plan.program:
         raise ValueError("that version runs already")
-    stages = table.staged({name: member.zone for name, member in members.items()}, plan.stages,
-                          plan.most_of_zone)  # fmt: skip
+    stages = table.staged(
+        {name: member.zone for name, member in members.items()}, plan.stages, plan.most_of_zone
+    )
     record = Rollout(
-        id=secrets.token_hex(6), old=versions[0], new=plan.program, stages=stages, limits=plan.limits,
-        bake_s=plan.bake_s, most_s=plan.most_s, confirm_s=confirm, deadline_s=int(plan.move_s),
-        everyone=False, on_thin=plan.on_thin, hold=plan.on_worse == "stop", who=who, why=why, kind=KIND,
+        id=secrets.token_hex(6),
+        old=versions[0],
+        new=plan.program,
+        stages=stages,
+        limits=plan.limits,
+        bake_s=plan.bake_s,
+        most_s=plan.most_s,
+        confirm_s=confirm,
+        deadline_s=int(plan.move_s),
+        everyone=False,
+        on_thin=plan.on_thin,
+        hold=plan.on_worse == "stop",
+        who=who,
+        why=why,
+        kind=KIND,
         quiet=plan.quiet,
-        phase=(Phase.MOVING if stages else Phase.FINISHING).value, at=time.time(),
-    )  # fmt: skip
+        phase=(Phase.MOVING if stages else Phase.FINISHING).value,
+        at=time.time(),
+    )
     done: list[Operation] = [Put(at.rollout, encode(record))]
     held = view.keys.get(at.program)
     if held is None:
--- a/gladegw/control/rollout_plan.py
+++ b/gladegw/control/rollout_plan.py
@@ -42,15 +42,28 @@
 
     @property
     def limits(self) -> Limits:
-        return Limits(failed=self.failed, refused=self.refused, late=self.late, level=self.level,
-                      alpha=self.alpha, least_requests=self.least_requests)  # fmt: skip
+        return Limits(
+            failed=self.failed,
+            refused=self.refused,
+            late=self.late,
+            level=self.level,
+            alpha=self.alpha,
+            least_requests=self.least_requests,
+        )
 
 
 RANGES = {
     "move_s": (5, 86_400),
-    "bake_s": (1, 86_400), "most_s": (1, 7 * 86_400), "least_requests": (1, 10**9), "most_of_zone": (0.01, 1),
-    "failed": (0, 1), "refused": (0, 1), "late": (0, 1), "level": (0, 100), "alpha": (1e-6, 0.5),
-}  # fmt: skip
+    "bake_s": (1, 86_400),
+    "most_s": (1, 7 * 86_400),
+    "least_requests": (1, 10**9),
+    "most_of_zone": (0.01, 1),
+    "failed": (0, 1),
+    "refused": (0, 1),
+    "late": (0, 1),
+    "level": (0, 100),
+    "alpha": (1e-6, 0.5),
+}
 
 
 def _checked(path: str, text: str, block: Block) -> Plan:
--- a/gladegw/control/rollouts.py
+++ b/gladegw/control/rollouts.py
@@ -25,8 +25,17 @@
 
 
 def pure(record: Rollout) -> table.Rollout:
-    return table.Rollout(record.id, record.old, record.new, record.stages, record.stage,
-                         Phase(record.phase), record.paused, record.reason, record.hold)  # fmt: skip
+    return table.Rollout(
+        record.id,
+        record.old,
+        record.new,
+        record.stages,
+        record.stage,
+        Phase(record.phase),
+        record.paused,
+        record.reason,
+        record.hold,
+    )
 
 
 def move(after: table.Rollout) -> dict[str, Any]:
@@ -41,10 +50,12 @@
     refused = over.reason or "refused" if over is not None and over.outcome != "everywhere" else ""
     staged = (force.rollout, force.named) if force.new else None
     gone_back = [
-        member.name for _, member in view.members()
-        if staged is not None and member.epoch == force.epoch
+        member.name
+        for _, member in view.members()
+        if staged is not None
+        and member.epoch == force.epoch
         and member.digest not in ("", own(force, member.name)[0])
-    ]  # fmt: skip
+    ]
     opened = change.rollout if change is not None else None
     return World(force.digest, staged, opened, refused, tuple(sorted(set(gone_back))))
 
@@ -73,8 +84,13 @@
     force, held = view.read(at.force, InForce), view.keys.get(at.force)
     done, compares = called_off(view, record)
     if force is not None and force.new and force.rollout == record.id:
-        back = InForce(epoch=force.epoch + 1, digest=record.old, who=record.who, at=time.time(),
-                       why=f"rollout {record.id} is taken back: {record.reason}")  # fmt: skip
+        back = InForce(
+            epoch=force.epoch + 1,
+            digest=record.old,
+            who=record.who,
+            at=time.time(),
+            why=f"rollout {record.id} is taken back: {record.reason}",
+        )
         done += [Put(at.force, encode(back)), Put(at.history(back.epoch), encode(back))]
     same = Compare(at.force, Target.MOD, "=", held.mod_revision if held is not None else 0)
     return done, (*compares, same)
@@ -94,9 +110,15 @@
         self.operator = operator
 
     async def start(
-        self, plan: Plan, files: Mapping[str, str], confirm: int, deadline: int, everyone: bool, who: str,
+        self,
+        plan: Plan,
+        files: Mapping[str, str],
+        confirm: int,
+        deadline: int,
+        everyone: bool,
+        who: str,
         why: str,
-    ) -> Rollout:  # fmt: skip
+    ) -> Rollout:
         """Raises Refused, StoreFault."""
         if plan.program:
             return await self._start_program(plan, confirm, who, why)
@@ -116,17 +138,35 @@
         except ValueError as fault:
             raise Refused(str(fault)) from None
         record = Rollout(
-            id=secrets.token_hex(6), old=force.digest, new=new, stages=stages, limits=plan.limits,
-            bake_s=plan.bake_s, most_s=plan.most_s, confirm_s=confirm, deadline_s=deadline,
-            everyone=everyone, on_thin=plan.on_thin, hold=plan.on_worse == "stop", who=who, why=why,
-            quiet=plan.quiet, phase=(Phase.MOVING if stages else Phase.FINISHING).value, at=time.time(),
-        )  # fmt: skip
-        done = await self.operator.client.txn(Txn(
-            (Compare(at.rollout, Target.CREATE, "=", 0), Compare(at.change, Target.CREATE, "=", 0),
-             Compare(at.piece(new, 0), Target.CREATE, ">", 0),
-             Compare(at.force, Target.MOD, "=", held.mod_revision)),
-            (Put(at.rollout, encode(record)),),
-        ))  # fmt: skip
+            id=secrets.token_hex(6),
+            old=force.digest,
+            new=new,
+            stages=stages,
+            limits=plan.limits,
+            bake_s=plan.bake_s,
+            most_s=plan.most_s,
+            confirm_s=confirm,
+            deadline_s=deadline,
+            everyone=everyone,
+            on_thin=plan.on_thin,
+            hold=plan.on_worse == "stop",
+            who=who,
+            why=why,
+            quiet=plan.quiet,
+            phase=(Phase.MOVING if stages else Phase.FINISHING).value,
+            at=time.time(),
+        )
+        done = await self.operator.client.txn(
+            Txn(
+                (
+                    Compare(at.rollout, Target.CREATE, "=", 0),
+                    Compare(at.change, Target.CREATE, "=", 0),
+                    Compare(at.piece(new, 0), Target.CREATE, ">", 0),
+                    Compare(at.force, Target.MOD, "=", held.mod_revision),
+                ),
+                (Put(at.rollout, encode(record)),),
+            )
+        )
         if not done.succeeded:
             raise Refused("another rollout or change of policy is under way")
         return record
@@ -227,9 +267,14 @@
 
 
 STATES = {
-    Phase.MOVING: "running", Phase.BAKING: "running", Phase.FINISHING: "running",
-    Phase.GOING_BACK: "going back", Phase.DONE: "done", Phase.STOPPED: "stopped", Phase.BACK: "back",
-}  # fmt: skip
+    Phase.MOVING: "running",
+    Phase.BAKING: "running",
+    Phase.FINISHING: "running",
+    Phase.GOING_BACK: "going back",
+    Phase.DONE: "done",
+    Phase.STOPPED: "stopped",
+    Phase.BACK: "back",
+}
 
 
 def status(view: View, record: Rollout | None) -> dict[str, Any]:
@@ -251,9 +296,16 @@
         figures, baked = dict(weighed.peaks), weighed.baked_s
     whole = phase in (Phase.FINISHING, Phase.DONE)
     return {
-        "state": state, "stage": len(record.stages) + 1 if whole else record.stage + 1,
-        "stages": len(record.stages) + 1, "verdict": record.reason, "members": members, "id": record.id,
-        "phase": record.phase, "old": record.old, "new": record.new, "baked_s": round(baked, 1),
+        "state": state,
+        "stage": len(record.stages) + 1 if whole else record.stage + 1,
+        "stages": len(record.stages) + 1,
+        "verdict": record.reason,
+        "members": members,
+        "id": record.id,
+        "phase": record.phase,
+        "old": record.old,
+        "new": record.new,
+        "baked_s": round(baked, 1),
         "named": list(record.stages[record.stage]) if record.stages else [],
         "log_e": {name: round(value, 2) for name, value in sorted(figures.items())},
-    }  # fmt: skip
+    }
--- a/gladegw/control/startup.py
+++ b/gladegw/control/startup.py
@@ -41,22 +41,36 @@
 
 
 def figures(
-    name: str, ledger: Ledger, backends: Listed, routes: Callable[[], str],
+    name: str,
+    ledger: Ledger,
+    backends: Listed,
+    routes: Callable[[], str],
     timing: Timing | None = None,
-) -> Figures:  # fmt: skip
+) -> Figures:
     """Read from the agent's thread: figures that may be one step apart."""
     told = {"upstream_tries": ledger.upstream_tries, "in_progress": ledger.in_progress}
     for cls, handled in list(ledger.handled.items()):
-        told |= {f"handled.{cls}.passed": handled.passed, f"handled.{cls}.dropped": handled.dropped,
-                 f"handled.{cls}.bad_gateway": handled.bad_gateway}  # fmt: skip
+        told |= {
+            f"handled.{cls}.passed": handled.passed,
+            f"handled.{cls}.dropped": handled.dropped,
+            f"handled.{cls}.bad_gateway": handled.bad_gateway,
+        }
     if timing is not None:
         told |= timing.figures()
-        told |= {"at_ms": round(1000 * time.monotonic()), "cpu_us": round(1e6 * time.process_time()),
-                 "rss_kb": resident() >> 10}  # fmt: skip
+        told |= {
+            "at_ms": round(1000 * time.monotonic()),
+            "cpu_us": round(1e6 * time.process_time()),
+            "rss_kb": resident() >> 10,
+        }
     listed = sorted(backends())
     serving = [number for number, sent_to in listed if sent_to]
-    return Figures(name=name, figures=told, discovery=digest(number for number, _ in listed),
-                   serving=digest(serving), routes=routes())  # fmt: skip
+    return Figures(
+        name=name,
+        figures=told,
+        discovery=digest(number for number, _ in listed),
+        serving=digest(serving),
+        routes=routes(),
+    )
 
 
 def digest(numbers: Iterable[int]) -> str:
@@ -101,17 +115,26 @@
 
 
 def joined(
-    settings: CoordinationSettings, config: Config, ledger: Ledger, backends: Listed,
-    routes: Callable[[], str], carried: Carrier | None = None, timing: Timing | None = None,
-) -> Agent:  # fmt: skip
+    settings: CoordinationSettings,
+    config: Config,
+    ledger: Ledger,
+    backends: Listed,
+    routes: Callable[[], str],
+    carried: Carrier | None = None,
+    timing: Timing | None = None,
+) -> Agent:
     """An agent that is under way. A store that can't be reached is a line of the log, and is tried again."""
     options = Options(
         settings.addresses, settings.prefix, settings.ttl_s, settings.timeout_ms / 1000, settings.token_file
     )
     member = Member(
-        name=config.name, incarnation="", address="{}:{}".format(*config.listen), zone=config.settings.zone,
-        version=version(), state="starting",
-    )  # fmt: skip
+        name=config.name,
+        incarnation="",
+        address="{}:{}".format(*config.listen),
+        zone=config.settings.zone,
+        version=version(),
+        state="starting",
+    )
     works = ALL
     if carried is not None:
         from gladegw.control.duties.bundle_collection import Bundles
--- a/gladegw/control/store_cache.py
+++ b/gladegw/control/store_cache.py
@@ -32,8 +32,9 @@
     def to(self, part: Range) -> int:
         """The revision up to which all of this range is known."""
         first, end = part
-        return max((known for over, known in self.known_to.items() if over[0] <= first and over[1] >= end),
-                   default=0)  # fmt: skip
+        return max(
+            (known for over, known in self.known_to.items() if over[0] <= first and over[1] >= end), default=0
+        )
 
     def whole(self, part: Range, revision: int, found: Iterable[KeyValue]) -> None:
         """All that stands in this range."""
--- a/gladegw/control/store_messages.py
+++ b/gladegw/control/store_messages.py
@@ -19,9 +19,13 @@
 
 def pair_message(kv: KeyValue, keys_only: bool = False) -> Any:
     return pb.KeyValue(
-        key=kv.key, value=b"" if keys_only else kv.value, create_revision=kv.create_revision,
-        mod_revision=kv.mod_revision, version=kv.version, lease=kv.lease,
-    )  # fmt: skip
+        key=kv.key,
+        value=b"" if keys_only else kv.value,
+        create_revision=kv.create_revision,
+        mod_revision=kv.mod_revision,
+        version=kv.version,
+        lease=kv.lease,
+    )
 
 
 def operation_message(operation: Operation) -> Any:
@@ -46,9 +50,11 @@
 
 def _compare_message(compare: Compare) -> Any:
     parts: dict[str, Any] = {
-        "result": RELATIONS.index(compare.relation), "target": TARGETS.index(compare.target),
-        "key": compare.key, compare.target.value: compare.operand,
-    }  # fmt: skip
+        "result": RELATIONS.index(compare.relation),
+        "target": TARGETS.index(compare.target),
+        "key": compare.key,
+        compare.target.value: compare.operand,
+    }
     return pb.Compare(**parts)
 
 
--- a/gladegw/control/store_watcher.py
+++ b/gladegw/control/store_watcher.py
@@ -29,9 +29,15 @@
     """`silence`: s without a word of the watch, though it was asked, after which it counts as lost."""
 
     def __init__(
-        self, client: Client, view: View, part: Range, silence: float, backoff: Backoff,
-        trouble: Callable[[str], None], changed: Changed,
-    ) -> None:  # fmt: skip
+        self,
+        client: Client,
+        view: View,
+        part: Range,
+        silence: float,
+        backoff: Backoff,
+        trouble: Callable[[str], None],
+        changed: Changed,
+    ) -> None:
         self.client, self.view, self.part, self.silence = client, view, part, silence
         self.backoff, self.trouble, self.changed = backoff, trouble, changed
 
--- a/gladegw/control/supervisor_client.py
+++ b/gladegw/control/supervisor_client.py
@@ -53,13 +53,27 @@
         sign = self.view.keys.get(self.keys.sign)
         if program is not None:
             self.order = ordered(
-                self.order, self.name, program.epoch, program.version, program.new, program.named,
-                float(program.confirm_s), sign.mod_revision if sign is not None else 0, boot(),
-            )  # fmt: skip
+                self.order,
+                self.name,
+                program.epoch,
+                program.version,
+                program.new,
+                program.named,
+                float(program.confirm_s),
+                sign.mod_revision if sign is not None else 0,
+                boot(),
+            )
 
     async def follow(self) -> None:
-        follower = Follower(self.watcher, self.view, self.keys.policy, self.silence, Backoff(self.draws),
-                            self.trouble, self.heard)  # fmt: skip
+        follower = Follower(
+            self.watcher,
+            self.view,
+            self.keys.policy,
+            self.silence,
+            Backoff(self.draws),
+            self.trouble,
+            self.heard,
+        )
         await follower.run()
 
     async def tell(self) -> None:
--- a/gladegw/coordination/canary_analysis.py
+++ b/gladegw/coordination/canary_analysis.py
@@ -216,8 +216,11 @@
             known = evidence.usual.get(figure, (0, 0))
             _wager(wagers, peaks, figure, rate_factor(bad, of, others, allowed, known))
     for level in sorted({level for sample in window.values() for level in sample.levels}):
-        gone = {name: moved for name, sample in window.items()
-                if (moved := _moved(evidence, name, sample, level)) is not None}  # fmt: skip
+        gone = {
+            name: moved
+            for name, sample in window.items()
+            if (moved := _moved(evidence, name, sample, level)) is not None
+        }
         others_moved = [gone[name] for name in rest if name in gone]
         if len(others_moved) < LEAST_OTHERS:
             continue
@@ -235,9 +238,16 @@
     apart = apart_for(evidence.apart, stage, list(rest.values()))
     lately = fleet_regression.lately(evidence.lately, whole(list(rest.values())))
     return replace(
-        evidence, wagers=wagers, peaks=peaks, usual=calm_ones, pool=pools, requests=evidence.requests + asked,
-        windows=evidence.windows + 1, apart=apart, lately=lately,
-    )  # fmt: skip
+        evidence,
+        wagers=wagers,
+        peaks=peaks,
+        usual=calm_ones,
+        pool=pools,
+        requests=evidence.requests + asked,
+        windows=evidence.windows + 1,
+        apart=apart,
+        lately=lately,
+    )
 
 
 def added(samples: Iterable[Sample], kind: str, cls: str) -> tuple[int, int]:
--- a/gladegw/coordination/election_order.py
+++ b/gladegw/coordination/election_order.py
@@ -68,9 +68,7 @@
 
     def forget(self, now: float) -> None:
         """Bounded by what came within the window."""
-        self.came = {
-            name: entries for name, entries in self.came.items() if now - entries[-1][0] < WINDOW
-        }  # fmt: skip
+        self.came = {name: entries for name, entries in self.came.items() if now - entries[-1][0] < WINDOW}
 
     def weights(self, names: Iterable[str], now: float) -> dict[str, float]:
         return {
--- a/gladegw/coordination/policy_commit.py
+++ b/gladegw/coordination/policy_commit.py
@@ -120,8 +120,16 @@
     force = member.force
     had = (member.digest, member.spare)
     spare = force.base if force.base and force.base in had else ""
-    after = replace(member, phase=P.SETTLED, epoch=force.epoch, digest=force.digest, held="", wanted="",
-                    change=None, spare=spare)  # fmt: skip
+    after = replace(
+        member,
+        phase=P.SETTLED,
+        epoch=force.epoch,
+        digest=force.digest,
+        held="",
+        wanted="",
+        change=None,
+        spare=spare,
+    )
     return after, (A.TAKE, A.SPARE) if force.base and not spare else (A.TAKE,)
 
 
@@ -238,9 +246,10 @@
     if lost:
         return Verdict(Outcome.NO, f"lost while it was open: {', '.join(lost)}")
     valid = {
-        who: vote for who, vote in votes.items()
+        who: vote
+        for who, vote in votes.items()
         if who in there and vote.change == change.id and vote.digest == change.digest
-    }  # fmt: skip
+    }
     against = sorted(who for who, vote in valid.items() if not vote.yes)
     if against:
         return Verdict(Outcome.NO, "; ".join(f"{who}: {valid[who].reason}" for who in against))
--- a/gladegw/coordination/policy_epochs.py
+++ b/gladegw/coordination/policy_epochs.py
@@ -87,8 +87,11 @@
     def over(self, now: float) -> list[Stamp]:
         """Those that are held no longer; each is told once."""
         order = sorted(self.held, key=lambda stamp: self.held[stamp])
-        gone = [stamp for number, stamp in enumerate(order)
-                if self.held[stamp] <= now or number < len(order) - MOST_HELD]  # fmt: skip
+        gone = [
+            stamp
+            for number, stamp in enumerate(order)
+            if self.held[stamp] <= now or number < len(order) - MOST_HELD
+        ]
         for stamp in gone:
             del self.held[stamp]
         return gone
--- a/gladegw/coordination/store.py
+++ b/gladegw/coordination/store.py
@@ -257,9 +257,13 @@
     def _put(self, asked: Put, revision: int) -> None:
         before = self.keys.get(asked.key)
         kv = KeyValue(
-            asked.key, asked.value, revision if before is None else before.create_revision, revision,
-            1 if before is None else before.version + 1, asked.lease,
-        )  # fmt: skip
+            asked.key,
+            asked.value,
+            revision if before is None else before.create_revision,
+            revision,
+            1 if before is None else before.version + 1,
+            asked.lease,
+        )
         if before is not None:
             self._loose(before)
         self.stands(kv)
--- a/gladegw/coordination/supervision.py
+++ b/gladegw/coordination/supervision.py
@@ -105,9 +105,14 @@
 ) -> tuple[Supervision, Actions]:
     """What is next, and what to do. Each action is asked for once."""
     found = {
-        Phase.STARTING: _starting, Phase.STEADY: _steady, Phase.BRINGING: _bringing,
-        Phase.PROVING: _proving, Phase.KEEPING: _keeping, Phase.ENDING: _ending, Phase.GIVING_UP: _giving_up,
-    }[state.phase]  # fmt: skip
+        Phase.STARTING: _starting,
+        Phase.STEADY: _steady,
+        Phase.BRINGING: _bringing,
+        Phase.PROVING: _proving,
+        Phase.KEEPING: _keeping,
+        Phase.ENDING: _ending,
+        Phase.GIVING_UP: _giving_up,
+    }[state.phase]
     return found(state, current, other, now, bounds)
 
 
@@ -290,9 +295,16 @@
 
 
 def ordered(
-    order: Order, name: str, epoch: int, version: str, new: str, named: tuple[str, ...], confirm: float,
-    sign: int, now: float,
-) -> Order:  # fmt: skip
+    order: Order,
+    name: str,
+    epoch: int,
+    version: str,
+    new: str,
+    named: tuple[str, ...],
+    confirm: float,
+    sign: int,
+    now: float,
+) -> Order:
     """The store's word. An epoch that is older than one that was heeded changes nothing."""
     if epoch < order.epoch:
         return order
--- a/gladegw/limits/connection_eviction.py
+++ b/gladegw/limits/connection_eviction.py
@@ -93,6 +93,9 @@
 
 def gives_way(guests: Iterable[G], now: float, count: int = 1, patience: float = YOUNG) -> list[G]:
     """Up to `count` that lose least by their end, by what was seen of them, those that lose least first."""
-    ranked = ((rank, place, guest) for place, guest in enumerate(guests)
-              if (rank := reluctance(guest, now, patience)) is not None)  # fmt: skip
+    ranked = (
+        (rank, place, guest)
+        for place, guest in enumerate(guests)
+        if (rank := reluctance(guest, now, patience)) is not None
+    )
     return [guest for _, _, guest in heapq.nsmallest(count, ranked)]
--- a/gladegw/net/acceptor.py
+++ b/gladegw/net/acceptor.py
@@ -147,8 +147,11 @@
                 async with asyncio.timeout(HEAD):
                     peer = await self.door.meet(sock)
             if certificates is not None:
-                more = {"ssl": certificates.context, "ssl_shutdown_timeout": GOODBYE,
-                        "ssl_handshake_timeout": came + HEAD - time.monotonic()}  # fmt: skip
+                more = {
+                    "ssl": certificates.context,
+                    "ssl_shutdown_timeout": GOODBYE,
+                    "ssl_handshake_timeout": came + HEAD - time.monotonic(),
+                }
             handed_on = True
             await self.loop.connect_accepted_socket(partial(self.make, peer, came), sock, **more)
         except TurnedAway as fault:
--- a/gladegw/net/access_log.py
+++ b/gladegw/net/access_log.py
@@ -30,6 +30,10 @@
             return
         log.info(
             "%s id=%s class=%s tenant=%s code=%s ms=%d",
-            asked.peer.told(), quoted(asked.id), quoted(asked.cls), quoted(asked.tenant),
-            code or "none", round((time.monotonic() - asked.came) * 1000),
-        )  # fmt: skip
+            asked.peer.told(),
+            quoted(asked.id),
+            quoted(asked.cls),
+            quoted(asked.tenant),
+            code or "none",
+            round((time.monotonic() - asked.came) * 1000),
+        )
--- a/gladegw/net/capture.py
+++ b/gladegw/net/capture.py
@@ -152,9 +152,12 @@
         self.most = settings.ring_kb * 1024
         self.encode = encoder()
         self.start = self._line(
-            "start", seed=f"{config.seed:x}", name=config.name, at=time.monotonic(),
+            "start",
+            seed=f"{config.seed:x}",
+            name=config.name,
+            at=time.monotonic(),
             settings=config.raw_settings,
-        )  # fmt: skip
+        )
         self.endpoints: dict[str, bytes] = {}  # of the list as it stands, encoded, by name
         self.names: dict[int, str] = {}
         self.gone: set[int] = set()  # by the latest list; a pick may still come from the one before
@@ -190,9 +193,14 @@
             entry = listed.entry
             self.names[entry.server] = listed.name
             self.endpoints[listed.name] = self.encode(
-                {"name": listed.name, "zone": entry.zone, "group": entry.cell,
-                 "status": STATUS[entry.state], "weight": entry.weight}
-            )  # fmt: skip
+                {
+                    "name": listed.name,
+                    "zone": entry.zone,
+                    "group": entry.cell,
+                    "status": STATUS[entry.state],
+                    "weight": entry.weight,
+                }
+            )
         before = self.serial
         self.serial += 1
         self.index = listing.version
@@ -280,8 +288,13 @@
                 load[name] = report[0]
             servers[name] = known
         used["servers"] = servers
-        return {"index": self.index, "list": self.serial, "inflight": inflight, "load": load,
-                "server": self.names[said]}  # fmt: skip
+        return {
+            "index": self.index,
+            "list": self.serial,
+            "inflight": inflight,
+            "load": load,
+            "server": self.names[said],
+        }
 
     def ended(self, number: int, code: int | None) -> None:
         """The request's record; a code of None: the caller left first."""
@@ -294,10 +307,13 @@
         request = opened.request
         budget_ms = request.budget * 1000
         head = {
-            "v": VERSION, "kind": "req", "id": request.id.decode("latin-1")[:LONGEST], "class": request.cls,
+            "v": VERSION,
+            "kind": "req",
+            "id": request.id.decode("latin-1")[:LONGEST],
+            "class": request.cls,
             "tenant": request.tenant[:LONGEST],
             "budget_ms": int(budget_ms) if budget_ms == int(budget_ms) else budget_ms,
-        }  # fmt: skip
+        }
         if request.routed is not None:
             head["route"] = request.routed.told(opened.pool)
         unpicked = b'"index":%d,"list":%d,"inflight":{},"load":{},"server":null' % (self.index, self.serial)
@@ -306,10 +322,15 @@
             for place, (top, rest) in enumerate(opened.steps)
         ]
         record = Record(
-            self.encode(head)[:-1] + b"," + (opened.steps[last][0] if picks else unpicked)
-            + b',"answer":' + (b"null" if code is None else b"%d" % code)
-            + b',"steps":[' + b",".join(steps) + b"]}\n"
-        )  # fmt: skip
+            self.encode(head)[:-1]
+            + b","
+            + (opened.steps[last][0] if picks else unpicked)
+            + b',"answer":'
+            + (b"null" if code is None else b"%d" % code)
+            + b',"steps":['
+            + b",".join(steps)
+            + b"]}\n"
+        )
         record.lists = {serial: self.lists[serial] for serial in sorted(opened.lists)}
         if request.routed is not None:
             record.generation = request.routed.generation
--- a/gladegw/net/discovery.py
+++ b/gladegw/net/discovery.py
@@ -306,9 +306,11 @@
     def _failed(self, call: Call, fault: Exception) -> None:
         log.warning(
             "discovery: call failed: target=%s after_ms=%d version=%s reason=%s",
-            call.target, 1000 * (time.monotonic() - call.begun_at), self.version,
+            call.target,
+            1000 * (time.monotonic() - call.begun_at),
+            self.version,
             str(fault) or type(fault).__name__,
-        )  # fmt: skip
+        )
         if call.moves == self.moves:
             if isinstance(fault, TimeoutError) and not call.goes_on:
                 self.turn_timeout = PATIENT_TIMEOUT
@@ -336,6 +338,11 @@
             log.info(
                 "discovery: list taken: version=%d whole=%s changed=%d known=%d bytes=%d after_ms=%d "
                 "took_ms=%d",
-                listing.version, listing.whole, len(listing.backends), len(self.inventory.known), size,
-                1000 * (began - call.begun_at), 1000 * (time.monotonic() - began),
-            )  # fmt: skip
+                listing.version,
+                listing.whole,
+                len(listing.backends),
+                len(self.inventory.known),
+                size,
+                1000 * (began - call.begun_at),
+                1000 * (time.monotonic() - began),
+            )
--- a/gladegw/net/downstream/connection.py
+++ b/gladegw/net/downstream/connection.py
@@ -193,9 +193,14 @@
         elif origin_form(self.target).split(b"?", 1)[0] != b"/healthz" or method not in (b"GET", b"HEAD"):
             try:
                 turn.what = read_head(
-                    method, self.target, self.headers, now, self.server.effects, self.server.router,
+                    method,
+                    self.target,
+                    self.headers,
+                    now,
+                    self.server.effects,
+                    self.server.router,
                     self._source,
-                )  # fmt: skip
+                )
                 if turn.what.bodyless and length:
                     raise BadRequest(400, "a GET has no body")
             except BadRequest as bad:
--- a/gladegw/net/downstream/pending_response.py
+++ b/gladegw/net/downstream/pending_response.py
@@ -12,11 +12,23 @@
     from gladegw.net.upload import Upload
 
 REASONS = {
-    200: b"OK", 301: b"Moved Permanently", 302: b"Found", 303: b"See Other", 307: b"Temporary Redirect",
-    308: b"Permanent Redirect", 400: b"Bad Request", 403: b"Forbidden", 404: b"Not Found", 409: b"Conflict",
-    413: b"Content Too Large", 429: b"Too Many Requests", 500: b"Internal Server Error",
-    502: b"Bad Gateway", 503: b"Service Unavailable", 504: b"Gateway Timeout",
-}  # fmt: skip
+    200: b"OK",
+    301: b"Moved Permanently",
+    302: b"Found",
+    303: b"See Other",
+    307: b"Temporary Redirect",
+    308: b"Permanent Redirect",
+    400: b"Bad Request",
+    403: b"Forbidden",
+    404: b"Not Found",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    429: b"Too Many Requests",
+    500: b"Internal Server Error",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+}
 
 
 class Turn:
--- a/gladegw/net/downstream/server.py
+++ b/gladegw/net/downstream/server.py
@@ -42,9 +42,11 @@
         self.watchers: tuple[Watcher[Asked], ...] = ()
         self.router: Router | None = None
         self.entrance = Entrance(
-            lambda peer, came: ClientConnection(self, peer, came), most_open,
-            lambda: len(self.connections), self._evict,
-        )  # fmt: skip
+            lambda peer, came: ClientConnection(self, peer, came),
+            most_open,
+            lambda: len(self.connections),
+            self._evict,
+        )
         self.loop.call_later(SWEEP, self._sweep)
 
     def drain(self) -> None:
--- a/gladegw/net/features.py
+++ b/gladegw/net/features.py
@@ -116,10 +116,15 @@
 
 
 BLOCKS: dict[str, Any] = {
-    "figures": FiguresSettings, "tls": TlsSettings, "capture": CaptureSettings, "addresses": AddressSettings,
-    "routes": RoutesSettings, "coordination": CoordinationSettings,
-    "policy": PolicySettings, "rollout": RolloutSettings,
-}  # fmt: skip
+    "figures": FiguresSettings,
+    "tls": TlsSettings,
+    "capture": CaptureSettings,
+    "addresses": AddressSettings,
+    "routes": RoutesSettings,
+    "coordination": CoordinationSettings,
+    "policy": PolicySettings,
+    "rollout": RolloutSettings,
+}
 
 
 def _text(value: object) -> bool:
--- a/gladegw/net/load_reports.py
+++ b/gladegw/net/load_reports.py
@@ -3,9 +3,13 @@
 from __future__ import annotations
 
 REPORT_FIELDS = {
-    "inflight": "busy_reqs", "queue": "pending", "util": "cpu_share",
-    "latency_ms": "svc_ms", "qps": "served_ps", "eps": "failed_ps",
-}  # fmt: skip
+    "inflight": "busy_reqs",
+    "queue": "pending",
+    "util": "cpu_share",
+    "latency_ms": "svc_ms",
+    "qps": "served_ps",
+    "eps": "failed_ps",
+}
 
 
 def read_report(text: bytes) -> dict[str, float] | None:
--- a/gladegw/net/request.py
+++ b/gladegw/net/request.py
@@ -45,12 +45,19 @@
         ask = self.ask
         epoch = {} if self.epoch is None else {"epoch": self.epoch}
         return epoch | {
-            "generation": self.generation, "name": str(self.route), "pool": pool, "first": self.pool,
-            "method": ask.method, "target": ask.path + (f"?{ask.query_text}" if ask.query_text else ""),
-            "host": ask.host, "source": ask.source, "budget_ms": ask.budget_ms,
-            "headers": {name: ask.headers.get(name, "")[:LONGEST] for name in self.looked_at
-                        if name in ask.headers},
-        }  # fmt: skip
+            "generation": self.generation,
+            "name": str(self.route),
+            "pool": pool,
+            "first": self.pool,
+            "method": ask.method,
+            "target": ask.path + (f"?{ask.query_text}" if ask.query_text else ""),
+            "host": ask.host,
+            "source": ask.source,
+            "budget_ms": ask.budget_ms,
+            "headers": {
+                name: ask.headers.get(name, "")[:LONGEST] for name in self.looked_at if name in ask.headers
+            },
+        }
 
 
 class Router(Protocol):
--- a/gladegw/net/routes.py
+++ b/gladegw/net/routes.py
@@ -47,8 +47,11 @@
 LOOK = 0.25  # s between looks at what time changes: quotas, spill-over, members that were ejected
 MOST_MOVES = 4  # from pool to pool, of one request
 NO_MEMBER = 1.0  # s that a client is told to stay away from a pool without members
-STATUS = {api.ServerState.SERVING: "Ready", api.ServerState.DRAINING: "Terminating",
-          api.ServerState.REMOVED: "Gone"}  # fmt: skip
+STATUS = {
+    api.ServerState.SERVING: "Ready",
+    api.ServerState.DRAINING: "Terminating",
+    api.ServerState.REMOVED: "Gone",
+}
 RULES = frozenset({"x-call-id", "idempotency-key", "x-budget"})  # headers that are never told of
 
 
@@ -214,10 +217,13 @@
         for pool in new.table.description.pools:
             served[pool.name].pool = served[pool.name].membership.pool = pool
         self.now = new
-        self.division = Division(tuple(served), {
-            tenant.name: tenant.quota_per_s / self.config.settings.balancers
-            for tenant in self.config.settings.tenants
-        })  # fmt: skip
+        self.division = Division(
+            tuple(served),
+            {
+                tenant.name: tenant.quota_per_s / self.config.settings.balancers
+                for tenant in self.config.settings.tenants
+            },
+        )
         self.keep(beside, old, new)
         self._divide()
         for one in served.values():
@@ -230,8 +236,9 @@
         self.beside = list(beside)
         kept = [self.now, *beside]
         used = {id(one) for generation in kept for one in generation.served.values()}
-        ended = {id(one): one for generation in before for one in generation.served.values()
-                 if id(one) not in used}  # fmt: skip
+        ended = {
+            id(one): one for generation in before for one in generation.served.values() if id(one) not in used
+        }
         for one in ended.values():
             one.driver.retired = True
         self._retire(list(ended.values()))
@@ -309,10 +316,16 @@
             del self.backends[name]
         self.version = listing.version
         self.endpoints = [
-            Endpoint(name, listed.entry.zone, listed.entry.kind, listed.entry.cell,
-                     STATUS[listed.entry.state], listed.entry.weight)
+            Endpoint(
+                name,
+                listed.entry.zone,
+                listed.entry.kind,
+                listed.entry.cell,
+                STATUS[listed.entry.state],
+                listed.entry.weight,
+            )
             for name, listed in self.backends.items()
-        ]  # fmt: skip
+        ]
 
     def _on_list(self, listing: Listing) -> None:
         self._take(listing)
@@ -398,15 +411,25 @@
         return self.route_by(self.now, method, target, headers, budget, source)
 
     def route_by(
-        self, by: Generation, method: bytes, target: bytes, headers: Headers, budget: float,
+        self,
+        by: Generation,
+        method: bytes,
+        target: bytes,
+        headers: Headers,
+        budget: float,
         source: Callable[[], str],
-    ) -> Routed:  # fmt: skip
+    ) -> Routed:
         found = dict(headers)
         ask = Ask(
-            method.decode("latin-1"), target.decode("latin-1"), found.get(b"host", b"").decode("latin-1"),
-            headers, budget * 1000, found.get(b"x-caller", b"").decode("latin-1"), source(),
+            method.decode("latin-1"),
+            target.decode("latin-1"),
+            found.get(b"host", b"").decode("latin-1"),
+            headers,
+            budget * 1000,
+            found.get(b"x-caller", b"").decode("latin-1"),
+            source(),
             found.get(b"x-call-id", b"").decode("latin-1"),
-        )  # fmt: skip
+        )
         entry = by.table.find(ask)
         if entry is None:
             raise BadRequest(404, "no route")
@@ -419,9 +442,19 @@
         if route.rewrite is not None:
             target = rewritten(route.rewrite, entry.match.path.value, ask).encode("latin-1")
         return Routed(
-            route.cls, target, edited, route.timeout_ms / 1000, route.attempts, route, first_pool(route, ask),
-            ask, by.number, by.looked_at, by.served, by.epoch,
-        )  # fmt: skip
+            route.cls,
+            target,
+            edited,
+            route.timeout_ms / 1000,
+            route.attempts,
+            route,
+            first_pool(route, ask),
+            ask,
+            by.number,
+            by.looked_at,
+            by.served,
+            by.epoch,
+        )
 
     def opened(self, request: Request, reply: Reply) -> OpenCall | Moving | None:
         routed = request.routed
--- a/gladegw/net/serve.py
+++ b/gladegw/net/serve.py
@@ -155,9 +155,13 @@
         return driver.ready() and (agent is None or agent.may_serve)
 
     server = Server(
-        driver.effects, driver, driver.desk.shares.clients, ledger,
-        lambda: life.state is State.READY and able(), driver.desk.scratch,
-    )  # fmt: skip
+        driver.effects,
+        driver,
+        driver.desk.shares.clients,
+        ledger,
+        lambda: life.state is State.READY and able(),
+        driver.desk.scratch,
+    )
     draining = Drain(server, lambda: len(driver.calls) if isinstance(driver, Driver) else driver.calls)
 
     def changed(state: State) -> None:
--- a/gladegw/net/shared_resources.py
+++ b/gladegw/net/shared_resources.py
@@ -25,9 +25,18 @@
     """A taken request that is owed its answer."""
 
     __slots__ = (
-        "attempts", "deadline", "driver", "exchange", "number", "open", "ran", "reply", "request",
-        "streaming", "timer",
-    )  # fmt: skip
+        "attempts",
+        "deadline",
+        "driver",
+        "exchange",
+        "number",
+        "open",
+        "ran",
+        "reply",
+        "request",
+        "streaming",
+        "timer",
+    )
 
     def __init__(self, driver: Driver, number: int, request: Request, reply: Reply, deadline: float) -> None:
         self.driver = driver
--- a/gladegw/net/timing.py
+++ b/gladegw/net/timing.py
@@ -38,8 +38,12 @@
         """Microseconds and counts, which only grow."""
         told = {f"took.{cls}": round(1e6 * took) for cls, took in self.took.items()}
         for cls, ends in self.ends.items():
-            told |= {f"late.{cls}": self.late[cls], f"timed.{cls}": self.count[cls],
-                     f"ended.{cls}.passed": ends.passed,
-                     f"ended.{cls}.refused": ends.dropped, f"ended.{cls}.failed": ends.bad_gateway,
-                     f"ended.{cls}.gone": ends.gone}  # fmt: skip
+            told |= {
+                f"late.{cls}": self.late[cls],
+                f"timed.{cls}": self.count[cls],
+                f"ended.{cls}.passed": ends.passed,
+                f"ended.{cls}.refused": ends.dropped,
+                f"ended.{cls}.failed": ends.bad_gateway,
+                f"ended.{cls}.gone": ends.gone,
+            }
         return told
--- a/gladegw/net/tls.py
+++ b/gladegw/net/tls.py
@@ -17,10 +17,16 @@
 VERSIONS = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
 CLIENT_CERT = {"off": ssl.CERT_NONE, "optional": ssl.CERT_OPTIONAL, "required": ssl.CERT_REQUIRED}
 SHORT = {
-    "commonName": "CN", "organizationName": "O", "organizationalUnitName": "OU", "countryName": "C",
-    "stateOrProvinceName": "ST", "localityName": "L", "streetAddress": "STREET", "domainComponent": "DC",
+    "commonName": "CN",
+    "organizationName": "O",
+    "organizationalUnitName": "OU",
+    "countryName": "C",
+    "stateOrProvinceName": "ST",
+    "localityName": "L",
+    "streetAddress": "STREET",
+    "domainComponent": "DC",
     "userId": "UID",
-}  # fmt: skip
+}
 SPECIAL = ',+"\\<>;='
 
 
--- a/gladegw/net/upstream/connections.py
+++ b/gladegw/net/upstream/connections.py
@@ -31,9 +31,16 @@
 IDLE_SINCE = attrgetter("idle_since")
 # A connect that fails so has not left this machine: the backend is not at fault, and the next try may
 # succeed.
-LOCAL_FAULTS = frozenset((
-    errno.EADDRNOTAVAIL, errno.EMFILE, errno.ENETUNREACH, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM,
-))  # fmt: skip
+LOCAL_FAULTS = frozenset(
+    (
+        errno.EADDRNOTAVAIL,
+        errno.EMFILE,
+        errno.ENETUNREACH,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+    )
+)
 CONNECT_AGAIN = 0.01  # s until it is tried again, within the time of a connect
 CHUNKED_BEGUN = -1  # stands for the length of an answer that tells none
 
@@ -46,9 +53,22 @@
     """One connection to a backend; carries one exchange at a time."""
 
     __slots__ = (
-        "answer", "body", "exchange", "flush_at", "head_size", "headers", "idle_since", "length", "parser",
-        "size", "spoilt", "stopped", "transport", "until_close", "upstream",
-    )  # fmt: skip
+        "answer",
+        "body",
+        "exchange",
+        "flush_at",
+        "head_size",
+        "headers",
+        "idle_since",
+        "length",
+        "parser",
+        "size",
+        "spoilt",
+        "stopped",
+        "transport",
+        "until_close",
+        "upstream",
+    )
 
     def __init__(self, upstream: Upstream) -> None:
         self.upstream = upstream
--- a/gladegw/net/upstream/exchange.py
+++ b/gladegw/net/upstream/exchange.py
@@ -33,10 +33,32 @@
     """
 
     __slots__ = (
-        "begun", "body", "code", "connection", "done", "due", "elapsed", "headers", "held", "length",
-        "loop", "may_start", "moved_at", "passed_on", "request", "sent", "sink", "started_at", "status",
-        "timeout", "timer", "upload", "upstream", "whole", "written",
-    )  # fmt: skip
+        "begun",
+        "body",
+        "code",
+        "connection",
+        "done",
+        "due",
+        "elapsed",
+        "headers",
+        "held",
+        "length",
+        "loop",
+        "may_start",
+        "moved_at",
+        "passed_on",
+        "request",
+        "sent",
+        "sink",
+        "started_at",
+        "status",
+        "timeout",
+        "timer",
+        "upload",
+        "upstream",
+        "whole",
+        "written",
+    )
 
     def __init__(
         self,
--- a/gladegw/operators/commands.py
+++ b/gladegw/operators/commands.py
@@ -47,9 +47,13 @@
     """Answers calls; `able` says whether some backend is there to serve."""
 
     def __init__(
-        self, life: Lifecycle, ledger: Ledger, able: Callable[[], bool], backends: Callable[[], Backends],
+        self,
+        life: Lifecycle,
+        ledger: Ledger,
+        able: Callable[[], bool],
+        backends: Callable[[], Backends],
         more: Callable[[], Iterable[str]] = tuple,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`more`: lines of INFO from features that are on."""
         self.life, self.ledger, self.able, self.backends, self.more = life, ledger, able, backends, more
 
--- a/gladegw/operators/lifecycle.py
+++ b/gladegw/operators/lifecycle.py
@@ -24,22 +24,30 @@
 # What each event leads to. A state that is its own successor: the event is true already. None: refused.
 TABLE: dict[State, dict[Event, State | None]] = {
     State.STARTING: {
-        Event.ABLE: State.READY, Event.LAMEDUCK: State.LAME, Event.REJOIN: None,
+        Event.ABLE: State.READY,
+        Event.LAMEDUCK: State.LAME,
+        Event.REJOIN: None,
         Event.TERMINATE: State.LEAVING,
     },
     State.READY: {
-        Event.ABLE: State.READY, Event.LAMEDUCK: State.LAME, Event.REJOIN: State.READY,
+        Event.ABLE: State.READY,
+        Event.LAMEDUCK: State.LAME,
+        Event.REJOIN: State.READY,
         Event.TERMINATE: State.LEAVING,
     },
     State.LAME: {
-        Event.ABLE: State.LAME, Event.LAMEDUCK: State.LAME, Event.REJOIN: State.READY,
+        Event.ABLE: State.LAME,
+        Event.LAMEDUCK: State.LAME,
+        Event.REJOIN: State.READY,
         Event.TERMINATE: State.LEAVING,
     },
     State.LEAVING: {
-        Event.ABLE: State.LEAVING, Event.LAMEDUCK: State.LEAVING, Event.REJOIN: None,
+        Event.ABLE: State.LEAVING,
+        Event.LAMEDUCK: State.LEAVING,
+        Event.REJOIN: None,
         Event.TERMINATE: State.LEAVING,
     },
-}  # fmt: skip
+}
 
 
 class Refused(Exception):
--- a/gladegw/replay.py
+++ b/gladegw/replay.py
@@ -204,8 +204,16 @@
     from gladegw.routing.split import first_pool
 
     headers = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in route["headers"].items()]
-    ask = Ask(route["method"], route["target"], route["host"], headers, route["budget_ms"], record["tenant"],
-              route["source"], record["id"])  # fmt: skip
+    ask = Ask(
+        route["method"],
+        route["target"],
+        route["host"],
+        headers,
+        route["budget_ms"],
+        record["tenant"],
+        route["source"],
+        record["id"],
+    )
     entry = table.find(ask)
     now = ("none", "none") if entry is None else (str(entry.route), first_pool(entry.route, ask))
     then = (str(route["name"]), str(route["first"]))
--- a/gladegw/rig/clock.py
+++ b/gladegw/rig/clock.py
@@ -19,9 +19,11 @@
     """struct itimerspec of timerfd_settime(2)."""
 
     _fields_ = (
-        ("interval_s", ctypes.c_long), ("interval_ns", ctypes.c_long),
-        ("value_s", ctypes.c_long), ("value_ns", ctypes.c_long),
-    )  # fmt: skip
+        ("interval_s", ctypes.c_long),
+        ("interval_ns", ctypes.c_long),
+        ("value_s", ctypes.c_long),
+        ("value_ns", ctypes.c_long),
+    )
 
 
 class Alarm:
--- a/gladegw/rig/faults/coordinated.py
+++ b/gladegw/rig/faults/coordinated.py
@@ -59,8 +59,10 @@
             raise RigError(f"{root / base}: {fault.strerror or fault}") from None
         named = ", ".join(f'"{link.address}"' for link in links)
         settings = self.settings
-        text += (f'\ncoordination {{\n  endpoints = [{named}]\n  prefix = "{settings.prefix}"\n'
-                 f"  ttl_s = {settings.ttl_s}\n  timeout_ms = {settings.timeout_ms}\n}}\n")  # fmt: skip
+        text += (
+            f'\ncoordination {{\n  endpoints = [{named}]\n  prefix = "{settings.prefix}"\n'
+            f"  ttl_s = {settings.ttl_s}\n  timeout_ms = {settings.timeout_ms}\n}}\n"
+        )
         if settings.policy:
             first = self.folder / "site.routes.hcl"
             first.write_text(routes(0), encoding="utf-8")
--- a/gladegw/rig/faults/links.py
+++ b/gladegw/rig/faults/links.py
@@ -119,8 +119,10 @@
             await self.there.passed(pace)
             far, other = await asyncio.open_connection(*self.target)
             self.writers.add(other)
-            pumps = [asyncio.create_task(self._pump(self.there, reader, other, pace)),
-                     asyncio.create_task(self._pump(self.back, far, writer, pace))]  # fmt: skip
+            pumps = [
+                asyncio.create_task(self._pump(self.there, reader, other, pace)),
+                asyncio.create_task(self._pump(self.back, far, writer, pace)),
+            ]
             self.pumps |= set(pumps)
             for pump in pumps:
                 pump.add_done_callback(self.pumps.discard)
--- a/gladegw/rig/judging/judge.py
+++ b/gladegw/rig/judging/judge.py
@@ -300,10 +300,12 @@
     def _broken(self, prefix: str, target: str, since: float, until: float) -> bool:
         """Whether a fault of a link to this party was under way; what it held may come right after it."""
         return any(
-            band.name.startswith(prefix) and band.target == target
-            and band.at <= until and since <= band.until + NOTICED
+            band.name.startswith(prefix)
+            and band.target == target
+            and band.at <= until
+            and since <= band.until + NOTICED
             for band in self.bands
-        )  # fmt: skip
+        )
 
     def _proxies(self) -> None:
         for event in self.events:
--- a/gladegw/rig/judging/series.py
+++ b/gladegw/rig/judging/series.py
@@ -73,9 +73,14 @@
         percentiles[:, at] = np.percentile(found, [50, 99])
     return Course(
         np.arange(bins, dtype=np.float64) * BIN,
-        served, percentiles[0], percentiles[1], refused / BIN, retries / BIN,
-        _inflight(records, origin, bins), schedule.bands(scenario),
-    )  # fmt: skip
+        served,
+        percentiles[0],
+        percentiles[1],
+        refused / BIN,
+        retries / BIN,
+        _inflight(records, origin, bins),
+        schedule.bands(scenario),
+    )
 
 
 def _inflight(records: list[Any], origin: float, bins: int) -> dict[str, Floats]:
--- a/gladegw/rig/measures/cost.py
+++ b/gladegw/rig/measures/cost.py
@@ -58,8 +58,9 @@
                 if with_block:
                     kept = bool(before) and all(before.values()) and before == await tokens(store.endpoints)
     told = figures["latency_ms"]
-    return Play(with_block, rate, told["p50"], told["p99"], figures["proxy_cpu_us"], memory, figures["good"],
-                kept)  # fmt: skip
+    return Play(
+        with_block, rate, told["p50"], told["p99"], figures["proxy_cpu_us"], memory, figures["good"], kept
+    )
 
 
 async def measure(rate: float, plays: int, lasts: float, ttl: int) -> dict[str, Any]:
@@ -73,7 +74,10 @@
         pairs.append((pair[False], pair[True]))
     names = ("p50", "p99", "cpu_us", "memory_mb")
     return {
-        "rate": rate, "plays": plays, "ttl_s": ttl, "seconds": round(time.monotonic() - began, 1),
+        "rate": rate,
+        "plays": plays,
+        "ttl_s": ttl,
+        "seconds": round(time.monotonic() - began, 1),
         "kept": all(there.kept for _, there in pairs),
         "without": {name: median(getattr(one, name) for one, _ in pairs) for name in names},
         "with": {name: median(getattr(there, name) for _, there in pairs) for name in names},
@@ -82,4 +86,4 @@
         },
         "good": min(min(one.good, there.good) for one, there in pairs),
         "each": [msgspec.to_builtins(one) for pair in pairs for one in pair],
-    }  # fmt: skip
+    }
--- a/gladegw/rig/nodes/fleet.py
+++ b/gladegw/rig/nodes/fleet.py
@@ -137,8 +137,15 @@
             door = await self.discoveries[tier + 1].door(self.sidecar(node))
             self.discoveries[tier + 1].known_to(self.sidecar(node))
             waits = self.sidecars[node.name] = self.loop.create_future()
-            say("sidecar", name=self.sidecar(node), node=node.name, tier=tier + 1, zone=node.zone,
-                discovery=door, known=self._known(tier + 1))  # fmt: skip
+            say(
+                "sidecar",
+                name=self.sidecar(node),
+                node=node.name,
+                tier=tier + 1,
+                zone=node.zone,
+                discovery=door,
+                known=self._known(tier + 1),
+            )
             node.next = Pool("127.0.0.1", await waits, kind.slots)
         await node.listen()
         if self.linked and node.name not in self.links:
--- a/gladegw/rig/simulate/scenario_run.py
+++ b/gladegw/rig/simulate/scenario_run.py
@@ -92,9 +92,10 @@
         course: list[Callable[[], Awaitable[Rollout]]] = []
         if self.draws.random() < 0.3:
             courses: tuple[list[Callable[[], Awaitable[Rollout]]], ...] = (
-                [lambda: rollouts.stop("rig", True)], [lambda: rollouts.stop("rig", False)],
+                [lambda: rollouts.stop("rig", True)],
+                [lambda: rollouts.stop("rig", False)],
                 [lambda: rollouts.pause(True), lambda: rollouts.pause(False)],
-            )  # fmt: skip
+            )
             course = self.draws.choice(courses)
         for ask in course:
             await asyncio.sleep(self.draws.uniform(0.0, 30.0))
--- a/gladegw/rig/store/cluster.py
+++ b/gladegw/rig/store/cluster.py
@@ -51,9 +51,12 @@
 
 class Cluster:
     def __init__(
-        self, members: int, least_ttl: int = 1, election: float = 0.5,
+        self,
+        members: int,
+        least_ttl: int = 1,
+        election: float = 0.5,
         clock: Callable[[], float] = time.monotonic,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.model = Model(least_ttl=least_ttl)
         self.machines = [Machine() for _ in range(members)]
         self.leader: int | None = 0
--- a/gladegw/rig/traffic/steady.py
+++ b/gladegw/rig/traffic/steady.py
@@ -39,8 +39,10 @@
         streams = None
         while True:
             self.number += 1
-            request = (f"GET /status/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: {id(self)}-{self.number}\r\n"
-                       "X-Budget: 3000m\r\n\r\n")  # fmt: skip
+            request = (
+                f"GET /status/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: {id(self)}-{self.number}\r\n"
+                "X-Budget: 3000m\r\n\r\n"
+            )
             began = time.monotonic()
             code, kept, shed, why = 0, streams is not None, False, ""
             while True:
--- a/gladegw/rig/traffic/traces.py
+++ b/gladegw/rig/traffic/traces.py
@@ -98,9 +98,12 @@
     if admitted is None:
         raise ValueError("a request without a time")
     return Recorded(
-        _number(admitted["at"], "at"), str(raw["class"]), str(raw["tenant"]), "",
+        _number(admitted["at"], "at"),
+        str(raw["class"]),
+        str(raw["tenant"]),
+        "",
         _number(raw["budget_ms"], "budget_ms") / 1000,
-    )  # fmt: skip
+    )
 
 
 def _format(path: Path, asked: str) -> str:
--- a/gladegw/routing/cells.py
+++ b/gladegw/routing/cells.py
@@ -414,8 +414,9 @@
         best: Truth = False
         for atom in value_atoms(dimension, [asked[dimension], more[dimension]]):
             truths = (
-                value_truth(dimension, asked[dimension], atom), value_truth(dimension, more[dimension], atom)
-            )  # fmt: skip
+                value_truth(dimension, asked[dimension], atom),
+                value_truth(dimension, more[dimension], atom),
+            )
             if False not in truths:
                 if None not in truths:
                     best = True
--- a/gladegw/routing/checks.py
+++ b/gladegw/routing/checks.py
@@ -124,12 +124,15 @@
         what = f"route {route} allows {route.attempts} attempts; class {rule.name} permits {rule.attempts}"
         found.append(Finding("R301", route.place, what, rule.place))
     if route.timeout_ms > rule.timeout_ms:
-        what = (f"route {route} waits {route.timeout_ms:g} ms; callers of class {rule.name} wait "
-                f"{rule.timeout_ms:g} ms")  # fmt: skip
+        what = (
+            f"route {route} waits {route.timeout_ms:g} ms; callers of class {rule.name} wait "
+            f"{rule.timeout_ms:g} ms"
+        )
         found.append(Finding("R303", route.place, what, rule.place))
     elif 0 < route.timeout_ms < rule.aim_ms:
-        what = (f"route {route} waits {route.timeout_ms:g} ms; class {rule.name} aims at "
-                f"{rule.aim_ms:g} ms")  # fmt: skip
+        what = (
+            f"route {route} waits {route.timeout_ms:g} ms; class {rule.name} aims at " f"{rule.aim_ms:g} ms"
+        )
         found.append(Finding("R304", route.place, what, rule.place))
     if route.mirror is not None and rule.effect != "repeatable":
         what = f"route {route} mirrors class {rule.name}, which is not safe to repeat"
--- a/gladegw/routing/expect.py
+++ b/gladegw/routing/expect.py
@@ -19,8 +19,19 @@
 from gladegw.routing.source import Block, Named
 from gladegw.routing.split import shares
 
-WANTS = ("goes_to", "never", "answers", "refused", "redirects", "split", "class", "timeout_ms", "attempts",
-         "sends", "path")  # fmt: skip
+WANTS = (
+    "goes_to",
+    "never",
+    "answers",
+    "refused",
+    "redirects",
+    "split",
+    "class",
+    "timeout_ms",
+    "attempts",
+    "sends",
+    "path",
+)
 CLOSE = 1e-6  # of a share
 MOST_NAMED = 3  # other routes that a failure names
 
@@ -79,12 +90,14 @@
         method=fields.text("method", "GET"),
         target=path,
         host=fields.text("host") or headers.get("host", ""),
-        raw=[(name.encode("latin-1", "replace"), value.encode("latin-1", "replace"))
-             for name, value in headers.items()],
+        raw=[
+            (name.encode("latin-1", "replace"), value.encode("latin-1", "replace"))
+            for name, value in headers.items()
+        ],
         budget_ms=fields.number("budget_ms", 1000.0, 0.0, 1e9),
         tenant=tenant,
         source=fields.text("source"),
-    )  # fmt: skip
+    )
     fields.done()
     return ask
 
--- a/gladegw/routing/matcher.py
+++ b/gladegw/routing/matcher.py
@@ -28,12 +28,18 @@
     budget = match.budget_ms
     width = min((net.prefixlen for net in match.sources), default=-1)
     return (
-        0 if host and not wild else 1 if wild else 2, -len(host),
-        PATH_ORDER[match.path.kind], -len(match.path.value),
-        0 if match.methods else 1, -len(match.headers), -len(match.query),
-        -width, 0 if match.tenants else 1, 0 if match.classes else 1,
+        0 if host and not wild else 1 if wild else 2,
+        -len(host),
+        PATH_ORDER[match.path.kind],
+        -len(match.path.value),
+        0 if match.methods else 1,
+        -len(match.headers),
+        -len(match.query),
+        -width,
+        0 if match.tenants else 1,
+        0 if match.classes else 1,
         budget[1] - budget[0] if budget is not None else WIDEST,
-    )  # fmt: skip
+    )
 
 
 def text_holds(text: Text, value: str | None) -> bool:
@@ -191,18 +197,29 @@
     """Immutable once made. `find` is pure: the same request always gets the same entry."""
 
     __slots__ = (
-        "any_host", "classes", "description", "entries", "exact_hosts", "hosts", "segments", "wild_hosts",
-    )  # fmt: skip
+        "any_host",
+        "classes",
+        "description",
+        "entries",
+        "exact_hosts",
+        "hosts",
+        "segments",
+        "wild_hosts",
+    )
 
     def __init__(self, description: Description) -> None:
         self.description = description
-        self.entries: tuple[Entry, ...] = tuple(sorted(
-            (
-                Entry(rank_of(match, host), route, match, host, conditions(match))
-                for route in description.routes for match in route.matches for host in match.hosts or ("",)
-            ),
-            key=lambda entry: entry.order,
-        ))  # fmt: skip
+        self.entries: tuple[Entry, ...] = tuple(
+            sorted(
+                (
+                    Entry(rank_of(match, host), route, match, host, conditions(match))
+                    for route in description.routes
+                    for match in route.matches
+                    for host in match.hosts or ("",)
+                ),
+                key=lambda entry: entry.order,
+            )
+        )
         by_host: dict[str, list[Entry]] = {}
         for entry in self.entries:
             by_host.setdefault(entry.host, []).append(entry)
@@ -268,8 +285,11 @@
             value = values.get(text.name)
             if not text_holds(text, value):
                 wanted = "present" if text.kind == "present" else f"{text.kind} {text.value!r}"
-                found.append(f"{kind} {text.name} {value!r} is not {wanted}" if value is not None
-                             else f"{kind} {text.name} is missing")  # fmt: skip
+                found.append(
+                    f"{kind} {text.name} {value!r} is not {wanted}"
+                    if value is not None
+                    else f"{kind} {text.name} is missing"
+                )
     if match.sources and not source_holds(match.sources, ask):
         nets = " or ".join(map(str, match.sources))
         found.append(f"source {ask.source or '(none)'} is not in {nets}")
--- a/gladegw/routing/read.py
+++ b/gladegw/routing/read.py
@@ -315,17 +315,28 @@
 
 def _check_actions(route: Route, fields: Fields) -> None:
     ends = [
-        name for name, found in (("pool", route.pool), ("split", route.split),
-                                 ("redirect", route.redirect), ("answer", route.answer)) if found
-    ]  # fmt: skip
+        name
+        for name, found in (
+            ("pool", route.pool),
+            ("split", route.split),
+            ("redirect", route.redirect),
+            ("answer", route.answer),
+        )
+        if found
+    ]
     if not ends:
         fields.fault("R006", "needs one of pool, split, redirect and answer")
     elif len(ends) > 1:
         fields.fault("R007", f"{ends[0]} and {ends[1]} exclude each other")
     sends = bool(route.pool or route.split)
-    for key, there in (("fallback", route.fallback), ("mirror", route.mirror), ("rewrite", route.rewrite),
-                       ("timeout_ms", route.timeout_ms), ("attempts", route.attempts),
-                       ("edit_headers", route.edits)):  # fmt: skip
+    for key, there in (
+        ("fallback", route.fallback),
+        ("mirror", route.mirror),
+        ("rewrite", route.rewrite),
+        ("timeout_ms", route.timeout_ms),
+        ("attempts", route.attempts),
+        ("edit_headers", route.edits),
+    ):
         if there and ends and not sends:
             fields.fault("R007", f"{key} goes only with a pool or a split", key)
     if route.rewrite is not None:
@@ -417,16 +428,18 @@
             fields.done()
     description = Description(
         routes=tuple(
-            read_route(block, findings) for block in sorted(blocks, key=lambda b: b.label)
+            read_route(block, findings)
+            for block in sorted(blocks, key=lambda b: b.label)
             if block.name == "route"
         ),
         pools=tuple(
-            read_pool(block, findings) for block in sorted(blocks, key=lambda b: b.label)
+            read_pool(block, findings)
+            for block in sorted(blocks, key=lambda b: b.label)
             if block.name == "pool"
         ),
         unchanged=unchanged,
         digest="-".join(document.digest for document in documents),
-    )  # fmt: skip
+    )
     check_references(description, findings)
     return description
 
--- a/gladegw/routing/source.py
+++ b/gladegw/routing/source.py
@@ -198,10 +198,16 @@
             if self.now.kind == "text":
                 return Named(now.text, self.string())
             if now.text not in WORDS:
-                raise RoutingError([Finding(
-                    "R001", Place(self.file, now.line, now.column),
-                    f"{now.text} is no value", hint="a text stands in quotes",
-                )])  # fmt: skip
+                raise RoutingError(
+                    [
+                        Finding(
+                            "R001",
+                            Place(self.file, now.line, now.column),
+                            f"{now.text} is no value",
+                            hint="a text stands in quotes",
+                        )
+                    ]
+                )
             return WORDS[now.text]
         if now.text == "[":
             return self.items(depth)
--- a/gladegw/supervisor/processes.py
+++ b/gladegw/supervisor/processes.py
@@ -118,8 +118,9 @@
         if said:
             self.answered = now
         if listen is not None and ready:
-            answer = await asked("{}:{}".format(*listen), b"GET /healthz HTTP/1.1\r\nHost: x\r\n"
-                                 b"Connection: close\r\n\r\n")  # fmt: skip
+            answer = await asked(
+                "{}:{}".format(*listen), b"GET /healthz HTTP/1.1\r\nHost: x\r\n" b"Connection: close\r\n\r\n"
+            )
             ready = b" 200 " in answer.partition(b"\r\n")[0]
         self.ready = ready
         told = (await asked(self.kept.admin, b"INFO\n")).decode("ascii", "replace")
