--- a/gladegw/balancing/requests.py
+++ b/gladegw/balancing/requests.py
@@ -40,11 +40,11 @@
         self.call, self.number, self.server, self.sent_at, self.load = call, number, server, sent_at, load
         self.status = -1  # in flight
         self.in_window = True  # counts against the concurrency window
-        self.counted_late = False  # has been counted as late
-        self.connection_idle = 0.0  # seconds without use; 0: in use or new
-        self.new_connection = False  # the connection was new
-        self.hedged = False
-        self.stalled_for = 0.0  # seconds for which this process stood still, of its time in flight
+        self.counted_late = False  # has already shrunk the window as late
+        self.connection_idle = 0.0  # seconds its connection was idle before the send; 0: in use or new
+        self.new_connection = False  # a new connection was opened for it
+        self.hedged = False  # was handled as stuck; it is not checked for that again
+        self.stalled_for = 0.0  # seconds of its time in flight during which this process was stalled
 
 
 class Call:
@@ -70,38 +70,44 @@
     )
 
     def __init__(
-        self, id: int, cls: ClassState, priority_weight: float, arrived: float, deadline: float, useful: float
+        self,
+        id: int,
+        cls: ClassState,
+        priority_weight: float,
+        arrived: float,
+        deadline: float,
+        useful_until: float,
     ) -> None:
         self.id, self.cls, self.priority_weight, self.arrived = id, cls, priority_weight, arrived
-        self.deadline, self.useful_until = deadline, useful
+        self.deadline, self.useful_until = deadline, useful_until
         self.order = (-priority_weight, arrived, id)
         self.attempts: list[Attempt] = []
         self.max_attempts = 0  # the route's limit; 0: the settings' limit
         self.in_flight = 0
         self.ended = self.streaming = self.queued = False
-        self.queue_position: int | None = None  # when the queue was last trimmed
-        self.probed_candidates: list[Server] | None = None  # servers probed for this call alone
-        self.probe_wait_until = 0.0
+        self.queue_position: int | None = None  # as of the last trim; None: not trimmed since it arrived
+        self.probed_candidates: list[Server] | None = None  # servers probed only for this call
+        self.probe_wait_until = 0.0  # time at which it is sent without the remaining probe results
 
     def __lt__(self, other: Call) -> bool:
         return self.order < other.order
 
 
 class RequestLifecycle:
-    """The only place where attempts are sent and final answers given.
+    """Sends all attempts and gives all final answers.
 
-    It enforces the rules on retries, deadlines and idempotency, whatever the heuristics choose.
+    Enforces the rules on retries, deadlines and idempotency, whatever the heuristics of other modules choose.
     """
 
     def __init__(self, settings: Settings, actions: list[Action]) -> None:
         self.settings = settings
         self.actions = actions
         self.calls: dict[int, Call] = {}
-        self.finished: dict[int, None] = {}  # ids of the last finished calls
+        self.finished: dict[int, None] = {}  # ids of recently finished calls, oldest first
 
     @staticmethod
-    def may_have_run(call: Call) -> Attempt | None:
-        """Return the earliest attempt that ran, may have run or may still run, or None."""
+    def first_possible_run(call: Call) -> Attempt | None:
+        """Return the earliest attempt that a server ran, may have run or may still run, or None."""
         for attempt in call.attempts:
             if attempt.status not in NEVER_RAN:
                 return attempt
@@ -110,8 +116,8 @@
     def may_send(self, call: Call, server: Server, now: float) -> bool:
         """Return whether an attempt of the call may be sent to this server now.
 
-        A call that may have run is only repeated where its class allows it: idempotent calls anywhere, calls
-        with an idempotency key within the same server group and the deduplication window.
+        A call that may have run is repeated only if its class allows it: idempotent calls at any server,
+        calls with an idempotency key within the same server group and the deduplication window.
         """
         settings = self.settings
         if call.ended or call.streaming or now >= call.deadline or server.state is not ServerState.SERVING:
@@ -120,7 +126,7 @@
             return True
         if self.attempts_exhausted(call) or (call.in_flight and not settings.may_hedge):
             return False
-        first = self.may_have_run(call)
+        first = self.first_possible_run(call)
         if first is None or call.cls.effect is Effect.IDEMPOTENT:
             return True
         if call.cls.effect is Effect.NOT_IDEMPOTENT:
@@ -139,26 +145,26 @@
         )
 
     @staticmethod
-    def same_group(cls: ClassState, one: Server, other: Server) -> bool:
+    def same_group(cls: ClassState, first: Server, second: Server) -> bool:
         """Return whether both servers deduplicate requests of this class together."""
         if cls.group == "all":
             return True
         if cls.group == "zone":
-            return one.zone == other.zone
-        return one.zone == other.zone and one.cell == other.cell
+            return first.zone == second.zone
+        return first.zone == second.zone and first.cell == second.cell
 
     def may_reject(self, call: Call) -> bool:
-        """Return whether the answer may promise that a retry by the client is harmless."""
+        """Return whether a call may be answered with Reject, which tells the client that a retry is safe."""
         effect = call.cls.effect
         if effect is Effect.IDEMPOTENT or (effect is Effect.IDEMPOTENCY_KEY and call.cls.group == "all"):
             return True
-        return self.may_have_run(call) is None
+        return self.first_possible_run(call) is None
 
     def may_retry(self, call: Call) -> bool:
-        """Return whether some further attempt could still be allowed."""
+        """Return whether the rules could still allow a further attempt, at some server."""
         if call.ended or call.streaming or self.attempts_exhausted(call):
             return False
-        return call.cls.effect is not Effect.NOT_IDEMPOTENT or self.may_have_run(call) is None
+        return call.cls.effect is not Effect.NOT_IDEMPOTENT or self.first_possible_run(call) is None
 
     def send(self, call: Call, server: Server, now: float, timeout: float, load: float) -> Attempt | None:
         """Append a Send action and return the new attempt, or None if the rules forbid it.
@@ -175,17 +181,21 @@
         return attempt
 
     def start_within(self, call: Call, now: float) -> float:
-        """Return how many seconds a further attempt may take to begin; a new connection may be slow.
+        """Return the seconds within which a further attempt must begin; setting up a connection can delay it.
 
-        Infinite unless the class relies on an idempotency key, whose deduplication window ends.
+        Infinite, unless the class relies on an idempotency key: then the deduplication window must not end
+        first.
         """
-        first = self.may_have_run(call)
+        first = self.first_possible_run(call)
         if first is None or call.cls.effect is not Effect.IDEMPOTENCY_KEY:
             return math.inf
         return first.sent_at + call.cls.window - now
 
     def answer(self, call: Call, retry_after: float = 0.0) -> None:
-        """Give the final answer: a rejection where a retry by the client is harmless, else a failure."""
+        """Give the final answer: a rejection if a retry by the client is safe, else a failure.
+
+        `retry_after` is sent with a rejection (seconds; 0: none).
+        """
         if call.ended:
             return
         if self.may_reject(call):
@@ -197,18 +207,18 @@
     def reject_unknown(self, id: int) -> None:
         """Reject an arrival that cannot become a call: unknown class or no time left."""
         self.actions.append(Reject(id))
-        self.remember(id)
+        self.record_finished(id)
 
-    def remember(self, id: int) -> None:
-        """Record the id of a finished call; the oldest ids are dropped beyond a limit."""
+    def record_finished(self, id: int) -> None:
+        """Record the id of a finished call; beyond MAX_REMEMBERED_CALLS the oldest id is dropped."""
         self.finished[id] = None
         if len(self.finished) > MAX_REMEMBERED_CALLS:
             del self.finished[next(iter(self.finished))]
 
     def end(self, call: Call) -> None:
-        """Mark a call as answered or abandoned."""
+        """Mark a call as answered or as abandoned by its client."""
         call.ended = True
-        self.forget(call)
+        self.discard_if_finished(call)
 
     def settle(self, attempt: Attempt, status: int, final: bool) -> None:
         """Record the outcome of an attempt; `final` also ends its call."""
@@ -218,16 +228,16 @@
         attempt.status = status
         if final:
             call.ended = True
-        self.forget(call)
+        self.discard_if_finished(call)
 
-    def forget(self, call: Call) -> None:
-        """Remove a call that has ended and has no attempt in flight."""
+    def discard_if_finished(self, call: Call) -> None:
+        """Remove a call if it has ended and has no attempt in flight."""
         if call.ended and not call.in_flight:
             self.calls.pop(call.id, None)
-            self.remember(call.id)
-            call.attempts = []  # each refers to its call: no cycle for the garbage collector
+            self.record_finished(call.id)
+            call.attempts = []  # breaks the reference cycle, which would be left to the garbage collector
 
 
 def attempt_states(call: Call) -> list[tuple[int, float]]:
-    """Return the status and the send time of each attempt of a call."""
+    """Return the status (-1: in flight) and the send time of each attempt of a call."""
     return [(attempt.status, attempt.sent_at) for attempt in call.attempts]
