--- a/gladegw/balancing/balancer.py
+++ b/gladegw/balancing/balancer.py
@@ -49,28 +49,27 @@
 from gladegw.balancing.requests import Attempt, Call, RequestLifecycle, attempt_states
 from gladegw.balancing.server_selection import Server, ServerSelector
 
-STALL_S = (
-    4 * CONTROL_STEP_S
-)  # after a gap this long between batches latencies reflect this instance's own pause
-ANSWER_MARGIN_S = (
-    2 * CONTROL_STEP_S
-)  # a queued call is answered this long before the client's deadline at the latest
-MIN_LATENCY_S = 1e-4  # keeps means above 0
+# After a longer gap between batches, the measured latencies include a pause of this instance itself.
+STALL_GAP_S = 4 * CONTROL_STEP_S
+# A queued call is answered at the latest this long before the client's deadline.
+ANSWER_MARGIN_S = 2 * CONTROL_STEP_S
+MIN_LATENCY_S = 1e-4  # lower bound of a measured latency: mean latencies are divisors and must not be 0
 INITIAL_WINDOW_FRACTION = 0.5  # initial window, as a fraction of the overload limit
-SAMPLE_RETENTION = 0.9  # weight of older samples at each new one
-TAIL_LATENCIES = 2.0  # mean latencies a queued call needs at dispatch: latencies have a long tail
-RETRY_BUDGET_FRACTION = 0.15  # retries per arriving call: prevents multiplication through tiers
-RETRY_BUDGET_BURST = 5.0  # retries at once
-STUCK_LATENCIES = 4.0  # age, in mean latencies, of a stuck call
-ALIVE_S = 1.0  # a server that answered within this time is not down
-CONNECTIONS_FULL_S = 5.0  # no new connection to a server that rejected one
-ERROR_RATE_EXCESS = 0.35  # error rate above the pool's that ejects a server
-IDLE_TRUST_DOUBLING_S = 15.0  # growth time of the trusted idle time
-EXPENSIVE_CONNECT_LATENCIES = 1.5  # mean latencies; above this an untrusted idle connection is used instead
-CONNECT_SAMPLES = 30  # over which new and open connections are compared
-RETRY_AFTER_FRACTION = 0.25  # of the processing time
-TICK_TOKEN = 1
-# Verdicts; captures store the values.
+SAMPLE_DECAY = 0.9  # factor on the weight of the older samples when a sample is added
+DISPATCH_LATENCIES = 2.0  # time reserved for a queued call's attempt, in mean latencies: the tail is long
+RETRY_BUDGET_FRACTION = 0.15  # retries per arriving call: limits how retries multiply across tiers
+RETRY_BUDGET_BURST = 5.0  # retries that the budget can accumulate
+STUCK_LATENCIES = 4.0  # age, in mean latencies, above which an attempt counts as stuck
+ALIVE_S = 1.0  # a server whose last success is more recent than this is not down
+CONNECTION_LIMIT_S = 5.0  # time for which a live server that refused a connection gets no new ones
+ERROR_RATE_EXCESS = 0.35  # a server is ejected if its error rate exceeds the pool's by more than this
+IDLE_TRUST_GROWTH_S = 15.0  # time constant of the growth of the trusted idle time
+# Above this cost of a new connection, in mean latencies, an untrusted idle connection is used instead.
+EXPENSIVE_CONNECT_LATENCIES = 1.5
+CONNECT_SAMPLES = 30  # samples over which the costs of new and of open connections are averaged
+RETRY_AFTER_FRACTION = 0.25  # retry delay sent to clients, as a fraction of the processing time
+TICK_TOKEN = 1  # token of the control step's timer
+# Verdicts on a call; captures store the values.
 QUEUED, SHED, TOO_LATE, QUEUE_FULL, DISPLACED, ATTEMPTS_EXHAUSTED = (
     "held",
     "cut",
@@ -82,10 +81,10 @@
 
 
 class Balancer:
-    """Decisions of one instance.
+    """Makes all decisions of one instance.
 
-    `handle` processes all events of a batch, then admits and queues calls, then sends those of highest
-    priority weight.
+    `handle` processes all events of a batch, then admits and queues the calls that arrived in it, then sends
+    the queued calls of highest priority weight.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -96,17 +95,18 @@
         self.classes = {cls.name: ClassState(cls, settings.stage) for cls in settings.classes}
         self.admission = Admission(settings.stage, self.random)
         self.servers = ServerSelector(settings, self.random)
+        # By tenant: this instance's share of the quota in calls per second, and the calls left of it.
         self.quota = {t.name: t.quota_per_s / settings.balancers for t in settings.tenants}
         self.quota_left = {name: quota for name, quota in self.quota.items()}
-        self.queue: list[Call] = []
-        self.in_flight: dict[tuple[int, int], Attempt] = {}
+        self.queue: list[Call] = []  # ordered by priority weight, highest first
+        self.in_flight: dict[tuple[int, int], Attempt] = {}  # by call and number of the attempt
         self.window_in_use = 0  # attempts that count against the window
-        self.arrivals = self.sends = 0
+        self.arrivals = self.sends = 0  # since the last control step
         self.retry_tokens = RETRY_BUDGET_BURST
         self.now = 0.0
-        self.last_step = -1.0
+        self.last_step = -1.0  # time of the last control step; negative before the first batch
         self.stalled = False  # the instance itself paused before this batch
-        self.timer_set = False
+        self.timer_set = False  # the timer of the next control step is pending
         self.freshness = EndpointFreshness(
             self.random, settings.polls_endpoints, settings.drain_grace, settings.connect_timeout
         )
@@ -115,19 +115,19 @@
             settings, self.random, self.servers, self.admission, self.freshness, self.actions
         )
         self.observer: DecisionObserver | None = None
-        self.arrival_inputs: dict[int, dict[str, Any]] = {}  # by call, for the observer
+        self.arrival_inputs: dict[int, dict[str, Any]] = {}  # by call id; reported to the observer
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
         """Process a batch of events at time `now` (seconds) and return the actions to take, in order."""
         self.now = now
-        self.stalled = 0 <= self.last_step < now - STALL_S
+        self.stalled = 0 <= self.last_step < now - STALL_GAP_S
         self.actions.clear()
-        fresh: list[Call] = []
+        new_calls: list[Call] = []
         for event in events:
             if type(event) is Outcome:
                 self.on_outcome(event)
             elif type(event) is Arrival:
-                self.on_arrival(event, fresh)
+                self.on_arrival(event, new_calls)
             elif type(event) is Timer:
                 if event.token == TICK_TOKEN:
                     self.timer_set = False
@@ -138,7 +138,7 @@
             elif type(event) is ClientDisconnected:
                 self.on_client_disconnected(event)
             elif type(event) is StreamStarted:
-                self.on_stream(event)
+                self.on_stream_started(event)
             elif type(event) is Stalled:
                 for attempt in self.in_flight.values():
                     attempt.stalled_for += event.seconds
@@ -146,7 +146,7 @@
             self.start()
         elif now - self.last_step >= CONTROL_STEP_S - 1e-9:
             self.control_step()
-        for call in fresh:
+        for call in new_calls:
             if not call.ended:  # the client may disconnect within the same batch
                 self.admit(call)
         self.arrival_inputs.clear()
@@ -171,7 +171,7 @@
             freshness = self.freshness
             freshness.on_failure(self.now, event.failure, event.missed_for)
             self.log(
-                f"discovery asked again: in_s={freshness.next_poll_at - self.now:.3f} "
+                f"discovery poll failed, retry scheduled: in_s={freshness.next_poll_at - self.now:.3f} "
                 f"reason={event.failure.value!r} failures={freshness.consecutive_failures} "
                 f"lapses_in_s={freshness.expires_at - self.now:.3f}"
             )
@@ -184,8 +184,8 @@
         self.servers.apply_list(event, self.now)
         self.admission.set_min_window(len(self.servers.servers), self.settings.balancers)
 
-    def on_arrival(self, event: Arrival, fresh: list[Call]) -> None:
-        """Create a call for an arrival and append it to `fresh`, or reject what cannot become a call."""
+    def on_arrival(self, event: Arrival, new_calls: list[Call]) -> None:
+        """Create a call for an arrival and append it to `new_calls`, or reject an invalid arrival."""
         if event.call in self.lifecycle.calls or event.call in self.lifecycle.finished:
             return
         cls = self.classes.get(event.cls)
@@ -215,13 +215,13 @@
         self.lifecycle.calls[call.id] = call
         self.admission.history.append(call.priority_weight)
         self.retry_tokens = min(RETRY_BUDGET_BURST, self.retry_tokens + RETRY_BUDGET_FRACTION)
-        fresh.append(call)
+        new_calls.append(call)
 
     def make_call(self, event: Arrival, cls: ClassState, quota: float | None, typical_budget: float) -> Call:
         """Return the call of an arrival.
 
-        `quota`: what is left of its tenant's quota (None: no quota). `typical_budget`: that of its class, in
-        seconds.
+        `quota`: calls left of its tenant's quota (None: no quota). `typical_budget`: median budget of its
+        class, in seconds (0: not determined).
         """
         now = self.now
         priority_weight = cls.priority_weight
@@ -244,9 +244,9 @@
         if self.observer is not None:
             admission = self.admission
             threshold = None if math.isinf(admission.threshold) else admission.threshold
-            used = {"cut": threshold, "tie": admission.tie_reject_fraction, "draw": admission.last_draw}
-            used |= {"at": self.now, **self.arrival_inputs[call.id]}
-            self.observer(call.id, "admit", used, QUEUED if admitted else SHED)
+            inputs = {"cut": threshold, "tie": admission.tie_reject_fraction, "draw": admission.last_draw}
+            inputs |= {"at": self.now, **self.arrival_inputs[call.id]}
+            self.observer(call.id, "admit", inputs, QUEUED if admitted else SHED)
         if admitted:
             self.enqueue(call)
         else:
@@ -255,14 +255,14 @@
     def objective_left(
         self, cls: ClassState, budget: float, typical_budget: float, waited: float = 0.0
     ) -> float:
-        """Return the seconds left of the latency objective.
-
-        The budget of an inner call is the useful time that its caller's instance left it. At the first tier a
-        budget that was below the typical one when the client sent it means that the client's total time is
-        running out, so it shows how long the client has waited over earlier attempts. Prevents work for
-        answers that come too late; the median instead of the maximum keeps a few unusual budgets from making
-        every first attempt look late. Time that a request waited here, or in another pool, is no earlier
-        attempt of the client.
+        """Return the seconds left of the latency objective, to prevent work on answers that come too late.
+
+        For an inner call this is the whole objective: its budget already is the useful time that its caller's
+        instance left it. At the first tier a budget below the typical one means that the client has already
+        spent time on earlier attempts; how much follows from the deadline. The typical budget is a median:
+        with a maximum, a few unusually long budgets would make every first attempt look like a late retry.
+        `waited` is the time that the request has waited here or in another pool. It counts as part of the
+        budget, because it was not spent on an earlier attempt of the client.
         """
         if self.settings.stage or budget + waited >= typical_budget - CONTROL_STEP_S:
             return cls.latency_objective
@@ -276,8 +276,8 @@
     def retry_after(self) -> float:
         """Return the seconds after which a rejected client should retry; 0: no hint is sent.
 
-        By then the calls that fill the window now have been answered. Without a hint a client retries sooner,
-        into the same overload.
+        By then the calls that now fill the window should have been answered. Without a hint clients retry
+        sooner, during the same overload.
         """
         if not self.settings.may_send_retry_after:
             return 0.0
@@ -308,7 +308,7 @@
                 if attempt.status < 0:
                     self.actions.append(Cancel(call.id, attempt.number))
 
-    def on_stream(self, event: StreamStarted) -> None:
+    def on_stream_started(self, event: StreamStarted) -> None:
         """Process the start of a streamed answer: its attempt no longer counts against the window."""
         attempt = self.in_flight.get((event.call, event.attempt))
         if attempt is not None:
@@ -327,7 +327,8 @@
         busy = self.window_in_use
         server.in_flight -= 1
         if status == Status.REJECTED:
-            server.healthy_at = server.completed_at = -math.inf  # a draining server says the same
+            # A draining server rejects calls too, so the server is no longer verified as not draining.
+            server.healthy_at = server.completed_at = -math.inf
         if status != Status.NOT_SENT:
             server.sent_since_report -= 1
         if status == Status.OK:
@@ -349,13 +350,13 @@
             return
         retried = self.may_retry(call)
         if self.observer is not None:
-            used = {
+            inputs = {
                 "at": now,
                 "mean": cls.mean.value,
                 "tokens": self.retry_tokens,
                 "tries": attempt_states(call),
             }
-            self.observer(call.id, "repeat", used, QUEUED if retried else ATTEMPTS_EXHAUSTED)
+            self.observer(call.id, "repeat", inputs, QUEUED if retried else ATTEMPTS_EXHAUSTED)
         if retried:
             self.retry_tokens -= 1
             self.enqueue(call)
@@ -363,7 +364,7 @@
             self.reject(call)
 
     def may_retry(self, call: Call) -> bool:
-        """Return whether a call whose attempts have all failed is queued for a further one."""
+        """Return whether a call whose attempts have all failed may be queued for a further one."""
         left = call.useful_until - self.now
         return self.lifecycle.may_retry(call) and left > call.cls.mean.value and self.retry_tokens >= 1
 
@@ -376,19 +377,22 @@
         if status in (Status.CANCELLED, Status.NOT_SENT):
             return
         if self.stalled and status in (Status.OK, Status.TIMEOUT):
-            # The instance itself paused, so the latency says nothing about the server: no smaller window,
-            # no ejection. Drawback: a server that was slow meanwhile is noticed one batch later.
+            # The instance itself paused, so the latency says nothing about the server and must neither shrink
+            # the window nor eject the server. Drawback: a slow server is noticed one batch later.
             if status == Status.OK:
                 server.last_ok = now
                 server.completed_at = max(server.completed_at, attempt.sent_at)
             return
         elapsed = max(elapsed, MIN_LATENCY_S)
-        self.learn_admission(attempt, status, elapsed, busy)
-        self.learn_server_latency(attempt, status, elapsed)
+        self.update_admission(attempt, status, elapsed, busy)
+        self.update_server_capacity(attempt, status, elapsed)
         self.update_server_health(attempt, status)
 
-    def learn_admission(self, attempt: Attempt, status: int, elapsed: float, busy: int) -> None:
-        """Update the latency statistics and the concurrency window; `elapsed` is in seconds."""
+    def update_admission(self, attempt: Attempt, status: int, elapsed: float, busy: int) -> None:
+        """Update the latency statistics and the concurrency window.
+
+        `elapsed` is in seconds; `busy` is the number of attempts in the window before this outcome.
+        """
         cls, server, admission, servers = attempt.call.cls, attempt.server, self.admission, self.servers
         ok = status == Status.OK
         if ok or (status == Status.TIMEOUT and not server.ejected_until):
@@ -407,10 +411,10 @@
         ):
             admission.on_late_answer()
 
-    def learn_server_latency(self, attempt: Attempt, status: int, elapsed: float) -> None:
-        """Update the server's capacity (load against latency) and the cost of connections.
+    def update_server_capacity(self, attempt: Attempt, status: int, elapsed: float) -> None:
+        """Update the server's capacity (load relative to latency) and the cost of connections.
 
-        Latencies are in mean latencies of the class; `elapsed` is in seconds.
+        Latencies are stored in mean latencies of the class; `elapsed` is in seconds.
         """
         cls, server, servers = attempt.call.cls, attempt.server, self.servers
         ok = status == Status.OK
@@ -421,12 +425,12 @@
                 cost, CONNECT_SAMPLES
             )
         if not ok:
-            # A fast-failing server looks idle: a failure counts as a slow answer.
+            # A failure counts as a slow answer, because a server that fails fast would look idle.
             latency = MAX_FAILURE_LATENCIES
         if status != Status.CONNECT_FAILED:
             latency = min(latency, MAX_FAILURE_LATENCIES)
-            server.latency_sum = server.latency_sum * SAMPLE_RETENTION + latency
-            server.load_sum = server.load_sum * SAMPLE_RETENTION + attempt.load + 1
+            server.latency_sum = server.latency_sum * SAMPLE_DECAY + latency
+            server.load_sum = server.load_sum * SAMPLE_DECAY + attempt.load + 1
             servers.mean_load.add(attempt.load + 1, 100)
 
     def update_server_health(self, attempt: Attempt, status: int) -> None:
@@ -445,11 +449,11 @@
             elif server.ejections and not server.ejected_until:
                 server.ejections = 0
         elif status == Status.CONNECT_FAILED and now - server.last_ok < ALIVE_S:
-            # It answers other calls, so it only accepts no more connections: ejecting it would move its load
-            # to the other servers. Open connections stay in use.
+            # The server answers other calls, so it is not down but has reached its connection limit. Ejecting
+            # it would move its load to the other servers; instead only its open connections are used.
             server.max_in_flight, server.max_in_flight_until = (
                 max(1, server.in_flight),
-                now + CONNECTIONS_FULL_S,
+                now + CONNECTION_LIMIT_S,
             )
         elif status == Status.RESET and servers.lost_idle_connection(attempt, now):
             pass
@@ -481,9 +485,8 @@
         server.probe_pending = False
         if event.status == Status.OK:
             server.fail_streak = 0
-            server.healthy_at = max(
-                server.healthy_at, self.now - event.elapsed
-            )  # a draining server answers 503
+            # A draining server answers probes with 503, so it was not draining when the probe was sent.
+            server.healthy_at = max(server.healthy_at, self.now - event.elapsed)
             self.servers.report(server, event.report, self.now)
             if server.ejected_until and self.now >= server.ejected_until:
                 self.servers.readmit(server, self.now)
@@ -498,7 +501,7 @@
 
     # the control step
     def control_step(self) -> None:
-        """Run the periodic updates: rates, thresholds, health checks and polls."""
+        """Run the periodic updates: rates, latency targets, polls, health checks and the threshold."""
         now = self.now
         span = now - self.last_step
         self.last_step = now
@@ -510,7 +513,7 @@
             self.quota_left[name] = min(max(1.0, quota), self.quota_left[name] + quota * span)
         admission.observe_mix(self.classes.values(), span)
         for cls in self.classes.values():
-            cls.learn_base(span)
+            cls.update_target(span)
         self.poll_endpoints()
         self.check_in_flight_ages()
         if admission.latency.count:
@@ -518,7 +521,7 @@
         servers.refill_warmup_tokens(now, span)
         admission.available_fraction, admission.overload_limit = servers.available_capacity(now, span)
         servers.trusted_idle = min(
-            self.settings.conn_idle, servers.trusted_idle * (1 + span / IDLE_TRUST_DOUBLING_S)
+            self.settings.conn_idle, servers.trusted_idle * (1 + span / IDLE_TRUST_GROWTH_S)
         )
         self.health_checks.recover_ejected(now)
         self.check_list_age()
@@ -531,13 +534,13 @@
             self.actions.append(Watch(True))
 
     def check_list_age(self) -> None:
-        """Withhold servers while updates are overdue, and log each change."""
+        """Withhold servers while updates of the endpoint list are overdue, and log each change."""
         servers, now = self.servers, self.now
         overdue = self.freshness.is_expired(now)
         if overdue != servers.overdue:
             servers.overdue = overdue
             age = now - self.freshness.current_as_of
-            self.log(f"list {'overdue' if overdue else 'in time again'}: age_s={age:.3f}")
+            self.log(f"endpoint list {'overdue' if overdue else 'current again'}: age_s={age:.3f}")
         servers.reachable = self.freshness.is_discovery_reachable
         for server in servers.withhold(now):
             self.log(
@@ -550,13 +553,13 @@
         self.actions.append(Log(text))
 
     def check_in_flight_ages(self) -> None:
-        """Learn from the age of attempts in flight: a hung server produces no outcomes."""
+        """Learn from the ages of attempts in flight, because a hung server produces no outcomes."""
         now = self.now
         total = counted = 0.0
         stuck: list[Attempt] = []
         for attempt in self.in_flight.values():
             if attempt.call.streaming:
-                continue  # its age depends on its size and on the client
+                continue  # its duration depends on the size of the answer and on the client
             age = now - attempt.sent_at - attempt.stalled_for
             cls = attempt.call.cls
             if attempt.in_window:
@@ -582,7 +585,10 @@
             self.hedge_stuck(attempt)
 
     def hedge_stuck(self, attempt: Attempt) -> None:
-        """Start a further attempt for a call that seems stuck, where its class allows it."""
+        """Hedge a call that seems stuck, if it is idempotent.
+
+        Queues a further attempt; where the settings forbid hedging, cancels the attempt instead.
+        """
         call = attempt.call
         if call.ended or call.streaming or call.queued or call.in_flight > 1 or self.retry_tokens < 1:
             return
@@ -601,8 +607,8 @@
     def is_too_late(self, call: Call) -> bool:
         """Return whether a call would most likely end too late to be useful.
 
-        With no other attempt in flight it is sent anyway, so that a mean latency that rose too far can fall
-        again.
+        With no other attempt in flight it is sent anyway, so that a mean latency that is too high can be
+        corrected by a new sample.
         """
         return (
             bool(self.window_in_use)
@@ -621,13 +627,13 @@
                 del queue[position]
                 call.queued = False
                 if self.observer is not None:
-                    used = {
+                    inputs = {
                         "at": now,
                         "mean": call.cls.mean.value,
                         "busy": self.window_in_use,
                         "tries": attempt_states(call),
                     }
-                    self.observer(call.id, "start", used, TOO_LATE)
+                    self.observer(call.id, "start", inputs, TOO_LATE)
                 self.reject(call)
                 continue
             if self.health_checks.awaits_candidate_probes(call, now):
@@ -641,21 +647,22 @@
                 continue
             server, load = choice
             if self.observer is not None:
-                used = {
+                inputs = {
                     "at": now,
                     "mean": call.cls.mean.value,
                     "busy": self.window_in_use,
                     "tries": attempt_states(call),
                 }
-                self.observer(call.id, "pick", used | servers.pick_inputs(), server.id)
+                self.observer(call.id, "pick", inputs | servers.pick_inputs(), server.id)
             del queue[position]
             call.queued = False
             self.send_attempt(call, server, load)
 
     def send_attempt(self, call: Call, server: Server, load: float) -> None:
-        """Send an attempt to a server with this estimated load, and account for it.
+        """Send an attempt to a server and update the counters.
 
-        An untrusted idle connection is closed first, unless a new one is expensive.
+        `load` is the estimated number of calls that the server holds. An idle connection that is no longer
+        trusted is closed first, unless a new one is expensive.
         """
         now, servers = self.now, self.servers
         until = call.deadline if call.cls.counts_late else max(call.useful_until, now + CONTROL_STEP_S)
@@ -663,12 +670,12 @@
         if idle > servers.trusted_idle and servers.connect_cost < EXPENSIVE_CONNECT_LATENCIES:
             self.actions.append(CloseIdle(server.id))
             idle, server.used_at = 0.0, -math.inf
-        opened = server.used_at < now - self.settings.conn_idle
+        opens_connection = server.used_at < now - self.settings.conn_idle
         attempt = self.lifecycle.send(call, server, now, until - now, load)
         if attempt is None:
             return
         self.in_flight[(call.id, attempt.number)] = attempt
-        attempt.connection_idle, attempt.new_connection, server.used_at = idle, opened, now
+        attempt.connection_idle, attempt.new_connection, server.used_at = idle, opens_connection, now
         server.in_flight += 1
         server.sent_since_report += 1
         if servers.warmup_fraction(server, now) < 1:
@@ -681,9 +688,9 @@
         return call.cls.mean.value / self.servers.mean_latency if self.admission.latency.count else 1.0
 
     def trim_queue(self) -> None:
-        """Reject queued calls whose expected wait does not fit their useful time.
+        """Reject queued calls that are expected to wait longer than their useful time allows.
 
-        The wait at a position is about (position + 1) * processing time / window.
+        The expected wait at a position is (position + 1) * processing time / window.
         """
         if not self.queue:
             return
@@ -692,7 +699,7 @@
         for call in self.queue:
             verdict = self.queue_verdict(call, len(retained), wait)
             if self.observer is not None and (verdict != QUEUED or call.queue_position is None):
-                used = {
+                inputs = {
                     "at": self.now,
                     "mean": call.cls.mean.value,
                     "place": len(retained),
@@ -701,7 +708,7 @@
                     "asked_until": call.probe_wait_until,
                     "tries": attempt_states(call),
                 }
-                self.observer(call.id, "hold", used, verdict)
+                self.observer(call.id, "hold", inputs, verdict)
             if verdict == QUEUED:
                 call.queue_position = len(retained)
                 retained.append(call)
@@ -714,13 +721,14 @@
     def queue_verdict(self, call: Call, position: int, wait: float) -> str:
         """Return QUEUED if a call can wait at this position, else the reason why not.
 
-        TOO_LATE: no answer in time. DISPLACED: calls of higher priority weight moved it back from a position
-        where it could wait. QUEUE_FULL: the wait is too long at any position it had.
+        `wait` is the expected wait per position, in seconds. TOO_LATE: it cannot be answered in time.
+        DISPLACED: calls of higher priority weight moved it back from a position where it could wait.
+        QUEUE_FULL: the wait is too long here and at its previous position, if it had one.
         """
         now = self.now
         left = call.useful_until - now
-        # A call waiting for candidate probes is sent or checked again before its deadline; with less than a
-        # mean latency left its work would be wasted.
+        # A call that waits for probes of its candidates is sent or checked again before its deadline, so it
+        # needs no margin. With less than a mean latency left, its work would be wasted.
         probing = now < call.probe_wait_until - 1e-9 and left > call.cls.mean.value
         if not (left > 0 and (probing or call.deadline - now > ANSWER_MARGIN_S)):
             return TOO_LATE
@@ -735,5 +743,8 @@
 
     @staticmethod
     def fits_in_queue(call: Call, position: int, wait: float, left: float) -> bool:
-        """Return whether the expected wait at a position leaves time for the call."""
-        return not position or (position + 1) * wait + TAIL_LATENCIES * call.cls.mean.value <= left
+        """Return whether the expected wait at a position leaves enough time for the attempt.
+
+        `wait` is the expected wait per position, `left` the useful time left, both in seconds.
+        """
+        return not position or (position + 1) * wait + DISPATCH_LATENCIES * call.cls.mean.value <= left
--- a/tests/balancing/test_balancer.py
+++ b/tests/balancing/test_balancer.py
@@ -511,11 +511,11 @@
     least = kind.min_target
     for _ in range(30):
         kind.mean.add(0.3, 50)
-    kind.learn_base(0.05)
+    kind.update_target(0.05)
     assert kind.target == pytest.approx(1.75 * 0.3) and kind.target > least
     for _ in range(300):
         kind.mean.add(0.9, 50)
-    kind.learn_base(0.05)
+    kind.update_target(0.05)
     assert kind.target < 0.54  # a crowd does not raise it at once
 
 
