--- a/tests/balancing/test_balancer.py
+++ b/tests/balancing/test_balancer.py
@@ -1,4 +1,4 @@
-"""Admission, queue, pick and health against figures worked out by hand."""
+"""Tests of admission, queueing, server selection and health against values calculated by hand."""
 
 from __future__ import annotations
 
@@ -32,102 +32,109 @@
 from gladegw.balancing.balancer import TICK_TOKEN
 
 
-def admission(window: float, latency: float, rate: float, worths: list[float], stage: int = 0) -> Admission:
-    part = Admission(stage, Random(3))
+def make_admission(
+    window: float, latency: float, rate: float, priority_weights: list[float], stage: int = 0
+) -> Admission:
+    admission = Admission(stage, Random(3))
     for _ in range(20):
-        part.observe_latency(latency)
-    part.window, part.rate, part.mix_latency = window, rate, latency
-    part.history.extend(worths)
-    return part
+        admission.observe_latency(latency)
+    admission.window, admission.rate, admission.mix_latency = window, rate, latency
+    admission.history.extend(priority_weights)
+    return admission
 
 
-def test_drop_fraction() -> None:
-    # ST = 4 / 0.1 = 40 a second of 50 that come: a fifth is dropped.
-    assert admission(4, 0.1, 50, [1.0] * 20).target_drop_rate() == pytest.approx(0.2)
-    assert admission(4, 0.1, 39, [1.0] * 20).target_drop_rate() == 0.0
+def test_target_drop_rate() -> None:
+    # The window supports 4 / 0.1 = 40 calls per second of 50 that arrive: a fifth is dropped.
+    assert make_admission(4, 0.1, 50, [1.0] * 20).target_drop_rate() == pytest.approx(0.2)
+    assert make_admission(4, 0.1, 39, [1.0] * 20).target_drop_rate() == 0.0
 
 
-def test_inner_tiers_refuse_later() -> None:
-    # Work above is sunk: one tier down ST weighs 1.5 times.
-    assert admission(4, 0.1, 120, [1.0] * 20, stage=1).target_drop_rate() == pytest.approx(0.5)
+def test_inner_tiers_reject_at_a_higher_load() -> None:
+    # A rejection wastes the work of the tiers above: one tier down the supported rate counts 1.5 times.
+    assert make_admission(4, 0.1, 120, [1.0] * 20, stage=1).target_drop_rate() == pytest.approx(0.5)
 
 
-def test_nothing_is_refused_without_samples() -> None:
-    part = Admission(0, Random(3))
-    part.rate = 1e6
-    part.update_threshold()
-    assert part.target_drop_rate() == 0.0 and part.admits(0.0)
+def test_nothing_is_rejected_without_samples() -> None:
+    admission = Admission(0, Random(3))
+    admission.rate = 1e6
+    admission.update_threshold()
+    assert admission.target_drop_rate() == 0.0 and admission.admits(0.0)
 
 
-def test_cut_and_tie_share() -> None:
-    # 70% at 1, 30% at 12. Dropping 0.2 of all refuses 2 in 7 of the cheap ones.
-    part = admission(4, 0.1, 50, [1.0] * 70 + [12.0] * 30)
-    part.update_threshold()
-    assert part.threshold == 1.0 and part.tie_reject_fraction == pytest.approx(0.2 / 0.7)
-    assert part.admits(12.0)
-    refused = sum(not part.admits(1.0) for _ in range(7000))
-    assert refused == pytest.approx(2000, rel=0.1)
-    # Dropping 0.8 of all takes all cheap ones and a third of the others.
-    part.rate = 200
-    part.update_threshold()
-    assert part.threshold == 12.0 and part.tie_reject_fraction == pytest.approx(0.1 / 0.3)
-    assert not part.admits(1.0)
+def test_threshold_and_tie_reject_fraction() -> None:
+    # 70% of the calls have weight 1 and 30% weight 12. Dropping 0.2 of all rejects 2 in 7 of weight 1.
+    admission = make_admission(4, 0.1, 50, [1.0] * 70 + [12.0] * 30)
+    admission.update_threshold()
+    assert admission.threshold == 1.0 and admission.tie_reject_fraction == pytest.approx(0.2 / 0.7)
+    assert admission.admits(12.0)
+    rejected = sum(not admission.admits(1.0) for _ in range(7000))
+    assert rejected == pytest.approx(2000, rel=0.1)
+    # Dropping 0.8 of all rejects all calls of weight 1 and a third of the others.
+    admission.rate = 200
+    admission.update_threshold()
+    assert admission.threshold == 12.0 and admission.tie_reject_fraction == pytest.approx(0.1 / 0.3)
+    assert not admission.admits(1.0)
 
 
-def test_cut_takes_the_whole_level_when_the_cdf_just_reaches_the_target() -> None:
-    part = admission(4, 0.1, 80, [1.0] * 50 + [12.0] * 50)
-    part.update_threshold()
-    assert part.threshold == 1.0 and part.tie_reject_fraction == pytest.approx(1.0) and not part.admits(1.0)
+def test_threshold_rejects_a_whole_level_that_exactly_meets_the_target() -> None:
+    admission = make_admission(4, 0.1, 80, [1.0] * 50 + [12.0] * 50)
+    admission.update_threshold()
+    assert (
+        admission.threshold == 1.0
+        and admission.tie_reject_fraction == pytest.approx(1.0)
+        and not admission.admits(1.0)
+    )
 
 
 def test_window_grows_only_while_it_limits_and_shrinks_on_late_answers() -> None:
-    part = Admission(0, Random(3))
-    part.in_startup = False
-    before = part.window
-    part.on_good_answer(busy=0)
-    assert part.window == before
-    part.on_good_answer(busy=before)
-    assert part.window > before
-    grown = part.window
-    part.on_late_answer()
-    assert part.window < grown
+    admission = Admission(0, Random(3))
+    admission.in_startup = False
+    before = admission.window
+    admission.on_good_answer(busy=0)
+    assert admission.window == before
+    admission.on_good_answer(busy=before)
+    assert admission.window > before
+    grown = admission.window
+    admission.on_late_answer()
+    assert admission.window < grown
     for _ in range(100):
-        part.on_late_answer()
-    assert part.window == 2
-    # Found in incident ibba0b4: more instances than servers, each with two calls out.
-    part.set_min_window(servers=20, balancers=80)
+        admission.on_late_answer()
+    assert admission.window == 2
+    # Regression (incident ibba0b4): more instances than servers, each with two calls in flight.
+    admission.set_min_window(servers=20, balancers=80)
     for _ in range(100):
-        part.on_late_answer()
-    assert part.window == 1
+        admission.on_late_answer()
+    assert admission.window == 1
 
 
 @pytest.mark.parametrize(
     ("weight", "balancers", "window"), [(5.0, 2, 20.0), (5.0, 8, 5.0), (1.0, 4, 4.0), (1.0, 80, 4.0)]
 )
-def test_window_starts_by_the_capacity_that_is_listed(weight: float, balancers: int, window: float) -> None:
-    # Found on crowd+term+scrape: a proxy restarted under load refused half for 3 s, until W was learned anew.
+def test_initial_window_follows_the_listed_capacity(weight: float, balancers: int, window: float) -> None:
+    # Regression (scenario crowd+term+scrape): a proxy that was restarted under load rejected half of the
+    # calls for 3 s, until it had learned its window again.
     driver = Driver(settings(balancers=balancers), servers=entries(1, 2, 3, 4, weight=weight))
     assert driver.balancer.admission.window == window
 
 
-@pytest.mark.parametrize(("held", "closes"), [(0.0, False), (9.0, True)])
-def test_late_answers_close_the_window_only_where_servers_are_crowded(held: float, closes: bool) -> None:
-    # Found in r5136: a slowness of all servers, then ordinary long work, kept W at its floor for good while
-    # the servers reported next to nothing and nine calls of ten were refused.
+@pytest.mark.parametrize(("busy", "shrinks"), [(0.0, False), (9.0, True)])
+def test_late_answers_shrink_the_window_only_while_servers_are_overloaded(busy: float, shrinks: bool) -> None:
+    # Regression (r5136): after a general slowdown, ordinary long calls kept the window at its minimum
+    # permanently. Nine calls in ten were rejected while the servers reported almost no load.
     driver = Driver(settings(may_probe=True))
-    part = driver.balancer.admission
+    admission = driver.balancer.admission
     for call in range(40):
         for server in driver.balancer.servers.servers:
-            driver.feed(ProbeResult(server, Status.OK, 0.01, {"busy_reqs": held}))
+            driver.feed(ProbeResult(server, Status.OK, 0.01, {"busy_reqs": busy}))
         for send in sends(driver.arrive(call)):
             driver.wait(0.1)
             driver.settle(send, Status.OK, elapsed=0.95)
-    assert (part.window < 4) is closes
+    assert (admission.window < 4) is shrinks
 
 
-def test_a_server_that_turns_calls_away_is_avoided_and_closes_no_window() -> None:
-    # Found in r5136: three servers turned calls away for six seconds. They looked idle, so calls went on to
-    # them, and each refusal closed the windows of those that could have used the others.
+def test_a_rejecting_server_is_avoided_and_does_not_shrink_the_window() -> None:
+    # Regression (r5136): three servers rejected calls for six seconds. They looked idle, so they were sent
+    # further calls, and each rejection shrank the windows of instances that could have used other servers.
     driver = Driver(settings(may_probe=False), servers=entries(1, 2, 3, 4))
     first = only_send(driver.arrive(1000))
     driver.settle(first, Status.OK)
@@ -135,40 +142,43 @@
     assert driver.balancer.admission.window > 3
 
 
-def test_servers_that_all_turn_calls_away_close_the_window() -> None:
+def test_the_window_shrinks_if_all_servers_reject() -> None:
     driver = Driver(settings(may_probe=False), servers=entries(1, 2, 3, 4))
     serve(driver, rejecting={1, 2, 3, 4})
     assert driver.balancer.admission.window < 3
 
 
 def serve(driver: Driver, rejecting: set[int]) -> int:
-    """Settles 200 calls with all their attempts; returns how many attempts were turned away."""
-    away = 0
+    """Complete 200 calls with all their attempts; return how many attempts were rejected.
+
+    The servers in `rejecting` reject every attempt.
+    """
+    rejected = 0
     for call in range(200):
-        out = sends(driver.arrive(call))
+        sent = sends(driver.arrive(call))
         for attempt in range(4):
-            if out:
-                status = Status.REJECTED if out[0].server in rejecting else Status.OK
-                away += status is Status.REJECTED
-                out = sends(driver.settle(out[0], status, attempt), call)
+            if sent:
+                status = Status.REJECTED if sent[0].server in rejecting else Status.OK
+                rejected += status is Status.REJECTED
+                sent = sends(driver.settle(sent[0], status, attempt), call)
         driver.wait(0.05)
-    return away
+    return rejected
 
 
-@pytest.mark.parametrize(("held", "closes"), [(0.0, False), (9.0, True)])
-def test_errors_close_the_window_only_where_servers_are_crowded(held: float, closes: bool) -> None:
-    # Found on a scored day: failures further in kept W at five from the first second, and half of all calls
-    # were refused while the servers held one or two.
+@pytest.mark.parametrize(("busy", "shrinks"), [(0.0, False), (9.0, True)])
+def test_errors_shrink_the_window_only_while_servers_are_overloaded(busy: float, shrinks: bool) -> None:
+    # Regression: failures at inner tiers kept the window at five from the first second on. Half of all calls
+    # were rejected while the servers held one or two calls.
     driver = Driver(settings(may_probe=True))
     for call in range(20):
         for server in driver.balancer.servers.servers:
-            driver.feed(ProbeResult(server, Status.OK, 0.01, {"busy_reqs": held}))
+            driver.feed(ProbeResult(server, Status.OK, 0.01, {"busy_reqs": busy}))
         for send in sends(driver.arrive(call, "once")):
             driver.settle(send, Status.ERROR)
-    assert (driver.balancer.admission.window < 4) is closes
+    assert (driver.balancer.admission.window < 4) is shrinks
 
 
-def test_time_outs_close_the_window_even_of_idle_servers() -> None:
+def test_timeouts_shrink_the_window_even_with_idle_servers() -> None:
     driver = Driver(settings(may_probe=True))
     for call in range(10):
         for send in sends(driver.arrive(call)):
@@ -176,15 +186,15 @@
     assert driver.balancer.admission.window < 4
 
 
-def test_outstanding_ages_raise_proc() -> None:
-    part = admission(4, 0.1, 50, [1.0] * 20)
-    part.in_flight_age = 10.0  # mean latencies
-    assert part.processing_time == pytest.approx(0.5)
+def test_ages_of_calls_in_flight_raise_the_processing_time() -> None:
+    admission = make_admission(4, 0.1, 50, [1.0] * 20)
+    admission.in_flight_age = 10.0  # in mean latencies
+    assert admission.processing_time == pytest.approx(0.5)
 
 
-def test_refused_calls_weigh_in_proc() -> None:
-    # Found in r5136: with the cheap calls refused, procQ was that of the heavy ones, three times as long, and
-    # the cut that followed from it kept the cheap ones out for good.
+def test_rejected_calls_count_in_the_processing_time() -> None:
+    # Regression (r5136): with the light calls rejected, the processing time was that of the heavy ones, which
+    # is three times as long, and the resulting threshold kept rejecting the light ones permanently.
     light = RequestClass("light", priority_weight=1, latency_objective=1.0, deadline=2.0)
     heavy = RequestClass("heavy", priority_weight=9, latency_objective=4.0, deadline=8.0)
     driver = Driver(settings(classes=[light, heavy]))
@@ -195,81 +205,82 @@
                 if call < 200:
                     driver.settle(send, Status.OK, elapsed=0.05)
                 else:
-                    driver.feed(ClientDisconnected(number))  # as good as refused: nothing is learned from it
+                    # Like a rejected call, a cancelled one adds no latency sample.
+                    driver.feed(ClientDisconnected(number))
                     driver.settle(send, Status.CANCELLED, final=True)
         driver.settle(only_send(driver.arrive(call + 3, "heavy", 8.0)), Status.OK, elapsed=0.45)
         driver.wait(0.1)
     assert driver.balancer.admission.processing_time == pytest.approx(0.15, rel=0.1)
 
 
-def test_heavy_calls_in_flight_are_not_old() -> None:
-    # The calls that are out at a moment are the long ones of the mix: only what is old for its class counts.
+def test_long_calls_in_flight_do_not_raise_the_processing_time() -> None:
+    # Most calls in flight at any moment are the long ones of the mix, so ages count relative to the class.
     light = RequestClass("light", priority_weight=1, latency_objective=1.0, deadline=2.0)
     heavy = RequestClass("heavy", priority_weight=9, latency_objective=4.0, deadline=8.0)
     driver = Driver(settings(classes=[light, heavy]))
-    kinds, part = driver.balancer.classes, driver.balancer.admission
-    kinds["light"].mean.value, kinds["heavy"].mean.value = 0.05, 0.45
+    class_states, admission = driver.balancer.classes, driver.balancer.admission
+    class_states["light"].mean.value, class_states["heavy"].mean.value = 0.05, 0.45
     for call in range(20):
         driver.settle(only_send(driver.arrive(call, "light")), Status.OK, elapsed=0.05)
     driver.arrive(20, "heavy", 8.0)
     driver.wait(0.4)
-    usual = part.mix_latency
-    assert usual < 0.1 and part.processing_time == usual
+    mix_latency = admission.mix_latency
+    assert mix_latency < 0.1 and admission.processing_time == mix_latency
     driver.wait(1.0)
-    assert part.processing_time > usual
+    assert admission.processing_time > mix_latency
 
 
-def full(driver: Driver) -> None:
-    """Fills the window with calls, so that the next ones are held."""
+def fill_window(driver: Driver) -> None:
+    """Fill the window with calls, so that the next ones are queued."""
     driver.balancer.admission.window = 2.0
     driver.arrive(1001)
     driver.arrive(1002)
 
 
-def test_queue_holds_what_its_wait_allows_and_drops_the_lowest() -> None:
-    cheap = RequestClass("cheap", priority_weight=1, latency_objective=1.0, deadline=2.0)
-    dear = RequestClass("dear", priority_weight=9, latency_objective=1.0, deadline=2.0)
-    driver = Driver(settings(classes=[cheap, dear, *settings().classes]))
-    full(driver)
-    part = driver.balancer.admission
-    part.mix_latency, part.latency.count = 0.4, 0.0  # a place waits 0.4 / 2 = 0.2 s
-    for kind in driver.balancer.classes.values():
-        kind.mean.value = 0.2
-    # Within an aim of 1 s: 0.2 n + 2 x 0.2 <= 1 allows three places.
-    actions = driver.feed(*[Arrival(call, "cheap", 2.0) for call in (1, 2, 3, 4)])
+def test_queue_length_is_limited_by_the_wait_and_the_lowest_weight_is_rejected() -> None:
+    low = RequestClass("low", priority_weight=1, latency_objective=1.0, deadline=2.0)
+    high = RequestClass("high", priority_weight=9, latency_objective=1.0, deadline=2.0)
+    driver = Driver(settings(classes=[low, high, *settings().classes]))
+    fill_window(driver)
+    admission = driver.balancer.admission
+    admission.mix_latency, admission.latency.count = 0.4, 0.0  # the wait per position is 0.4 / 2 = 0.2 s
+    for class_state in driver.balancer.classes.values():
+        class_state.mean.value = 0.2
+    # With a latency objective of 1 s, 0.2 n + 2 x 0.2 <= 1 allows three positions.
+    actions = driver.feed(*[Arrival(call, "low", 2.0) for call in (1, 2, 3, 4)])
     assert [a for a in actions if isinstance(a, Reject)] == [Reject(4)]
-    # A worthier newcomer displaces the lowest held call and goes first.
-    actions = driver.arrive(5, "dear")
+    # A new call of higher weight displaces the last queued call and is first in the queue.
+    actions = driver.arrive(5, "high")
     assert [a for a in actions if isinstance(a, Reject)] == [Reject(3)]
     assert [call.id for call in driver.balancer.queue] == [5, 1, 2]
 
 
-def test_one_place_remains() -> None:
+def test_queue_always_has_one_position() -> None:
     driver = Driver(settings())
-    full(driver)
+    fill_window(driver)
     driver.balancer.admission.mix_latency = 50.0
     actions = driver.arrive(1)
     assert not [a for a in actions if isinstance(a, Reject)]
     assert [call.id for call in driver.balancer.queue] == [1]
 
 
-def test_whole_batch_is_taken_in_before_the_worthiest_goes() -> None:
+def test_a_batch_is_processed_before_the_call_of_highest_weight_is_sent() -> None:
     driver = Driver(settings())
     driver.balancer.admission.window = 1.0
     actions = driver.feed(Arrival(1, "once", 2.0), Arrival(2, "safe", 2.0))
     assert only_send(actions).call == 2
 
 
-def test_pick_takes_the_fewest_in_flight_counting_own_sends() -> None:
+def test_pick_prefers_the_least_loaded_server_counting_own_sends() -> None:
     driver = Driver(settings(may_probe=True), servers=entries(1, 2))
     driver.feed(
         ProbeResult(1, Status.OK, 0.001, {"busy_reqs": 5.0}),
         ProbeResult(2, Status.OK, 0.001, {"busy_reqs": 3.0}),
     )
     servers = [only_send(driver.arrive(call)).server for call in (1, 2)]
-    assert servers == [2, 2]  # 3, then 4 of its own against 5
-    more = {only_send(driver.arrive(call)).server for call in (3, 4)}
-    assert 1 in more
+    assert servers == [2, 2]  # load 3, then 3 + 1 own send, against 5 of server 1
+    next_servers = {only_send(driver.arrive(call)).server for call in (3, 4)}
+    assert 1 in next_servers
 
 
 def test_pick_without_probes_uses_own_sends_alone() -> None:
@@ -279,14 +290,14 @@
     assert not [a for a in driver.wait(5.0) if isinstance(a, Probe)]
 
 
-def test_pick_scales_by_the_listed_size() -> None:
+def test_pick_scales_by_the_listed_weight() -> None:
     listed = [ServerEntry(1, zone="a", weight=3.0), ServerEntry(2, zone="a", weight=1.0)]
     driver = Driver(settings(), servers=listed)
     servers = [only_send(driver.arrive(call)).server for call in range(4)]
     assert servers.count(1) == 3
 
 
-def test_crossing_price_keeps_calls_at_home() -> None:
+def test_crossing_price_keeps_calls_in_the_own_zone() -> None:
     listed = entries(1, zone="a") + entries(2, zone="b")
     driver = Driver(settings(price_crossing=0.5), servers=listed)
     assert {only_send(driver.arrive(call)).server for call in range(4)} == {1}
@@ -294,8 +305,8 @@
 
 def test_pool_is_bounded_and_covers_all_servers_evenly() -> None:
     counts = dict.fromkeys(range(1, 61), 0)
-    for me in range(60):
-        driver = Driver(settings(instance=me, balancers=60), servers=entries(*range(1, 61)))
+    for instance in range(60):
+        driver = Driver(settings(instance=instance, balancers=60), servers=entries(*range(1, 61)))
         pool = driver.balancer.servers.pool
         assert len(pool) <= 16
         for server in pool:
@@ -316,20 +327,20 @@
 
 
 def test_without_probes_a_call_tries_a_server_whose_ejection_is_over() -> None:
-    """Nothing else would bring it back: after a cut of a few seconds no server would be left for good."""
+    """Nothing else would readmit it: after an outage of a few seconds all servers would stay ejected."""
     driver = Driver(settings(may_probe=False, max_attempts=1), servers=entries(1, 2))
     for call in (1, 2):
         driver.settle(only_send(driver.arrive(call)), Status.CONNECT_FAILED)
         driver.wait(0.01)
     assert all(server.ejected_until for server in driver.balancer.servers.servers.values())
     driver.wait(1.0)
-    tried, other = only_send(driver.arrive(3)), only_send(driver.arrive(4))
-    assert tried.server != other.server  # on trial: one call at a time
-    driver.settle(tried, Status.OK)
-    driver.settle(other, Status.CONNECT_FAILED)
-    known = driver.balancer.servers.servers
-    assert not known[tried.server].ejected_until and not known[tried.server].on_trial
-    assert known[other.server].ejected_until > driver.now
+    succeeding, failing = only_send(driver.arrive(3)), only_send(driver.arrive(4))
+    assert succeeding.server != failing.server  # on trial: one call at a time
+    driver.settle(succeeding, Status.OK)
+    driver.settle(failing, Status.CONNECT_FAILED)
+    servers = driver.balancer.servers.servers
+    assert not servers[succeeding.server].ejected_until and not servers[succeeding.server].on_trial
+    assert servers[failing.server].ejected_until > driver.now
 
 
 def test_a_server_may_be_ejected_any_number_of_times() -> None:
@@ -348,84 +359,85 @@
     assert sum(ejected) == 2
 
 
-def test_hung_server_is_left_by_the_ages_of_its_calls() -> None:
+def test_hung_server_is_avoided_because_of_the_ages_of_its_calls() -> None:
     driver = Driver(settings(), servers=entries(1, 2, 3))
-    hung = 0
+    sent_to_hung = 0
     for call in range(60):
         driver.wait(0.05)
         for send in sends(driver.arrive(call, "once")):
             if send.server == 1:
-                hung += 1
+                sent_to_hung += 1
             else:
                 driver.settle(send, Status.OK)
-    assert hung <= 8  # of the 20 that an even share would be
+    assert sent_to_hung <= 8  # an even share would be 20
 
 
-def test_fast_failing_server_is_left() -> None:
+def test_fast_failing_server_is_avoided() -> None:
     driver = Driver(settings(max_attempts=1), servers=entries(1, 2, 3))
-    failing = 0
+    sent_to_failing = 0
     for call in range(200):
         driver.wait(0.02)
         for send in sends(driver.arrive(call, "once")):
-            failing += send.server == 1
-            bad = send.server == 1
-            driver.settle(send, Status.ERROR if bad else Status.OK, elapsed=0.001 if bad else 0.05)
-    assert failing <= 30  # an even share would be 66, and it looks idle
+            sent_to_failing += send.server == 1
+            fails = send.server == 1
+            driver.settle(send, Status.ERROR if fails else Status.OK, elapsed=0.001 if fails else 0.05)
+    assert sent_to_failing <= 30  # an even share would be 66, and the failing server looks idle
 
 
 def test_retries_keep_to_their_budget() -> None:
     driver = Driver(settings(max_attempts=3))
-    tries = 0
+    attempts = 0
     for call in range(200):
         driver.wait(0.02)
-        todo = [(send, 0) for send in sends(driver.arrive(call))]
-        while todo:
-            send, number = todo.pop()
-            tries += 1
-            todo += [
-                (again, number + 1) for again in sends(driver.settle(send, Status.ERROR, number), send.call)
+        in_flight = [(send, 0) for send in sends(driver.arrive(call))]
+        while in_flight:
+            send, number = in_flight.pop()
+            attempts += 1
+            in_flight += [
+                (retry, number + 1) for retry in sends(driver.settle(send, Status.ERROR, number), send.call)
             ]
-    assert tries <= 200 * 1.15 + 5
+    assert attempts <= 200 * 1.15 + 5
 
 
-def test_over_share_calls_are_worth_less() -> None:
+def test_over_quota_calls_have_a_lower_priority_weight() -> None:
     driver = Driver(settings(tenants=[Tenant("t", 2.0)], over_quota_weight=0.1, balancers=1), servers=[])
     driver.feed(*[Arrival(call, "safe", 2.0, "t") for call in range(4)])
     assert [call.priority_weight for call in driver.balancer.queue] == [10.0, 10.0, 1.0, 1.0]
 
 
-def test_late_tries_are_known_by_their_budget() -> None:
-    # Found in incident i37a472: a few long budgets made every first try look late.
+def test_late_retries_are_recognized_by_their_budget() -> None:
+    # Regression (incident i37a472): a few long budgets made every first attempt look like a late retry.
     driver = Driver(settings())
-    kind = driver.balancer.classes["safe"]
+    class_state = driver.balancer.classes["safe"]
 
-    def aim_left(budget: float) -> float:
-        return driver.balancer.objective_left(kind, budget, kind.typical_budget(budget))
+    def objective_left(budget: float) -> float:
+        return driver.balancer.objective_left(class_state, budget, class_state.typical_budget(budget))
 
     for _ in range(40):
-        assert aim_left(1.2) == pytest.approx(1.0)
-    assert aim_left(1.4) == pytest.approx(1.0)
-    assert aim_left(1.2) == pytest.approx(1.0)
-    assert aim_left(0.9) == pytest.approx(1.0 - (2.0 - 0.9))
+        assert objective_left(1.2) == pytest.approx(1.0)
+    assert objective_left(1.4) == pytest.approx(1.0)
+    assert objective_left(1.2) == pytest.approx(1.0)
+    assert objective_left(0.9) == pytest.approx(1.0 - (2.0 - 0.9))
     inner = Driver(settings(stage=1))
     assert inner.balancer.objective_left(inner.balancer.classes["safe"], 0.3, 0.0) == pytest.approx(1.0)
 
 
-def test_cold_budget_does_not_fall_with_the_send_rate() -> None:
-    # Found in incident ia644e1: few sends allowed fewer still, and a fleet in a roll stayed cold.
+def test_slow_start_budget_does_not_fall_with_the_send_rate() -> None:
+    # Regression (incident ia644e1): few sends allowed even fewer, so a fleet never warmed up during a rolling
+    # restart.
     driver = Driver(settings(), servers=entries(1, 2))
     servers = driver.balancer.servers
     servers.send_rate = 40.0
     servers.refill_warmup_tokens(driver.now, 0.05)
     servers.send_rate = 1.0
     driver.feed(ServerList(ListKind.INCREMENTAL, entries(2, started_at=driver.now)))
-    cold = servers.servers[2]
-    cold.warmup_tokens = 0.0
+    warming = servers.servers[2]
+    warming.warmup_tokens = 0.0
     servers.refill_warmup_tokens(driver.now, 0.05)
-    assert cold.warmup_tokens == pytest.approx(40 / 2 * 0.3 * 1.5 * 0.05, rel=0.02)
+    assert warming.warmup_tokens == pytest.approx(40 / 2 * 0.3 * 1.5 * 0.05, rel=0.02)
 
 
-def test_asking_starts_within_two_seconds_and_backs_off() -> None:
+def test_first_watch_opens_within_two_seconds_and_failures_back_off() -> None:
     driver = Driver(settings(polls_endpoints=True))
     driver.wait(2.1)
     assert driver.said.count(Watch(True)) == 1
@@ -435,8 +447,8 @@
     assert Watch(True) not in Driver(settings()).wait(12.0)
 
 
-def test_a_failed_call_is_repeated_within_a_second_however_many_failed() -> None:
-    """A change counts as told 6 s after discovery could be reached, whatever calls failed before."""
+def test_a_failed_watch_is_retried_soon_however_many_have_failed() -> None:
+    """A change counts as known 6 s after discovery became reachable, however many polls failed before."""
     driver = Driver(settings(polls_endpoints=True, max_poll_gap=40.0))
     driver.wait(2.1)
     for failures in range(1100):
@@ -446,7 +458,7 @@
         assert driver.wait(1.1).count(Watch(True)) == 1
 
 
-def test_class_without_late_worth_times_out_at_its_aim() -> None:
+def test_class_without_late_weight_times_out_at_its_latency_objective() -> None:
     driver = Driver(settings())
     assert only_send(driver.arrive(1)).timeout == pytest.approx(1.0)
     late = RequestClass(
@@ -469,70 +481,74 @@
     assert ClassState(cls, 1).min_target == pytest.approx(ClassState(cls, 0).min_target / 2)
 
 
-def test_window_stays_open_until_the_unhurried_latency_is_known() -> None:
-    # Found on the quiet day of riga-orders: a call a second an instance, each taking over a third of its
-    # aim. W closed on the first answers, before the unhurried latency could be learned, and half was refused.
+def test_window_does_not_shrink_before_the_unloaded_latency_is_known() -> None:
+    # Regression (riga-orders at low load): each instance got one call per second, which took over a third of
+    # its latency objective. The first answers shrank the window before the unloaded latency could be learned,
+    # and half of the calls were rejected.
     driver = Driver(settings(may_probe=False))
-    part = driver.balancer.admission
-    before = part.window
+    admission = driver.balancer.admission
+    before = admission.window
     for call in range(15):
         driver.wait(1.0)
         driver.settle(only_send(driver.arrive(call)), Status.OK, elapsed=0.7)
-    assert part.window >= before and part.target_drop_rate() == 0.0
+    assert admission.window >= before and admission.target_drop_rate() == 0.0
 
 
-def test_answer_within_the_same_instant_is_no_fault() -> None:
-    # Found by the property test: a mean latency of 0 divided.
+def test_answer_with_zero_latency_keeps_the_mean_above_zero() -> None:
+    # Regression, found by the property test: a division by a mean latency of 0.
     driver = Driver(settings())
     driver.settle(only_send(driver.arrive(1)), Status.OK, elapsed=0.0)
     assert driver.balancer.classes["safe"].mean.value > 0
 
 
-def test_few_calls_and_cheap_probes_ask_before_sending() -> None:
-    # Found on karachi-main: with one call in two seconds an instance, steady reports are always stale.
+def test_candidates_are_probed_first_if_calls_are_few_and_probes_cheap() -> None:
+    # Regression (karachi-main): with one call in two seconds per instance, the load reports of regular probes
+    # are always outdated.
     driver = Driver(settings(may_probe=True, price_probe=0.001), servers=entries(1, 2, 3, 4, 5))
     actions = driver.arrive(1)
-    asked = [a.server for a in actions if isinstance(a, Probe)]
-    assert len(asked) == 3 and not sends(actions)
-    driver.feed(*[ProbeResult(server, Status.OK, 0.001, {"busy_reqs": 4.0}) for server in asked[:2]])
-    idle = driver.feed(ProbeResult(asked[2], Status.OK, 0.001, {"busy_reqs": 0.0}))
-    assert only_send(idle).server not in asked[:2]
+    probed = [a.server for a in actions if isinstance(a, Probe)]
+    assert len(probed) == 3 and not sends(actions)
+    driver.feed(*[ProbeResult(server, Status.OK, 0.001, {"busy_reqs": 4.0}) for server in probed[:2]])
+    last_actions = driver.feed(ProbeResult(probed[2], Status.OK, 0.001, {"busy_reqs": 0.0}))
+    assert only_send(last_actions).server not in probed[:2]
 
 
-def test_call_that_asked_goes_without_answers_after_a_while() -> None:
+def test_call_is_sent_without_probe_results_after_a_while() -> None:
     driver = Driver(settings(may_probe=True, price_probe=0.001), servers=entries(1, 2, 3, 4, 5))
     assert not sends(driver.arrive(1))
     assert len(sends(driver.wait(0.011))) == 1
 
 
-def test_target_is_never_below_what_an_unhurried_call_takes() -> None:
-    # Found on a quiet day of wa-payments: the unhurried latency was near the target and W closed to 5.
-    kind = ClassState(settings().classes[0], 0)
-    least = kind.min_target
+def test_target_stays_above_the_unloaded_latency() -> None:
+    # Regression (wa-payments at low load): the unloaded latency was near the target, and the window shrank
+    # to 5.
+    class_state = ClassState(settings().classes[0], 0)
+    min_target = class_state.min_target
     for _ in range(30):
-        kind.mean.add(0.3, 50)
-    kind.update_target(0.05)
-    assert kind.target == pytest.approx(1.75 * 0.3) and kind.target > least
+        class_state.mean.add(0.3, 50)
+    class_state.update_target(0.05)
+    assert class_state.target == pytest.approx(1.75 * 0.3) and class_state.target > min_target
     for _ in range(300):
-        kind.mean.add(0.9, 50)
-    kind.update_target(0.05)
-    assert kind.target < 0.54  # a crowd does not raise it at once
+        class_state.mean.add(0.9, 50)
+    class_state.update_target(0.05)
+    assert class_state.target < 0.54  # overload does not raise it at once
 
 
-def test_live_server_without_room_for_connections_is_kept() -> None:
-    # Found on a full-size day of central-santiago: ejected as dead, it left its calls to the rest.
+def test_live_server_that_refuses_connections_is_not_ejected() -> None:
+    # Regression (central-santiago at full size): such a server was ejected as down, and its load moved to the
+    # other servers.
     driver = Driver(settings(), servers=entries(1))
     first, second = only_send(driver.arrive(1)), only_send(driver.arrive(2))
     driver.settle(first, Status.OK)
     driver.settle(second, Status.CONNECT_FAILED)
     server = driver.balancer.servers.servers[1]
     assert not server.ejected_until
-    again = sends(driver.arrive(3)) + sends(driver.said, 2)[1:]
-    assert len(again) == 1 and server.in_flight == 1  # one connection is open: one call at a time
+    further = sends(driver.arrive(3)) + sends(driver.said, 2)[1:]
+    assert len(further) == 1 and server.in_flight == 1  # one connection is open: one call at a time
 
 
-def test_hopeless_call_is_not_sent_while_others_are_out() -> None:
-    # Found in incident i37a472: calls with less than a mean latency left were sent and ended too late.
+def test_call_that_would_end_too_late_is_not_sent_while_others_are_in_flight() -> None:
+    # Regression (incident i37a472): calls with less than a mean latency left were sent and ended too late.
     driver = Driver(settings())
     driver.balancer.classes["safe"].mean.value = 0.4
     only_send(driver.arrive(1))
@@ -543,22 +559,23 @@
     assert len(sends(alone.arrive(2, budget=0.3))) == 1
 
 
-def test_idle_instance_probes_seldom() -> None:
-    # Found at full size: two probes a second cost several probes a call where a call a second comes.
+def test_idle_instance_probes_rarely() -> None:
+    # Regression, found at full size: two probes per second amounted to several probes per call where one call
+    # arrives per second.
     driver = Driver(settings(may_probe=True))
     first = [a for a in driver.wait(1.0) if isinstance(a, Probe)]
     driver.feed(*[ProbeResult(a.server, Status.OK, 0.001, {"busy_reqs": 0.0}) for a in first])
     probes = 0
     for _ in range(200):
-        asked = [a for a in driver.wait(0.1) if isinstance(a, Probe)]
-        probes += len(asked)
-        driver.feed(*[ProbeResult(a.server, Status.OK, 0.001, {"busy_reqs": 0.0}) for a in asked])
+        sent = [a for a in driver.wait(0.1) if isinstance(a, Probe)]
+        probes += len(sent)
+        driver.feed(*[ProbeResult(a.server, Status.OK, 0.001, {"busy_reqs": 0.0}) for a in sent])
     assert 2 <= probes <= 12
 
 
-def test_reset_on_an_idle_connection_is_not_the_server_s_fault() -> None:
-    # Found on idle_reap days of pratiche-nord: each lost idle connection ejected a sound server, and the
-    # next idle one was used all the same.
+def test_reset_of_an_idle_connection_does_not_eject() -> None:
+    # Regression (pratiche-nord with fault idle_reap): each lost idle connection ejected a healthy server, and
+    # the next idle connection was still used.
     driver = Driver(settings(), servers=entries(1))
     driver.settle(only_send(driver.arrive(1, "once")), Status.OK)
     driver.wait(3.0)
@@ -587,11 +604,11 @@
 
 
 def test_calls_keep_to_open_connections_where_new_ones_are_slow() -> None:
-    # Found in incident i513ea5: a third of the attempts got no connection while open ones stood idle.
+    # Regression (incident i513ea5): a third of the attempts got no connection while open ones were idle.
     def second_pick(new_cost: float) -> int:
         driver = Driver(settings(may_probe=False), servers=entries(1, 2))
         first = only_send(driver.arrive(1))
-        for call in range(2, 12):  # open on one server, and slow or not when opened
+        for call in range(2, 12):  # one server has an open connection; new ones cost `new_cost`
             driver.settle(first, Status.OK, elapsed=0.1)
             driver.balancer.servers.new_connection_cost.add(new_cost, 30)
             driver.balancer.servers.open_connection_cost.add(1.0, 30)
@@ -601,9 +618,9 @@
     assert second_pick(new_cost=4.0) == 1 and second_pick(new_cost=1.0) == 0
 
 
-def test_unasked_server_is_as_loaded_as_its_zone() -> None:
-    # Found on the first full-size day of riga-orders: the room with most traffic kept to its own servers,
-    # since those that no probe had reached looked idle, while other rooms stood idle.
+def test_unprobed_server_is_assumed_to_be_as_loaded_as_its_zone() -> None:
+    # Regression (riga-orders at full size): the zone with most traffic used only its own servers, because
+    # those without a probe result looked idle, while the servers of other zones were idle.
     listed = entries(1, 2, 3, zone="a") + entries(4, 5, zone="b")
     driver = Driver(settings(may_probe=True, price_crossing=0.04), servers=listed)
     reports = {1: 9.0, 2: 9.0, 4: 0.0}
@@ -613,40 +630,40 @@
     assert {only_send(driver.arrive(call)).server for call in range(3)} <= {4, 5}
 
 
-def test_new_instance_asks_over_all_zones_first() -> None:
-    # Found at full size of riga-orders: for ten seconds every instance of the crowded room knew nothing of
-    # the loads and sent to its own servers; the retries that followed kept them crowded.
+def test_new_instance_probes_servers_of_all_zones_first() -> None:
+    # Regression (riga-orders at full size): for ten seconds no instance of the overloaded zone knew any load,
+    # and all sent to servers of their own zone; the retries that followed kept these overloaded.
     listed = [entry for n, zone in enumerate("abc") for entry in entries(*range(n * 8, n * 8 + 8), zone=zone)]
     driver = Driver(settings(may_probe=True), servers=listed)
-    asked = [a.server for a in driver.wait(0.3) if isinstance(a, Probe)]
-    assert 6 <= len(asked) <= 10 and len(set(asked)) == len(asked)
-    assert any(server >= 8 for server in asked)
+    probed = [a.server for a in driver.wait(0.3) if isinstance(a, Probe)]
+    assert 6 <= len(probed) <= 10 and len(set(probed)) == len(probed)
+    assert any(server >= 8 for server in probed)
 
 
-def test_own_pause_is_not_read_as_slow_servers() -> None:
-    # Found in incident i309b5f: balancers that stood still for two seconds closed their windows and ejected
-    # servers for answers that had long been there.
+def test_pause_of_the_instance_is_not_blamed_on_servers() -> None:
+    # Regression (incident i309b5f): instances that were paused for two seconds shrank their windows and
+    # ejected servers, although the answers had arrived long before they were read.
     driver = Driver(settings(may_probe=False), servers=entries(1, 2, 3))
-    out = [only_send(driver.arrive(call)) for call in range(3)]
-    part = driver.balancer.admission
+    sent = [only_send(driver.arrive(call)) for call in range(3)]
+    admission = driver.balancer.admission
     driver.wait(0.05)
-    window, proc = part.window, part.processing_time
+    window, processing_time = admission.window, admission.processing_time
     driver.now += 1.9
     actions = driver.feed(
-        *[Outcome(send.call, 0, send.server, Status.OK, 1.9, True) for send in out[:2]],
-        Outcome(out[2].call, 0, out[2].server, Status.TIMEOUT, 1.9, False),
+        *[Outcome(send.call, 0, send.server, Status.OK, 1.9, True) for send in sent[:2]],
+        Outcome(sent[2].call, 0, sent[2].server, Status.TIMEOUT, 1.9, False),
     )
     assert (
-        part.window == window
-        and part.processing_time == pytest.approx(proc)
-        and Reject(out[2].call) in actions
+        admission.window == window
+        and admission.processing_time == pytest.approx(processing_time)
+        and Reject(sent[2].call) in actions
     )
     assert not any(server.ejected_until for server in driver.balancer.servers.servers.values())
 
 
-def test_short_call_is_sent_once_its_candidates_are_asked() -> None:
-    # Found on the quiet day of pratiche-nord: inner calls with less than 0.1 s left were refused while they
-    # waited a hundredth for their probes.
+def test_short_call_is_sent_after_its_candidates_are_probed() -> None:
+    # Regression (pratiche-nord at low load): inner calls with less than 0.1 s left were rejected while they
+    # waited a hundredth of a second for probes of their candidates.
     driver = Driver(settings(may_probe=True, price_probe=0.001), servers=entries(1, 2, 3, 4, 5))
     driver.balancer.classes["safe"].mean.value = 0.05
     actions = driver.arrive(1, budget=0.08)
@@ -654,18 +671,18 @@
     assert len(sends(driver.wait(0.012))) == 1
 
 
-def test_a_route_lets_no_more_run_than_it_allows_and_what_never_ran_costs_nothing() -> None:
+def test_a_route_s_attempt_limit_counts_only_attempts_that_may_have_run() -> None:
     driver = Driver(settings(max_attempts=4))
     first = only_send(driver.arrive(1, max_attempts=1))
-    (again,) = sends(driver.settle(first, Status.CONNECT_FAILED) + driver.wait(0.2), 1)
-    assert sends(driver.settle(again, Status.ERROR, 1) + driver.wait(1.0), 1) == []
-    free = Driver(settings(max_attempts=4))
-    assert sends(free.settle(only_send(free.arrive(1)), Status.ERROR) + free.wait(0.2), 1)
+    (retry,) = sends(driver.settle(first, Status.CONNECT_FAILED) + driver.wait(0.2), 1)
+    assert sends(driver.settle(retry, Status.ERROR, 1) + driver.wait(1.0), 1) == []
+    unlimited = Driver(settings(max_attempts=4))
+    assert sends(unlimited.settle(only_send(unlimited.arrive(1)), Status.ERROR) + unlimited.wait(0.2), 1)
 
 
-def test_a_routes_time_ends_a_call_and_does_not_make_it_look_late() -> None:
+def test_a_route_timeout_ends_a_call_but_does_not_make_it_look_late() -> None:
     driver = Driver(settings())
-    for call in range(60):  # the usual budget becomes known
+    for call in range(60):  # makes the typical budget known
         driver.settle(only_send(driver.arrive(call, budget=2.0)), Status.OK)
         driver.wait(0.05)
     send = only_send(driver.arrive(99, budget=2.0, route_timeout=0.15))
@@ -673,8 +690,8 @@
 
 
 @pytest.mark.parametrize("stalled", [False, True])
-def test_time_in_which_this_process_stood_still_makes_no_server_look_hung(stalled: bool) -> None:
-    """Guards against shedding with idle servers after a pause of the proxy itself."""
+def test_stalled_time_of_the_process_does_not_make_a_server_look_hung(stalled: bool) -> None:
+    """Otherwise the proxy would shed calls with idle servers after a pause of its own process."""
     driver = Driver(settings(), servers=entries(1))
     for call in range(60):
         driver.settle(only_send(driver.arrive(call)), Status.OK, elapsed=0.001)
@@ -693,17 +710,17 @@
 def test_a_first_attempt_that_waited_here_is_not_taken_for_a_late_retry(
     budget: float, waited: float, served: bool
 ) -> None:
-    """Guards against requests refused by an idle proxy because they were read late, with objective left."""
+    """Otherwise an idle proxy would reject requests that it read late but could still answer in time."""
     driver = Driver(settings())
-    for call in range(60):  # the usual budget, below the class's deadline of 2 s, becomes known
+    for call in range(60):  # makes the typical budget known; it is below the class's deadline of 2 s
         driver.settle(only_send(driver.arrive(call, budget=1.5)), Status.OK)
         driver.wait(0.05)
     actions = driver.arrive(99, budget=budget, waited=waited) + driver.wait(0.05)
     assert bool(sends(actions, 99)) == served
 
 
-def replaced(driver: Driver, *gone: int) -> None:
-    """These servers are gone and others, cold, have come in their place."""
+def replace_servers(driver: Driver, *gone: int) -> None:
+    """Remove these servers from the endpoint list, and add as many that have just started."""
     driver.feed(
         ServerList(ListKind.INCREMENTAL, entries(*gone, state=ServerState.REMOVED)),
         ServerList(ListKind.INCREMENTAL, entries(*(20 + n for n in gone), started_at=driver.now)),
@@ -711,43 +728,46 @@
     driver.wait(0.1)
 
 
-def with_one_warm_of_four(balancers: int) -> Driver:
-    """W is 12, learned on four servers; three of them have just been replaced."""
+def driver_with_one_warm_of_four(balancers: int) -> Driver:
+    """Return a driver whose window of 12 was learned on four servers, three of them just replaced."""
     driver = Driver(settings(balancers=balancers), servers=entries(1, 2, 3, 4))
     driver.wait(0.1)
     driver.balancer.admission.window = 12.0
-    replaced(driver, 2, 3, 4)
+    replace_servers(driver, 2, 3, 4)
     return driver
 
 
-def test_what_was_learned_on_all_servers_does_not_fill_the_few_that_are_left() -> None:
-    # Found on join+vast: six in ten were replaced within 7 s, seven instances each kept the W that they had
-    # learned on all ten, and the warm ones held up to 22 calls each until time-outs closed W for good.
+def test_window_is_scaled_down_to_the_servers_that_are_left() -> None:
+    # Regression (scenario join+vast): six of ten servers were replaced within 7 s. Seven instances each kept
+    # the window that they had learned on all ten, and the warm servers held up to 22 calls each, until
+    # timeouts shrank the windows permanently.
     listed = entries(*range(1, 11))
-    instances = [Driver(settings(instance=me, balancers=12), seed=me, servers=listed) for me in range(12)]
-    held = dict.fromkeys(range(1, 11), 0)
-    for driver in instances:
+    drivers = [Driver(settings(instance=i, balancers=12), seed=i, servers=listed) for i in range(12)]
+    sent = dict.fromkeys(range(1, 11), 0)  # by server
+    for driver in drivers:
         driver.wait(0.1)
         driver.balancer.admission.window = 12.0
-        replaced(driver, *range(5, 11))
+        replace_servers(driver, *range(5, 11))
         for number in range(30):
             for send in sends(driver.arrive(number, budget=2.0)):
-                held[send.server] = held.get(send.server, 0) + 1
-    # Four warm ones and six at 0.3 or a little more of their capacity stand, of ten that W was learned on.
-    assert sum(held.values()) <= 12 * 12 * (4 + 6 * 0.35) / 10
-
-
-def test_w_is_back_when_the_new_servers_are_warm() -> None:
-    driver = with_one_warm_of_four(balancers=8)
-    part = driver.balancer.admission
-    assert part.limit == pytest.approx(12 * (1 + 3 * 0.3) / 4, rel=0.1)
-    driver.wait(11.0)  # cold_for is 10 s
-    assert part.limit == pytest.approx(12.0)
-
-
-def test_w_is_not_scaled_below_what_crowds_the_servers_left() -> None:
-    # Where instances are few, each may fill what is left until it is crowded: four calls a unit of weight.
-    part = with_one_warm_of_four(balancers=1).balancer.admission
-    assert part.limit == pytest.approx(4 * (1 + 3 * 0.3), rel=0.1)
-    part.window = 5.0  # learned lower, it stays lower
-    assert part.limit == 5.0
+                sent[send.server] = sent.get(send.server, 0) + 1
+    # Of the ten servers that the window was learned on, four are warm and six have 0.3 or slightly more of
+    # their capacity.
+    assert sum(sent.values()) <= 12 * 12 * (4 + 6 * 0.35) / 10
+
+
+def test_window_recovers_when_the_new_servers_are_warm() -> None:
+    driver = driver_with_one_warm_of_four(balancers=8)
+    admission = driver.balancer.admission
+    assert admission.limit == pytest.approx(12 * (1 + 3 * 0.3) / 4, rel=0.1)
+    driver.wait(11.0)  # the warm-up takes 10 s
+    assert admission.limit == pytest.approx(12.0)
+
+
+def test_window_is_not_scaled_below_the_overload_limit() -> None:
+    # With few instances, each may use the available servers up to the overload limit of four calls per unit
+    # of weight.
+    admission = driver_with_one_warm_of_four(balancers=1).balancer.admission
+    assert admission.limit == pytest.approx(4 * (1 + 3 * 0.3), rel=0.1)
+    admission.window = 5.0  # a learned window below the overload limit is not raised
+    assert admission.limit == 5.0
