--- a/gladegw/balancing/admission.py
+++ b/gladegw/balancing/admission.py
@@ -13,7 +13,7 @@
 from gladegw.balancing.events import RequestClass
 from gladegw.balancing.parameters import INITIAL_WINDOW, RATE_MEMORY_S
 
-MIN_SAMPLES = 10  # calls; no call is rejected before this many were observed
+MIN_SAMPLES = 10  # calls that must have been observed before any call is rejected
 HISTORY_SIZE = 300  # priority weights retained; the threshold's error is then about 3 percentage points
 BUDGET_HISTORY_SIZE = 64  # time budgets retained for each class
 MIN_TARGET_FRACTION = 0.35  # lower bound of the latency target, as a fraction of the latency objective
--- a/gladegw/balancing/requests.py
+++ b/gladegw/balancing/requests.py
@@ -85,7 +85,7 @@
         self.max_attempts = 0  # the route's limit; 0: the settings' limit
         self.in_flight = 0
         self.ended = self.streaming = self.queued = False
-        self.queue_position: int | None = None  # as of the last trim; None: not trimmed since it arrived
+        self.queue_position: int | None = None  # as of the last trim of the queue; None before the first
         self.probed_candidates: list[Server] | None = None  # servers probed only for this call
         self.probe_wait_until = 0.0  # time at which it is sent without the remaining probe results
 
--- a/tests/balancing/test_balancer.py
+++ b/tests/balancing/test_balancer.py
@@ -213,7 +213,7 @@
     assert driver.balancer.admission.processing_time == pytest.approx(0.15, rel=0.1)
 
 
-def test_long_calls_in_flight_do_not_raise_the_processing_time() -> None:
+def test_only_calls_in_flight_that_are_old_for_their_class_raise_the_processing_time() -> None:
     # Most calls in flight at any moment are the long ones of the mix, so ages count relative to the class.
     light = RequestClass("light", priority_weight=1, latency_objective=1.0, deadline=2.0)
     heavy = RequestClass("heavy", priority_weight=9, latency_objective=4.0, deadline=8.0)
