--- a/gladegw/balancing/endpoint_freshness.py
+++ b/gladegw/balancing/endpoint_freshness.py
@@ -1,7 +1,8 @@
 """Endpoint freshness: when discovery is polled again, and whether the endpoint list is still valid.
 
-All times are in seconds. A list is a lease: the instance counts as knowing a change some seconds after
-discovery had it, whatever became of the calls that would have reported it. Pure: no I/O, no clock.
+All times are in seconds. An endpoint list is valid for a limited time, like a lease: a change counts as known
+to the instance some seconds after discovery had it, even if every call that would have reported it failed.
+Pure: no I/O, no clock.
 """
 
 from __future__ import annotations
@@ -11,20 +12,20 @@
 
 from gladegw.balancing.events import DiscoveryFailure
 
-RETRY_INTERVAL_S = 0.1  # doubled at each consecutive failure
+RETRY_INTERVAL_S = 0.1  # after a failed poll; doubled at each consecutive failure
 MAX_RETRY_INTERVAL_S = 1.0  # two polls fit into CHANGE_KNOWN_AFTER_S even if one hangs
 MAX_DOUBLINGS = 8
-# From the start of a rejected call to the next: discovery spends time on rejected calls too, so immediate
-# retries would keep it overloaded.
+# Time from the start of a rejected call to the start of the next one. Discovery spends time on rejected calls
+# too, so immediate retries would keep it overloaded.
 REJECTED_RETRY_RANGE_S = (3.5, 6.4)
 # After an immediate rejection, which costs discovery nothing; doubled at each consecutive failure.
 OVERLOADED_RETRY_S = 0.25
 MAX_OVERLOADED_RETRY_S = 1.0
-MAX_EXPIRED_RETRY_S = 2.0
+MAX_EXPIRED_RETRY_S = 2.0  # instead of MAX_OVERLOADED_RETRY_S once the list has expired
 INITIAL_POLL_SPREAD_S = 2.0  # all instances may start at once
-CHANGE_KNOWN_AFTER_S = 6.0  # a change counts as known by then, even if no call was answered
-CHANGE_KNOWN_AFTER_MOVE_S = 4.0  # the same, after discovery got a new address
-MAX_PROCESSING_DELAY_S = 0.2  # from a decision to its first byte, without the connect
+CHANGE_KNOWN_AFTER_S = 6.0  # a change counts as known this long after discovery had it
+CHANGE_KNOWN_AFTER_MOVE_S = 4.0  # the same, counted from a change of discovery's address
+MAX_PROCESSING_DELAY_S = 0.2  # from a decision to the first byte sent, without connecting
 MIN_VALIDITY_S = 0.05
 
 
@@ -39,16 +40,15 @@
         """
         self.random = random
         self.watching = not polls
-        self.shares_discovery = (
-            polls  # all instances poll one discovery; a pushed list comes from the instance's own agent
-        )
+        # All instances poll the same discovery; a pushed list comes from the instance's own agent.
+        self.shares_discovery = polls
         self.next_poll_at = -1.0
         self.consecutive_failures = 0
         self.last_failure = DiscoveryFailure.UNANSWERED
         self.current_as_of = 0.0  # no change before this time can have been missed
-        self.address_changed_at = math.inf  # discovery's new address has not answered yet
+        self.address_changed_at = math.inf  # finite until discovery's new address answers
         self.polled_at = -math.inf  # start of the watch or of its current call
-        # Later a call might begin after the drain grace.
+        # With a longer validity a call could begin after a server's drain grace has ended.
         self.valid_for = max(
             MIN_VALIDITY_S, CHANGE_KNOWN_AFTER_S + drain_grace - connect_timeout - MAX_PROCESSING_DELAY_S
         )
@@ -60,8 +60,8 @@
     def on_update(self, now: float, by_discovery: bool, age: float = 0.0) -> None:
         """Process a list or a confirmation without changes.
 
-        `by_discovery` is false for a cached list. `age`: seconds since discovery began to answer; what has
-        changed since then is not in the answer.
+        `by_discovery` is false for a cached list. `age`: seconds since discovery began to answer; the answer
+        does not contain later changes.
         """
         if by_discovery:
             self.consecutive_failures = 0
@@ -76,8 +76,8 @@
     def on_failure(self, now: float, failure: DiscoveryFailure, missed_for: float = math.inf) -> None:
         """Process a failed call to discovery and schedule the next poll with backoff.
 
-        `missed_for`: seconds for which a watch may have missed changes before it failed; infinite where only
-        the updates tell until when it was followed.
+        `missed_for`: seconds for which a watch may have missed changes before it failed; infinite if unknown,
+        so that only the time of the last update counts.
         """
         self.watching = False
         if not self.consecutive_failures:
@@ -96,7 +96,7 @@
             )
 
     def _jittered(self, longest: float, limit: float) -> float:
-        """Return a random pause between half and all of `longest`, which is capped at `limit`."""
+        """Return a random delay between 50 % and 100 % of `longest`, which is capped at `limit`."""
         return min(longest, limit) * (0.5 + 0.5 * self.random.random())
 
     def inherit(self, other: EndpointFreshness) -> None:
@@ -114,7 +114,7 @@
 
     @property
     def expires_at(self) -> float:
-        """When an unreported drain may count as known, if no update arrives until then."""
+        """When the list expires without an update: from then on it may lack a drain that counts as known."""
         expires_after_move = (
             self.address_changed_at + CHANGE_KNOWN_AFTER_MOVE_S - CHANGE_KNOWN_AFTER_S + self.valid_for
         )
@@ -124,12 +124,12 @@
     def is_watched(self) -> bool:
         """Whether a watch is open, as far as is known.
 
-        A watch that falls silent fails before the list expires.
+        A watch that stops sending is failed before the list expires.
         """
         return not self.consecutive_failures and math.isinf(self.address_changed_at)
 
     def is_going_stale(self, now: float) -> bool:
-        """Return whether there is no watch and half of the list's validity has passed."""
+        """Return whether there is no watch and less than half of the list's validity is left."""
         return not self.is_watched and now > self.expires_at - self.valid_for / 2
 
     def is_expired(self, now: float) -> bool:
--- a/gladegw/balancing/events.py
+++ b/gladegw/balancing/events.py
@@ -1,7 +1,7 @@
 """Settings, events and actions of a Balancer, independent of any wire format.
 
-Times are in seconds unless a field says otherwise. Enum values and error messages name settings by the words
-that operators and the platform use.
+Times are in seconds unless a field says otherwise. Enum values and the setting names in error messages are
+those that operators and the platform use.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 class Effect(Enum):
     """The effect of executing a request a second time."""
 
-    IDEMPOTENT = "repeatable"  # harmless anywhere
-    IDEMPOTENCY_KEY = "by_key"  # dropped by the servers of one group, for a while
-    NOT_IDEMPOTENT = "once"  # harmful
+    IDEMPOTENT = "repeatable"  # harmless on any server
+    IDEMPOTENCY_KEY = "by_key"  # the servers of one group drop duplicates by key for a limited time
+    NOT_IDEMPOTENT = "once"  # a second execution does harm
 
 
 class Status(IntEnum):
     """How an attempt or a probe ended."""
 
     OK = 0
-    ERROR = 1  # the server answered with an error; it may have run
+    ERROR = 1  # the server answered with an error; the request may have run
     REJECTED = 2  # rejected before processing: never ran
     TIMEOUT = 3
     CONNECT_FAILED = 4  # never ran
@@ -51,8 +51,8 @@
     CACHED = "saved"  # the full list from a cache, maybe out of date
     FULL = "full"
     INCREMENTAL = "incremental"
-    FAILED = "failed"  # a watch or fetch failed, or the watch broke
-    ADDRESS_CHANGED = "moved"  # no list: discovery has another address
+    FAILED = "failed"  # a watch or fetch failed, or an open watch broke
+    ADDRESS_CHANGED = "moved"  # no list: discovery has a new address
 
 
 def _check(ok: bool, key: str, value: object) -> None:
@@ -85,8 +85,8 @@
     name: str
     priority_weight: float
     latency_objective: float  # an answer within it has the full priority weight
-    deadline: float  # how long a client waits over all its attempts
-    late_weight_fraction: float = 0.0  # for answers between the objective and the deadline
+    deadline: float  # how long a client waits, over all attempts
+    late_weight_fraction: float = 0.0  # of the weight, for answers between the objective and the deadline
     effect: Effect = Effect.IDEMPOTENT
     group: str = "all"  # IDEMPOTENCY_KEY: servers that deduplicate together: "all", "zone" or "cell"
     window: float = 0.0  # IDEMPOTENCY_KEY: deduplication time
@@ -120,7 +120,7 @@
 
     name: str
     quota_per_s: float  # over all instances of the tier
-    fraction: float = 0.0  # of the service
+    fraction: float = 0.0  # of the service's traffic
 
     def __post_init__(self) -> None:
         _not_negative(self, f"tenant {self.name} ", "quota_per_s", "fraction")
@@ -149,7 +149,7 @@
     may_hedge: bool = False
     may_cancel: bool = False
     may_probe: bool = False
-    may_message_peers: bool = False  # messages to other instances
+    may_message_peers: bool = False  # may send messages to other instances
     max_open_requests: int = 0  # 0: no limit
     clients_mark_retries: bool = False
     may_send_retry_after: bool = False
@@ -158,14 +158,15 @@
     weight_by_work: bool = False
     passes_deadline: bool = False
     report_names: tuple[str, ...] = ()  # of busy_reqs, pending, cpu_share, svc_ms, served_ps, failed_ps
-    reports: str = "probe"  # where load reports come: "answer" (with probes too), "probe" or "none"
+    reports: str = "probe"  # where load reports arrive: "answer" (with probes too), "probe" or "none"
     weights: str = "nominal"  # what a listed weight means: "none", "nominal", "rough" or "live"
     conn_idle: float = 15.0
     connect_timeout: float = 0.25
-    calls_per_connection: int = 1  # at a time
+    calls_per_connection: int = 1  # concurrent calls on one connection
     cpu_per_s: float = 0.0  # CPU seconds of an instance each second; 0: no limit
     cpu_per_call: float = 0.0  # CPU seconds
-    goal_overall: float = 1.0  # weights of the parts of the result
+    # Weights of the parts of the result: the whole, and its worst window, class and tenant.
+    goal_overall: float = 1.0
     goal_window: float = 0.0
     goal_class: float = 0.0
     goal_tenant: float = 0.0
@@ -239,7 +240,7 @@
     cell: int = 0
     state: ServerState = ServerState.SERVING
     weight: float = 1.0
-    started_at: float = 0.0  # 0: long ago
+    started_at: float = 0.0  # 0: so long ago that it needs no warm-up
 
 
 class DiscoveryFailure(Enum):
@@ -257,10 +258,10 @@
     kind: ListKind
     entries: list[ServerEntry] = field(default_factory=list)
     version: int = 0
-    failure: DiscoveryFailure = DiscoveryFailure.UNANSWERED  # of a failed poll
-    current: bool = True  # False: from a former address of discovery, or repeated
+    failure: DiscoveryFailure = DiscoveryFailure.UNANSWERED  # only of a failed poll
+    current: bool = True  # False: from a former address of discovery, or sent before
     age: float = 0.0  # seconds since discovery began to answer
-    missed_for: float = math.inf  # seconds for which a failed watch may have missed changes; inf: see updates
+    missed_for: float = math.inf  # seconds for which a failed watch may have missed changes; inf: unknown
 
 
 @dataclass(slots=True)
@@ -276,13 +277,13 @@
     write: bool = False
     key: str = ""  # the subject of the request, where it has one
     max_attempts: int = 0  # the route's limit, never above the settings'; 0: the settings' limit
-    route_timeout: float = math.inf  # seconds that its route allows; the budget stays the client's own
-    waited: float = 0.0  # seconds of the budget that its wait to be read and this process's lag took
+    route_timeout: float = math.inf  # seconds that the route allows; the budget remains the client's
+    waited: float = 0.0  # seconds of the budget spent on waiting to be read and on this process's lag
 
 
 @dataclass(slots=True)
 class Outcome:
-    """An attempt ended, after `elapsed` seconds; `final`: it ended the call."""
+    """An attempt ended, after `elapsed` seconds; `final` means that it also ended the call."""
 
     call: int
     attempt: int
@@ -305,9 +306,9 @@
 
 @dataclass(slots=True)
 class Stalled:
-    """This process stood still for `seconds` while it carried out the last batch's actions.
+    """This process stalled for `seconds` while it executed the last batch's actions.
 
-    Attempts in flight were waiting for it meanwhile, not for their servers.
+    During that time attempts in flight waited for this process, not for their servers.
     """
 
     seconds: float
@@ -315,7 +316,7 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client disconnected, or its time ran out: it expects no answer any more."""
+    """The client disconnected or its time ran out, so it no longer expects an answer."""
 
     call: int
 
@@ -367,12 +368,12 @@
     call: int
     server: int
     timeout: float
-    start_within: float = math.inf  # the deduplication window of a retry may end
+    start_within: float = math.inf  # seconds until the deduplication window of a retry ends
 
 
 @dataclass(slots=True)
 class Reject:
-    """Reject a call so that a retry is harmless; retry_after is in seconds, 0 means no hint."""
+    """Reject a call that never ran, so a retry is harmless; retry_after is in seconds, 0 means no hint."""
 
     call: int
     retry_after: float = 0.0
@@ -446,6 +447,6 @@
 
 # -- decisions ---------------------------------------------------------------------------------------
 
-# Called for each decision on a call, if set, with the call, the decision's name, its inputs and its result.
-# It does not influence decisions.
+# If set, called for each decision on a call with the call, the decision's name, its inputs and its result.
+# It has no influence on decisions.
 DecisionObserver = Callable[[int, str, dict[str, Any], Any], None]
--- a/gladegw/balancing/health_checks.py
+++ b/gladegw/balancing/health_checks.py
@@ -14,10 +14,10 @@
 from gladegw.balancing.server_selection import Server, ServerSelector
 
 PROBES_PER_CALL = 0.15
-MIN_PROBES_PER_S = 0.3  # an idle instance still knows its servers
-INITIAL_PROBES = 8.0  # at the start: without load reports all instances pick the same servers
-MAX_CANDIDATE_PROBE_PRICE = 0.006  # points per call, for probes sent for that call alone
-CANDIDATES = 3  # servers probed for one call
+MIN_PROBES_PER_S = 0.3  # keeps load reports recent in an idle instance
+INITIAL_PROBES = 8.0  # probe tokens at startup: without load reports all instances pick the same servers
+MAX_CANDIDATE_PROBE_PRICE = 0.006  # points per call, for probes of its candidate servers
+CANDIDATES = 3  # servers probed before one call is sent
 CANDIDATE_PROBE_WAIT_S = 0.01
 PROBE_ROUND_S = 2.0  # each unverified server is probed once per round
 CANDIDATE_PROBE_TOKEN = 2
@@ -61,14 +61,14 @@
             servers.fill_pool(now)
 
     def unverified_servers(self, now: float) -> list[Server]:
-        """Return the servers that would be withheld without updates, unless a probe verifies them."""
+        """Return the servers that will be withheld if the list expires before a probe verifies them."""
         if not self.freshness.is_going_stale(now):
             return []
         since = now - PROBE_ROUND_S
         return [s for s in self.servers.pool if s.healthy_at < since and not s.ejected_until]
 
     def probe(self, now: float, span: float) -> None:
-        """Send the steady health probes that the last `span` seconds allow."""
+        """Send the regular health probes that the probe rate allows for the last `span` seconds."""
         if not self.settings.may_probe or not self.servers.pool:
             return
         rate = max(MIN_PROBES_PER_S, PROBES_PER_CALL * self.admission.rate)
@@ -76,19 +76,19 @@
         rate = max(rate, len(unverified) / PROBE_ROUND_S)
         self.probe_tokens = max(self.probe_tokens, min(2.0, self.probe_tokens + rate * span))
         while self.probe_tokens >= 1 and not self.probes_candidates:
-            idle = [s for s in self.servers.pool if not s.probe_pending and not s.ejected_until]
-            if not idle:
+            probeable = [s for s in self.servers.pool if not s.probe_pending and not s.ejected_until]
+            if not probeable:
                 break
             self.probe_tokens -= 1
-            idle = [s for s in idle if s in unverified] or idle
-            oldest = min(s.probed_at for s in idle)
-            self.send_probe(self.random.choice([s for s in idle if s.probed_at == oldest]), now)
+            probeable = [s for s in probeable if s in unverified] or probeable
+            oldest = min(s.probed_at for s in probeable)
+            self.send_probe(self.random.choice([s for s in probeable if s.probed_at == oldest]), now)
 
     def awaits_candidate_probes(self, call: Call, now: float) -> bool:
         """Return whether a call waits for probes of its candidate servers, sending them first if due.
 
-        Used where calls are so few that steady load reports are older than a call's latency, and probes are
-        cheap. Prevents picks from outdated reports when many instances share few calls.
+        Used where probes are cheap and calls are so few that the load reports of regular probes are older
+        than a call's latency. Prevents picks based on outdated reports when many instances share few calls.
         """
         if not self.probes_candidates:
             return False
--- a/gladegw/balancing/server_selection.py
+++ b/gladegw/balancing/server_selection.py
@@ -21,27 +21,29 @@
 from gladegw.balancing.requests import Attempt, Call, RequestLifecycle
 from gladegw.balancing.subsetting import build_rings, select_pool
 
-OVERLOADED_CALLS = 4.0  # calls per unit of weight; with fewer a late answer means long work, not overload
-PRIOR_SAMPLES = 3.0  # weight of the prior of a server's capacity
-TYPICAL_LOAD_DECAYS = 10.0  # decay time of a server's typical load, in decay times of a report
+OVERLOADED_CALLS = 4.0  # calls per unit of weight; with fewer, a late answer means long work, not overload
+PRIOR_SAMPLES = 3.0  # samples that the mean of all servers counts for in the estimate of one's capacity
+TYPICAL_LOAD_DECAYS = 10.0  # decay time of a server's typical load, as a multiple of that of a load report
 ZONE_REPORTS = 10  # reports over which a zone's load is averaged
-CROSS_ZONE_OBJECTIVES = 3.0  # latency objectives that a full crossing price counts as
-MAX_EJECTED_FRACTION = 0.34  # of the pool, by soft signs: if more look unhealthy, the cause lies elsewhere
-WARMUP_BUDGET_FRACTION = 0.5  # of the allowed overload of a warming server, for all instances together
-PEAK_RATE_MEMORY_S = 60.0  # decay time of the highest send rate: long against a warm-up
-MIN_IDLE_S = 0.2  # a connection used within this time was not lost for lack of use
-TRUSTED_IDLE_FRACTION = 0.7  # of the idle time at which a connection was lost
+CROSS_ZONE_OBJECTIVES = 3.0  # latency objectives added to a server's cost for a cross-zone price of 1
+# Of the pool, for uncertain failures: if more servers look unhealthy, the cause lies elsewhere.
+MAX_EJECTED_FRACTION = 0.34
+WARMUP_BUDGET_FRACTION = 0.5  # part of a warming server's allowed overload that all instances together use
+PEAK_RATE_MEMORY_S = 60.0  # decay time of the highest send rate: long compared with a warm-up
+MIN_IDLE_S = 0.2  # a connection idle for less than this was not lost because it was idle
+# Of the idle time after which a connection was lost; connections idle for less are still trusted.
+TRUSTED_IDLE_FRACTION = 0.7
 MIN_CONNECT_LATENCIES = 0.3  # minimum preference for an open connection, in mean latencies
 
 
 class PickInput(NamedTuple):
-    """A server attribute that the pick uses, and its value while nothing is known."""
+    """A server attribute that the pick uses, and its value while nothing is known about the server."""
 
     attribute: str
     unknown: float
 
 
-# What the pick uses of a server beside its list entry, by the field name in captures.
+# The server attributes that the pick uses in addition to the list entry, by their field name in captures.
 PICK_INPUTS: dict[str, PickInput] = {
     "out": PickInput("in_flight", 0),
     "since": PickInput("sent_since_report", 0),
@@ -71,14 +73,14 @@
         self.unspent_since = 0.0  # when the tokens last reached a full call
         self.apply_entry(entry)
         self.in_flight = 0  # this instance's attempts
-        self.ejected_until = 0.0  # 0: in use
+        self.ejected_until = 0.0  # 0: not ejected
         self.ejections = 0
-        self.on_trial = False  # one call at a time after an ejection
+        self.on_trial = False  # after an ejection: gets one call at a time
         self.last_ok = 0.0
         self.tie_break = 0.0  # random number of the last pick
         self.probe_pending = False
         self.probed_at = -math.inf
-        self.withheld = False  # it may have begun to drain without an update
+        self.withheld = False  # gets no calls: it may have begun to drain without this instance being told
         self.reset()
 
     def apply_entry(self, entry: ServerEntry) -> None:
@@ -90,13 +92,13 @@
     def reset(self) -> None:
         """Forget all statistics, because the server process was restarted."""
         self.load_sum = self.latency_sum = 0.0
-        self.errors = 0.0  # running fraction
+        self.errors = 0.0  # moving average of the fraction of failed attempts
         self.typical_load = self.last_report = 0.0
         self.reported_at = -math.inf
         self.sent_since_report = 0  # this instance's sends minus its answers since the report
         self.slow_streak = 0
         self.used_at = -math.inf  # the last send or answer
-        self.max_in_flight, self.max_in_flight_until = 0, 0.0  # while it accepts no more connections
+        self.max_in_flight, self.max_in_flight_until = 0, 0.0  # set while it accepts no more connections
         self.fail_streak = 0
         self.healthy_at = -math.inf  # send time of the latest answered probe: not draining then
         self.completed_at = -math.inf  # send time of the latest completed call
@@ -111,22 +113,20 @@
         self.servers: dict[int, Server] = {}
         self.pool: list[Server] = []
         self.rings: dict[str, list[Server]] = {}  # serving servers by zone
-        self.overdue = False  # no update for so long that a drain may count as known
+        self.overdue = False  # the list has expired: it may lack a drain that counts as known
         self.reachable = False  # discovery is up though it rejects polls
-        self.verified_for = math.inf  # a verified server has not begun to drain for this time
+        self.verified_for = math.inf  # how long a server may be used after it was verified not to drain
         self.mean_load = Mean(1.0)
         self.zone_load: dict[str, Mean] = {}  # reported calls per unit of weight
         self.errors = Mean(0.0)
         self.send_rate = self.peak_rate = 0.0
-        self.learned_on = 0.0  # capacity (weight) that the window was learned on
+        self.learned_capacity = 0.0  # total weight of the available servers that the window was learned with
         self.mean_latency = 0.1
         self.max_objective = max(cls.latency_objective for cls in settings.classes)
         self.call_time = self.max_objective  # upper bound until the mean latency is known
         self.trusted_idle = settings.conn_idle  # idle time up to which a connection is trusted
-        self.open_connection_cost, self.new_connection_cost = (
-            Mean(1.0),
-            Mean(1.0),
-        )  # in mean latencies
+        # In mean latencies.
+        self.open_connection_cost, self.new_connection_cost = Mean(1.0), Mean(1.0)
 
     def apply_list(self, event: ServerList, now: float) -> None:
         """Apply an endpoint list and rebuild the pool; a failed poll changes nothing."""
@@ -166,7 +166,7 @@
         self.withhold(now)
 
     def warmup_fraction(self, server: Server, now: float) -> float:
-        """Return the fraction of its capacity that a server surely has: it warms up at least linearly."""
+        """Return the fraction of its capacity that a server has at least; it warms up linearly or faster."""
         age = now - server.warmup_from
         if server.warmup_from <= 0 or age >= self.settings.warmup_time:
             return 1.0
@@ -181,7 +181,8 @@
         """
         total = sum(server.weight for server in self.pool)
         budget_fraction = WARMUP_BUDGET_FRACTION * self.settings.overload_multiple
-        # The peak, not the current rate: else few sends would allow even fewer, and no server would warm up.
+        # With the current rate instead of the peak, a low rate would lower the budgets further, and no server
+        # would warm up.
         self.peak_rate = max(self.send_rate, self.peak_rate * (1 - span / PEAK_RATE_MEMORY_S))
         all_warming = all(self.warmup_fraction(server, now) < 1 for server in self.pool)
         for server in self.pool:
@@ -196,15 +197,16 @@
     def min_warmup_rate(self, scale: float) -> float:
         """Return the calls per second that an instance may send to a warming server without traffic history.
 
-        Without this minimum a fleet that warms up as a whole would not be served. Each server takes one call
-        at a time, and all instances together send it one call per overload window.
+        Without this minimum, no calls would be served while all servers of a fleet warm up. All instances
+        together may send each server one call at a time, times `scale`, and at least one call per overload
+        window.
         """
         return max(scale / self.call_time, 1 / self.settings.overload_window) / self.settings.balancers
 
     def expire_tokens(self, server: Server, now: float) -> None:
         """Remove a token that was not used in time.
 
-        Otherwise a burst after a pause would use what all instances saved.
+        Otherwise all instances could spend their saved tokens at once in a burst after a pause.
         """
         if server.warmup_tokens < 1:
             server.unspent_since = now
@@ -214,14 +216,14 @@
     def available_capacity(self, now: float, span: float) -> tuple[float, float]:
         """Return the available fraction of the learned capacity and the instance's overload limit in calls.
 
-        Prevents overload of the few servers that are left or warm by a window that was learned on all: each
-        instance would notice that late, from few calls, and all at once. Drawback: a pool that lost servers
-        it did not need sheds a little until the window is learned again.
+        Prevents overload when few servers are left or warm, because the window was learned with all of them:
+        each instance sees few calls, so all would notice the overload late and at the same time. Drawback: a
+        pool that lost servers it did not need sheds some calls until the window is learned again.
         """
         available = sum(s.weight * self.warmup_fraction(s, now) for s in self.pool if not s.ejected_until)
-        self.learned_on += max(0.0, available - self.learned_on)
-        self.learned_on += (available - self.learned_on) * min(1.0, span / PEAK_RATE_MEMORY_S)
-        available_fraction = available / self.learned_on if available else 1.0
+        self.learned_capacity += max(0.0, available - self.learned_capacity)
+        self.learned_capacity += (available - self.learned_capacity) * min(1.0, span / PEAK_RATE_MEMORY_S)
+        available_fraction = available / self.learned_capacity if available else 1.0
         return available_fraction, OVERLOADED_CALLS * available / self.settings.balancers
 
     @property
@@ -243,8 +245,8 @@
         """Return the estimated number of calls that a server holds.
 
         A missing or outdated estimate is replaced by the average of the zone. Prevents overload of servers
-        that look idle only because nobody polled them. Drawback: one busy server makes its unpolled
-        neighbours look busy too.
+        that look idle only because they were not probed. Drawback: one busy server makes
+        other servers of its zone look busy too if they were not probed.
         """
         decay_time = 2 * self.mean_latency + CONTROL_STEP_S
         zone = self.zone_load.get(server.zone)
@@ -263,7 +265,7 @@
     def is_overloaded(self, server: Server, now: float) -> bool:
         """Return whether a server holds so many calls that a smaller window would help.
 
-        Prevents the window from shrinking for a long tail of work or a general slowdown. Drawback: the window
+        Prevents the window from shrinking because of a few long requests or a general slowdown. Drawback: it
         shrinks one load report later.
         """
         return not self.settings.may_probe or self.load(server, now) + 1 > OVERLOADED_CALLS * server.weight
@@ -278,10 +280,10 @@
         best_cost = best_load = math.inf
         tried = {attempt.server.id for attempt in call.attempts}
         mean_weight = self.mean_weight if self.pool else 1.0
-        crossing = (
+        crossing_cost = (
             CROSS_ZONE_OBJECTIVES * self.settings.price_crossing * self.max_objective / self.mean_latency
         )
-        opening = self.connect_cost
+        connect_cost = self.connect_cost
         zone = self.settings.zone
         prior = PRIOR_SAMPLES * self.mean_load.value / mean_weight
         for server in self.pool:
@@ -294,9 +296,9 @@
             if server.warmup_from > 0:
                 cost /= self.warmup_fraction(server, now)
             if server.zone != zone:
-                cost += crossing
+                cost += crossing_cost
             if not server.in_flight and now - server.used_at > self.trusted_idle:
-                cost += opening
+                cost += connect_cost
             if server.id in tried:
                 cost += MAX_FAILURE_LATENCIES
             cost *= 1 + 0.01 * self.draw(server)
@@ -331,7 +333,7 @@
 
     # connections
     def idle(self, server: Server, now: float) -> float:
-        """Return how many seconds the connection to a server was unused; 0: in use, or there is none."""
+        """Return for how many seconds the connection to a server was unused; 0 if it is in use or absent."""
         age = now - server.used_at
         return 0.0 if server.in_flight or age >= self.settings.conn_idle else age
 
@@ -343,17 +345,18 @@
     def connect_cost(self) -> float:
         """Measured cost of a new connection, in mean latencies.
 
-        Keeps calls on open connections where handshakes are slow. Drawback: they overload fewer servers, so
-        the cost is only added to the load. With few samples the error is some tenths.
+        Keeps calls on open connections where handshakes are slow. Drawback: calls concentrate on fewer
+        servers and may overload them, so this cost is only added to that of the load. With few samples the
+        error is some tenths.
         """
         return max(MIN_CONNECT_LATENCIES, self.new_connection_cost.value - self.open_connection_cost.value)
 
     def lost_idle_connection(self, attempt: Attempt, now: float) -> bool:
         """Return whether an attempt failed because its idle connection was dropped silently on the path.
 
-        Then the server is not at fault, and connections that were idle as long are no longer trusted.
-        Drawback: if the server was at fault, it gets one more call, and some working connections are
-        replaced.
+        In that case the server is not at fault, and connections that were idle as long are no longer trusted.
+        Drawback: if the server was at fault after all, it gets one more call, and some working connections
+        are replaced.
         """
         if attempt.connection_idle < MIN_IDLE_S or attempt.server.last_ok >= attempt.sent_at:
             return False
@@ -363,26 +366,26 @@
         return True
 
     # health
-    def avoided(self) -> list[Server]:
+    def ejected_servers(self) -> list[Server]:
         """Return the ejected servers; safe to call from another thread."""
         return [server for server in list(self.servers.values()) if server.ejected_until]
 
     def serving_at(self, server: Server) -> float:
         """Return the latest time at which a server is known or assumed not to have been draining.
 
-        A draining server may complete calls as before, so completed calls count only where nothing else does:
-        probes are not allowed, and discovery may be down, so that no change counts as known.
+        A draining server may complete calls as before, so completed calls are evidence only if there is no
+        other: where probes are not allowed and discovery may be down, so that no change counts as known.
         """
         if self.settings.may_probe or self.reachable:
             return server.healthy_at
         return server.completed_at
 
     def withhold(self, now: float) -> list[Server]:
-        """While updates are overdue, withhold servers not verified lately; return the servers that changed.
+        """While the list is expired, withhold servers not verified lately; return the servers that changed.
 
         Prevents sending to a server whose drain counts as known. Drawback: fewer servers carry the load while
-        discovery does not answer. If no server is verified, none is used if discovery is reachable, because
-        its changes count as known; else, as in an outage, all are used.
+        discovery does not answer. If no server is verified and discovery is reachable, no server is used,
+        because discovery's changes count as known; during an outage of discovery all servers are used.
         """
         since = now - self.verified_for
         any_verified = self.reachable or any(
@@ -399,23 +402,23 @@
     def eject(self, server: Server, now: float, hard: bool) -> bool:
         """Eject a server for a time that doubles with each ejection; return whether it was ejected.
 
-        `hard`: the failure is certain; soft signs eject only a limited fraction of the pool.
+        `hard` means that the failure is certain; uncertain ones eject only a limited fraction of the pool.
         """
         if server.ejected_until:
             return False
-        # When everything is slow, no server is at fault.
+        # If many servers look unhealthy, the cause is not a single server.
         if not hard and sum(1 for s in self.pool if s.ejected_until) + 1 > MAX_EJECTED_FRACTION * len(
             self.pool
         ):
             return False
-        length = min(MAX_EJECTION_S, MIN_EJECTION_S * 2**server.ejections)
+        duration = min(MAX_EJECTION_S, MIN_EJECTION_S * 2**server.ejections)
         server.ejections = min(server.ejections + 1, MAX_COUNTED_EJECTIONS)
-        server.ejected_until = now + length * (0.75 + 0.5 * self.random.random())
+        server.ejected_until = now + duration * (0.75 + 0.5 * self.random.random())
         server.on_trial = False
         return True
 
     def readmit(self, server: Server, now: float) -> None:
-        """End an ejection; the server is on trial with one call at a time."""
+        """End an ejection and put the server on trial with one call at a time."""
         server.ejected_until = 0.0
         server.on_trial = True
         server.errors = 0.0
--- a/gladegw/balancing/subsetting.py
+++ b/gladegw/balancing/subsetting.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterable
 from typing import Protocol, TypeVar
 
-MAX_LOCAL_SERVERS = 10  # servers of the own zone that an instance uses
+MAX_LOCAL_SERVERS = 10  # servers of its own zone that an instance uses
 MAX_SERVERS = 16  # servers that an instance uses in all
-GOLDEN_RATIO = 0.6180339887498949  # multiples of it spread evenly over a ring, however many there are
+GOLDEN_RATIO = 0.6180339887498949  # multiples of it, modulo 1, spread evenly for any number of instances
 
 
 class RingServer(Protocol):
@@ -20,7 +20,7 @@
 
     id: int
     zone: str
-    ejected_until: float  # 0: in use
+    ejected_until: float  # 0: not ejected
 
 
 T = TypeVar("T", bound=RingServer)
@@ -60,14 +60,14 @@
 
 def _first_usable(ring: list[T], start: int, limit: int) -> list[T]:
     """Return up to `limit` servers from position `start` of a ring, ejected ones last."""
-    found: list[T] = []
+    usable: list[T] = []
     ejected: list[T] = []
     for step in range(len(ring)):
         server = ring[(start + step) % len(ring)]
         if server.ejected_until:
             ejected.append(server)
             continue
-        found.append(server)
-        if len(found) == limit:
-            return found
-    return (found + ejected)[:limit]
+        usable.append(server)
+        if len(usable) == limit:
+            return usable
+    return (usable + ejected)[:limit]
--- a/gladegw/net/driver.py
+++ b/gladegw/net/driver.py
@@ -238,7 +238,7 @@
 
     def listed_backends(self) -> BackendCounts:
         """Counts of backends for operators."""
-        return self.shared.backends({server.id for server in self.balancer.servers.avoided()})
+        return self.shared.backends({server.id for server in self.balancer.servers.ejected_servers()})
 
     def on_request(self, request: Request, reply: ResponseSink) -> PendingRequest | None:
         """Start handling a request; None if it was answered immediately."""
--- a/gladegw/net/routes.py
+++ b/gladegw/net/routes.py
@@ -406,7 +406,7 @@
 
     def _ejected(self, driver: Driver) -> frozenset[str]:
         """Backends that the pool's balancer has ejected."""
-        out = {server.id for server in driver.balancer.servers.avoided()}
+        out = {server.id for server in driver.balancer.servers.ejected_servers()}
         if not out:
             return frozenset()
         return frozenset(name for name, listed in self.backends.items() if listed.entry.server in out)
@@ -444,7 +444,7 @@
     def listed_backends(self) -> BackendCounts:
         """Counts of backends for operators; one that any pool avoids counts as skipped."""
         drivers = [one.driver for one in list(self.now.served.values())]
-        avoided = {server.id for driver in drivers for server in driver.balancer.servers.avoided()}
+        avoided = {server.id for driver in drivers for server in driver.balancer.servers.ejected_servers()}
         return self.shared.backends(avoided)
 
     def ready(self) -> bool:
--- a/gladegw/simulator_adapter.py
+++ b/gladegw/simulator_adapter.py
@@ -1,6 +1,7 @@
 """Protocol of the simulator on standard input and output: one Balancer per instance.
 
-This module maps the simulator's words to events and actions and makes no decisions.
+This module translates between the simulator's lines and the Balancer's events and actions. It makes no
+decisions.
 """
 
 from __future__ import annotations
@@ -31,13 +32,13 @@
 }
 
 
-# A subscription tells nothing while nothing changes; one that has dropped is reported within this time.
-MAX_POLL_DURATION_S = 2.5
+# The simulator sends nothing on a watch while nothing changes; it reports a dropped watch within this time.
+DROPPED_WATCH_REPORTED_WITHIN_S = 2.5
 REPORT_NAMES = ("busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps")
 WEIGHTS = {"off": "none", "nominal": "nominal", "rough": "rough", "live": "live"}
 PRIORITY_WEIGHT_BY = {"work": "work", "request": "request"}
 REPORT_VIA = {"inline": "answer", "on_probe": "probe", "off": "none"}
-MISPLACED_TAGS = ("m", "tick", "eor")
+MISPLACED_TAGS = ("m", "tick", "eor")  # an error among events, where other unknown tags are skipped
 
 
 class WireError(Exception):
@@ -45,7 +46,7 @@
 
 
 def _split(parts: Iterable[str]) -> Fields:
-    """Return the fields of name=value parts; raise WireError for any other part."""
+    """Parse name=value parts; raise WireError for a part of another form."""
     try:
         return dict([part.split("=", 1) for part in parts])
     except ValueError:
@@ -90,7 +91,7 @@
 
 
 def _bool(fields: Fields, key: str, default: bool | None = None) -> bool:
-    """Return a field as a truth value, or the default if it is missing.
+    """Return a field as a boolean, or the default if it is missing.
 
     Raises WireError if it is malformed, or missing without a default.
     """
@@ -101,7 +102,7 @@
         return True
     if text in ("0", "false"):
         return False
-    raise WireError(f"field {key} is " + ("missing" if text is None else f"not a truth value: {text!r}"))
+    raise WireError(f"field {key} is " + ("missing" if text is None else f"not a boolean: {text!r}"))
 
 
 def _optional_int(fields: Fields, key: str, default: int) -> int:
@@ -110,9 +111,9 @@
 
 
 def _choice(fields: Fields, key: str, words: dict[str, str], default: str) -> str:
-    """Return the internal word for a setting's word, or the default if it is missing.
+    """Translate a setting's value with `words`, or return the default if it is missing.
 
-    Raises ValueError for an unknown word.
+    Raises ValueError for an unknown value.
     """
     text = fields.get(key, "")
     if not text:
@@ -123,7 +124,7 @@
 
 
 def _report(fields: Fields) -> dict[str, float] | None:
-    """Return the load report of an event, or None; unknown names are skipped."""
+    """Return the load report of an event, or None if it has none; unknown names are skipped."""
     text = fields.get("load")
     if not text or text == "-":
         return None
@@ -154,7 +155,7 @@
 
 
 def read_settings(params: Fields) -> api.Settings:
-    """Return the settings of flat path=value pairs.
+    """Read the settings from flat path=value pairs.
 
     Unknown keys are skipped; missing or malformed ones raise ValueError.
     """
@@ -253,7 +254,7 @@
     """Parse a line of a server list."""
     tag, *parts = line.split(" ")
     if tag != "m":
-        raise WireError("a list entry was due")
+        raise WireError("expected a list entry")
     fields = _split(parts)
     state = _get(fields, "state")
     if state not in STATES:
@@ -389,7 +390,7 @@
             return None
         if not line.endswith("\n"):
             self.line = line
-            raise WireError("the line is cut short")
+            raise WireError("the line has no line end")
         self.line = line = line.rstrip("\r\n")
         return line
 
@@ -403,7 +404,7 @@
                 continue
             tag, _, rest = line.partition(" ")
             if tag != "tick":
-                raise WireError("a tick was due")
+                raise WireError("expected a tick")
             fields = _split(rest.split(" "))
             self.now = _number(fields, "clock")
             seq = _get(fields, "seq")
@@ -421,10 +422,10 @@
         while True:
             line = readline()
             if not line:
-                raise WireError("the batch is cut short: your_turn is missing")
+                raise WireError("the batch is incomplete: your_turn is missing")
             if line[-1] != "\n":
                 self.line = line
-                raise WireError("the line is cut short")
+                raise WireError("the line has no line end")
             self.line = line = line[:-1]
             parts = line.split(" ")
             tag = parts[0]
@@ -455,10 +456,10 @@
                 pending.pop(who, None)
                 self.instances.pop(who, None)
             elif not tag or tag in MISPLACED_TAGS:
-                raise WireError("an event was due")
+                raise WireError("expected an event")
 
     def on_manifest(self, fields: Fields) -> None:
-        """Read a server list that later events refer to by its slot."""
+        """Read a server list to which later events refer by its slot."""
         count = _int(fields, "nodes_list")
         if count < 0:
             raise WireError(f"field nodes_list is out of range: {count}")
@@ -467,7 +468,7 @@
         for _ in range(count):
             line = self.next_line()
             if line is None:
-                raise WireError("the batch is cut short: a list entry is missing")
+                raise WireError("the batch is incomplete: a list entry is missing")
             entries.append(_entry(line))
         self.lists[slot] = entries
 
@@ -482,17 +483,19 @@
         if kind is not api.ListKind.FAILED:
             slot = _int(fields, "slot")
             if slot not in self.lists:
-                raise WireError(f"field slot names no list: {slot}")
+                raise WireError(f"field slot refers to no known list: {slot}")
             entries = self.lists[slot]
         if who in self.instances:
             version = _optional_int(fields, "stamp", 0)
-            # A failed poll has waited too long, or discovery is down: both count as rejected after a wait.
+            # The poll waited too long or discovery is down; both are treated as a rejection after a wait.
             failure = api.DiscoveryFailure.REJECTED
-            update = api.ServerList(kind, entries, version, failure, missed_for=MAX_POLL_DURATION_S)
+            update = api.ServerList(
+                kind, entries, version, failure, missed_for=DROPPED_WATCH_REPORTED_WITHIN_S
+            )
             self.pending.setdefault(who, []).append(update)
 
     def flush(self, who: str) -> None:
-        """Let an instance handle its events; an exception is reported as a `fatal` line."""
+        """Let an instance handle its pending events; an exception is reported as a `fatal` line."""
         events = self.pending.pop(who)
         try:
             for action in self.instances[who].handle(self.now, events):
@@ -513,8 +516,8 @@
     try:
         host.run()
     except (WireError, ValueError) as error:
-        shown = host.line[:300].encode("ascii", "backslashreplace").decode()
-        print(f"gladegw: {error} in line: {shown}", file=sys.stderr)
+        printable_line = host.line[:300].encode("ascii", "backslashreplace").decode()
+        print(f"gladegw: {error} in line: {printable_line}", file=sys.stderr)
         return 2
     return 0
 
