--- a/gladegw/balancing/server_selection.py
+++ b/gladegw/balancing/server_selection.py
@@ -283,7 +283,7 @@
         crossing_cost = (
             CROSS_ZONE_OBJECTIVES * self.settings.price_crossing * self.max_objective / self.mean_latency
         )
-        connect_cost = self.connect_cost
+        opening_cost = self.connect_cost
         zone = self.settings.zone
         prior = PRIOR_SAMPLES * self.mean_load.value / mean_weight
         for server in self.pool:
@@ -298,7 +298,7 @@
             if server.zone != zone:
                 cost += crossing_cost
             if not server.in_flight and now - server.used_at > self.trusted_idle:
-                cost += connect_cost
+                cost += opening_cost
             if server.id in tried:
                 cost += MAX_FAILURE_LATENCIES
             cost *= 1 + 0.01 * self.draw(server)
--- a/tests/balancing/test_balancer.py
+++ b/tests/balancing/test_balancer.py
@@ -310,7 +310,7 @@
     others = {only_send(driver.arrive(call)).server for call in (2, 3, 4)}
     assert send.server not in others
     driver.wait(1.0)
-    assert Probe(send.server) in driver.said
+    assert Probe(send.server) in driver.actions
     driver.feed(ProbeResult(send.server, Status.OK, 0.001, None))
     assert not driver.balancer.servers.servers[send.server].ejected_until
 
@@ -428,7 +428,7 @@
 def test_asking_starts_within_two_seconds_and_backs_off() -> None:
     driver = Driver(settings(polls_endpoints=True))
     driver.wait(2.1)
-    assert driver.said.count(Watch(True)) == 1
+    assert driver.actions.count(Watch(True)) == 1
     assert Watch(True) not in driver.feed(ServerList(ListKind.FAILED))
     assert Watch(True) not in driver.wait(0.09)
     assert driver.wait(0.2).count(Watch(True)) == 1
@@ -527,7 +527,7 @@
     driver.settle(second, Status.CONNECT_FAILED)
     server = driver.balancer.servers.servers[1]
     assert not server.ejected_until
-    again = sends(driver.arrive(3)) + sends(driver.said, 2)[1:]
+    again = sends(driver.arrive(3)) + sends(driver.actions, 2)[1:]
     assert len(again) == 1 and server.in_flight == 1  # one connection is open: one call at a time
 
 
@@ -563,7 +563,7 @@
     driver.settle(only_send(driver.arrive(1, "once")), Status.OK)
     driver.wait(3.0)
     send = only_send(driver.arrive(2, "once"))
-    assert CloseIdle(1) not in driver.said
+    assert CloseIdle(1) not in driver.actions
     driver.settle(send, Status.RESET, elapsed=0.001)
     assert not driver.balancer.servers.servers[1].ejected_until
     driver.settle(only_send(driver.arrive(3, "once")), Status.OK)
--- a/tests/balancing/test_endpoint_freshness.py
+++ b/tests/balancing/test_endpoint_freshness.py
@@ -1,4 +1,4 @@
-"""How long a list holds, and when discovery is asked again (report 24bf6d)."""
+"""How long an endpoint list stays valid, and when discovery is polled again (report 24bf6d)."""
 
 from __future__ import annotations
 
@@ -14,67 +14,81 @@
 from gladegw.balancing.endpoint_freshness import EndpointFreshness
 from gladegw.balancing.events import Event
 
-DRAIN_GRACE = 0.5  # s
-CONNECT = 0.1  # s
-TOLD_WITHIN = 6.0  # s after which a change counts as told
-MOVED_TOLD_WITHIN = 4.0  # s from the signal, where discovery has moved
-STEP = 0.05  # s, of the module
-SILENT_FOR = (1.2, 2.0)  # s until a silent watch is given up, by how long it had been open
-MOST_WAIT = 1.0  # s that a call may wait for its turn; one that would wait longer is refused at once
-BEGIN = 100.0  # s on the proxies' clock, at which all watches fall silent
+DRAIN_GRACE_S = 0.5
+CONNECT_TIMEOUT_S = 0.1
+CHANGE_KNOWN_AFTER_S = 6.0  # a change counts as known this long after discovery had it
+CHANGE_KNOWN_AFTER_MOVE_S = 4.0  # the same, counted from a change of discovery's address
+STEP_S = 0.05  # control step of the Balancer
+SILENCE_RANGE_S = (1.2, 2.0)  # until a silent watch is closed; depends on how long it was open
+MAX_QUEUE_WAIT_S = 1.0  # in discovery's queue; a call that would wait longer is rejected immediately
+START_S = 100.0  # on the simulated clock; in the fleet tests all watches fall silent at this time
 
 
-def freshness() -> EndpointFreshness:
-    made = EndpointFreshness(Random(1), polls=True, drain_grace=DRAIN_GRACE, connect_timeout=CONNECT)
-    made.on_update(BEGIN, by_discovery=True)
-    return made
+def new_freshness() -> EndpointFreshness:
+    freshness = EndpointFreshness(
+        Random(1), polls=True, drain_grace=DRAIN_GRACE_S, connect_timeout=CONNECT_TIMEOUT_S
+    )
+    freshness.on_update(START_S, by_discovery=True)
+    return freshness
 
 
-def lapses_after(made: EndpointFreshness) -> float:
-    """Seconds from BEGIN until the list may not be used any more."""
+def expires_after(freshness: EndpointFreshness) -> float:
+    """Return the seconds from START_S until the list has expired."""
     step = 0
-    while not made.is_expired(BEGIN + step * STEP):
+    while not freshness.is_expired(START_S + step * STEP_S):
         step += 1
-    return step * STEP
-
-
-def test_a_list_holds_until_what_it_may_lack_counts_as_told_and_its_grace_is_over() -> None:
-    made = freshness()
-    made.on_failure(BEGIN + 2.0, DiscoveryFailure.UNANSWERED)
-    assert TOLD_WITHIN < lapses_after(made) < TOLD_WITHIN + DRAIN_GRACE - CONNECT
-
-
-def test_a_list_that_is_followed_never_lapses() -> None:
-    assert not freshness().is_expired(BEGIN + 1000.0)
-
-
-def test_after_a_move_a_list_holds_no_longer_than_what_the_new_address_tells_may_take() -> None:
-    made = freshness()
-    made.on_address_change(BEGIN)
-    made.on_failure(BEGIN + 2.1, DiscoveryFailure.UNANSWERED)
-    assert MOVED_TOLD_WITHIN < lapses_after(made) < MOVED_TOLD_WITHIN + DRAIN_GRACE - CONNECT
-    made.on_update(BEGIN + 3.0, by_discovery=True)
-    made.on_failure(BEGIN + 3.0, DiscoveryFailure.UNANSWERED)
-    assert lapses_after(made) > 3.0 + TOLD_WITHIN
-
-
-def test_a_whole_list_that_comes_too_slowly_after_a_move_holds_nothing_up() -> None:
-    made = freshness()
-    made.on_address_change(BEGIN)
-    assert MOVED_TOLD_WITHIN < lapses_after(made) < MOVED_TOLD_WITHIN + DRAIN_GRACE - CONNECT
-
-
-def test_one_that_begins_with_the_list_of_another_holds_it_no_longer() -> None:
-    old, new = freshness(), freshness()
-    old.on_failure(BEGIN + 2.0, DiscoveryFailure.REJECTED_IMMEDIATELY)
-    new.on_update(BEGIN + 5.0, by_discovery=False)
+    return step * STEP_S
+
+
+def test_a_list_expires_when_a_missed_drain_counts_as_known_and_its_grace_is_over() -> None:
+    freshness = new_freshness()
+    freshness.on_failure(START_S + 2.0, DiscoveryFailure.UNANSWERED)
+    assert (
+        CHANGE_KNOWN_AFTER_S
+        < expires_after(freshness)
+        < CHANGE_KNOWN_AFTER_S + DRAIN_GRACE_S - CONNECT_TIMEOUT_S
+    )
+
+
+def test_a_watched_list_never_expires() -> None:
+    assert not new_freshness().is_expired(START_S + 1000.0)
+
+
+def test_after_an_address_change_a_list_expires_sooner() -> None:
+    freshness = new_freshness()
+    freshness.on_address_change(START_S)
+    freshness.on_failure(START_S + 2.1, DiscoveryFailure.UNANSWERED)
+    assert (
+        CHANGE_KNOWN_AFTER_MOVE_S
+        < expires_after(freshness)
+        < CHANGE_KNOWN_AFTER_MOVE_S + DRAIN_GRACE_S - CONNECT_TIMEOUT_S
+    )
+    freshness.on_update(START_S + 3.0, by_discovery=True)
+    freshness.on_failure(START_S + 3.0, DiscoveryFailure.UNANSWERED)
+    assert expires_after(freshness) > 3.0 + CHANGE_KNOWN_AFTER_S
+
+
+def test_a_list_expires_after_an_address_change_while_no_answer_arrives() -> None:
+    freshness = new_freshness()
+    freshness.on_address_change(START_S)
+    assert (
+        CHANGE_KNOWN_AFTER_MOVE_S
+        < expires_after(freshness)
+        < CHANGE_KNOWN_AFTER_MOVE_S + DRAIN_GRACE_S - CONNECT_TIMEOUT_S
+    )
+
+
+def test_an_inherited_list_expires_no_later_than_the_original() -> None:
+    old, new = new_freshness(), new_freshness()
+    old.on_failure(START_S + 2.0, DiscoveryFailure.REJECTED_IMMEDIATELY)
+    new.on_update(START_S + 5.0, by_discovery=False)
     new.inherit(old)
-    assert lapses_after(new) == lapses_after(old)
+    assert expires_after(new) == expires_after(old)
     assert new.is_discovery_reachable
 
 
 @pytest.mark.parametrize("current", [True, False])
-def test_a_list_that_is_no_news_does_not_lengthen_what_is_known(current: bool) -> None:
+def test_a_list_that_is_not_current_does_not_extend_the_validity(current: bool) -> None:
     driver = Driver(settings(polls_endpoints=True), servers=entries(1, 2))
     driver.wait(3.0)
     driver.feed(ServerList(ListKind.FULL, entries(1, 2)))
@@ -85,7 +99,7 @@
     assert bool(sends(driver.arrive(1))) == current
 
 
-def test_a_list_that_has_lapsed_is_used_in_an_outage_and_not_where_discovery_is_up() -> None:
+def test_an_expired_list_is_used_in_an_outage_but_not_if_discovery_is_up() -> None:
     for failure, used in (
         (DiscoveryFailure.REJECTED_IMMEDIATELY, False),
         (DiscoveryFailure.REJECTED, True),
@@ -97,13 +111,13 @@
         for call in range(40):
             driver.feed(ServerList(ListKind.FAILED, failure=failure))
             for send in sends(driver.arrive(call, budget=0.1)):
-                driver.now += STEP
-                driver.settle(send, Status.OK, elapsed=STEP)
+                driver.now += STEP_S
+                driver.settle(send, Status.OK, elapsed=STEP_S)
             driver.wait(0.2)
         assert bool(sends(driver.arrive(100))) == used, failure
 
 
-def test_a_withheld_server_gets_calls_again_with_the_next_news() -> None:
+def test_a_withheld_server_gets_calls_again_after_the_next_update() -> None:
     driver = Driver(settings(polls_endpoints=True, may_probe=False), servers=entries(1))
     driver.wait(3.0)
     driver.feed(ServerList(ListKind.FULL, entries(1)))
@@ -115,82 +129,87 @@
 
 
 class Fleet:
-    """Proxies whose watches fall silent at one moment, before a discovery that answers first calls one after
-    another and refuses at once what would wait too long. Refused calls cost it nothing."""
+    """Simulated proxies whose watches all fall silent at the same time, and their discovery.
+
+    Discovery answers the first calls of watches one after another and immediately rejects a call that would
+    wait too long in its queue. Rejected calls cost it nothing.
+    """
 
     def __init__(self, proxies: int, all_answered_in: float, seed: int) -> None:
-        """`all_answered_in`: s that discovery needs for a call of each."""
-        self.turn = all_answered_in / proxies
+        """`all_answered_in`: seconds that discovery needs to answer one call of each proxy."""
+        self.answer_time = all_answered_in / proxies
         self.busy_until = 0.0
-        self.order = count()
+        self.event_ids = count()
         self.events: list[tuple[float, int, int, Event]] = []
-        draws = Random(seed)
+        random = Random(seed)
         self.proxies = [self._proxy(number, proxies, seed) for number in range(proxies)]
         for number in range(proxies):
-            self._put(BEGIN, number, Timer(TICK_TOKEN))
-            self._put(BEGIN + draws.uniform(*SILENT_FOR), number, ServerList(ListKind.FAILED))
+            self._schedule(START_S, number, Timer(TICK_TOKEN))
+            self._schedule(START_S + random.uniform(*SILENCE_RANGE_S), number, ServerList(ListKind.FAILED))
 
     @staticmethod
     def _proxy(number: int, proxies: int, seed: int) -> Balancer:
-        setup = settings(polls_endpoints=True, max_poll_gap=10.0, balancers=proxies, instance=number)
-        proxy = Balancer(setup, seed * 1000 + number)
+        proxy_settings = settings(polls_endpoints=True, max_poll_gap=10.0, balancers=proxies, instance=number)
+        proxy = Balancer(proxy_settings, seed * 1000 + number)
         now = 0.0
         while Watch(True) not in proxy.handle(now, [ServerList(ListKind.CACHED), Timer(TICK_TOKEN)]):
             now += 0.1
-        proxy.handle(BEGIN, [ServerList(ListKind.FULL)])
+        proxy.handle(START_S, [ServerList(ListKind.FULL)])
         return proxy
 
-    def _put(self, at: float, proxy: int, event: Event) -> None:
-        heapq.heappush(self.events, (at, next(self.order), proxy, event))
+    def _schedule(self, at: float, proxy: int, event: Event) -> None:
+        heapq.heappush(self.events, (at, next(self.event_ids), proxy, event))
 
-    def _call(self, now: float, proxy: int) -> None:
+    def _call_discovery(self, now: float, proxy: int) -> None:
         begins_at = max(now, self.busy_until)
-        if begins_at - now > MOST_WAIT:
-            self._put(now, proxy, ServerList(ListKind.FAILED, failure=DiscoveryFailure.REJECTED_IMMEDIATELY))
+        if begins_at - now > MAX_QUEUE_WAIT_S:
+            self._schedule(
+                now, proxy, ServerList(ListKind.FAILED, failure=DiscoveryFailure.REJECTED_IMMEDIATELY)
+            )
         else:
-            self.busy_until = begins_at + self.turn
-            self._put(self.busy_until, proxy, ServerList(ListKind.FULL))
+            self.busy_until = begins_at + self.answer_time
+            self._schedule(self.busy_until, proxy, ServerList(ListKind.FULL))
 
-    def answered_after(self) -> list[float]:
-        """Seconds from the silence to each proxy's first news."""
-        answered: dict[int, float] = {}
-        while len(answered) < len(self.proxies):
+    def answer_times(self) -> list[float]:
+        """Return the seconds from the silence to the first full list, sorted, for all proxies."""
+        first_list_after: dict[int, float] = {}
+        while len(first_list_after) < len(self.proxies):
             now, _, number, event = heapq.heappop(self.events)
             if isinstance(event, ServerList) and event.kind is ListKind.FULL:
-                answered.setdefault(number, now - BEGIN)
+                first_list_after.setdefault(number, now - START_S)
             for action in self.proxies[number].handle(now, [event]):
                 if isinstance(action, SetTimer):
-                    self._put(now + action.delay, number, Timer(action.token))
+                    self._schedule(now + action.delay, number, Timer(action.token))
                 elif action == Watch(True):
-                    self._call(now, number)
-        return sorted(answered.values())
+                    self._call_discovery(now, number)
+        return sorted(first_list_after.values())
 
 
 @pytest.mark.parametrize("proxies", [2, 8, 13, 120])
-def test_a_whole_fleet_has_news_in_time_after_all_its_watches_fell_silent(proxies: int) -> None:
+def test_all_proxies_get_a_list_in_time_after_all_watches_fell_silent(proxies: int) -> None:
     for seed in range(4):
-        assert Fleet(proxies, 3.9, seed).answered_after()[-1] < TOLD_WITHIN, seed
+        assert Fleet(proxies, 3.9, seed).answer_times()[-1] < CHANGE_KNOWN_AFTER_S, seed
 
 
-def test_a_call_answered_in_drips_does_not_lengthen_how_long_the_list_holds() -> None:
-    """An answer that comes in drips is given up after 5 s; the list is as old as before that call began."""
-    made = freshness()
-    made.on_failure(BEGIN + 5.0, DiscoveryFailure.UNANSWERED)
-    assert lapses_after(made) < TOLD_WITHIN + DRAIN_GRACE - CONNECT
+def test_a_call_answered_too_slowly_does_not_extend_the_validity() -> None:
+    """An answer that arrives too slowly is abandoned after 5 s; the list stays as old as before the call."""
+    freshness = new_freshness()
+    freshness.on_failure(START_S + 5.0, DiscoveryFailure.UNANSWERED)
+    assert expires_after(freshness) < CHANGE_KNOWN_AFTER_S + DRAIN_GRACE_S - CONNECT_TIMEOUT_S
 
 
-def test_an_answer_that_came_over_seconds_is_no_younger_than_its_first_byte() -> None:
-    """Guards against a drain missed by a list written before it, that took seconds to arrive."""
+def test_a_list_that_took_seconds_to_arrive_is_as_old_as_its_first_byte() -> None:
+    """Guards against missing a drain that began after a slowly transmitted list was written."""
     driver = Driver(settings(polls_endpoints=True, may_probe=False), servers=entries(1, 2))
     driver.wait(3.0)
     driver.feed(ServerList(ListKind.FULL, entries(1, 2), age=3.0))
     driver.feed(ServerList(ListKind.FAILED, failure=DiscoveryFailure.REJECTED_IMMEDIATELY))
-    driver.wait(TOLD_WITHIN - 3.0 + DRAIN_GRACE)
+    driver.wait(CHANGE_KNOWN_AFTER_S - 3.0 + DRAIN_GRACE_S)
     assert not sends(driver.arrive(1))
 
 
 def test_a_cached_list_read_late_does_not_make_an_update_older() -> None:
-    made = freshness()
-    made.on_update(BEGIN + 1.0, by_discovery=True, age=3.0)
-    made.on_failure(BEGIN + 2.0, DiscoveryFailure.UNANSWERED)
-    assert lapses_after(made) > TOLD_WITHIN
+    freshness = new_freshness()
+    freshness.on_update(START_S + 1.0, by_discovery=True, age=3.0)
+    freshness.on_failure(START_S + 2.0, DiscoveryFailure.UNANSWERED)
+    assert expires_after(freshness) > CHANGE_KNOWN_AFTER_S
--- a/tests/balancing/test_overdue_updates.py
+++ b/tests/balancing/test_overdue_updates.py
@@ -1,9 +1,9 @@
-"""Which servers get calls while discovery tells nothing, so that a drain may count as known that is not.
+"""Which servers get calls while discovery sends no updates, so that the list may lack a drain.
 
-A change counts as known 6 s after discovery had it, also where every call was refused. A server that answers
-a probe did not drain when it was sent: it is safe for 6 s more. The others are left alone until news come. A
-call that was taken tells nothing where probes are allowed: a server that drains may complete calls as before
-(report 24bf6d).
+A change counts as known 6 s after discovery had it, even if discovery rejected every call. A server that
+answers a probe was not draining when the probe was sent, so it may be used for 6 s more. The other servers
+are withheld until the next update. Where probes are allowed, a completed call proves nothing: a draining
+server may complete calls as before (report 24bf6d).
 """
 
 from __future__ import annotations
@@ -12,93 +12,95 @@
 
 from gladegw import DiscoveryFailure, ListKind, Probe, ProbeResult, ServerList, Status
 
-TOLD_WITHIN = 6.0  # s after which a change counts as told
-CALL = 0.05  # s that a call takes here
+CHANGE_KNOWN_AFTER_S = 6.0  # a change counts as known this long after discovery had it
+CALL_TIME_S = 0.05
 
 
-def without_news(span: float, *servers: int, may_probe: bool = False) -> Driver:
-    """An instance whose calls to discovery were refused for this long; nothing was sent meanwhile."""
+def driver_without_updates(span: float, *servers: int, may_probe: bool = False) -> Driver:
+    """Return a driver after `span` seconds in which discovery rejected all polls and no calls arrived."""
     driver = Driver(settings(polls_endpoints=True, may_probe=may_probe), servers=entries(*servers))
     driver.wait(3.0)
     driver.feed(ServerList(ListKind.FULL, entries(*servers)))
-    begun = driver.now
-    while driver.now < begun + span:
+    started_at = driver.now
+    while driver.now < started_at + span:
         driver.feed(ServerList(ListKind.FAILED, failure=DiscoveryFailure.REJECTED))
-        driver.wait(min(2.0, begun + span - driver.now))
+        driver.wait(min(2.0, started_at + span - driver.now))
     return driver
 
 
-def used(driver: Driver, first: int, calls: int) -> set[int]:
-    """The servers that get these calls, four at a time; each takes what it gets."""
-    found: set[int] = set()
-    for begin in range(first, first + calls, 4):
-        out = [only_send(driver.arrive(call)) for call in range(begin, begin + 4)]
-        driver.now += CALL
-        for send in out:
-            driver.settle(send, Status.OK, elapsed=CALL)
-        found |= {send.server for send in out}
-    return found
+def servers_used(driver: Driver, first: int, calls: int) -> set[int]:
+    """Send calls, four at a time, that all succeed; return the servers that got one."""
+    servers: set[int] = set()
+    for batch_start in range(first, first + calls, 4):
+        attempts = [only_send(driver.arrive(call)) for call in range(batch_start, batch_start + 4)]
+        driver.now += CALL_TIME_S
+        for send in attempts:
+            driver.settle(send, Status.OK, elapsed=CALL_TIME_S)
+        servers |= {send.server for send in attempts}
+    return servers
 
 
-def test_only_servers_that_took_a_call_lately_get_calls_while_news_are_overdue() -> None:
-    driver = without_news(4.0, 1, 2, 3, 4)
+def test_only_servers_that_completed_a_call_lately_get_calls_while_updates_are_overdue() -> None:
+    driver = driver_without_updates(4.0, 1, 2, 3, 4)
     first = only_send(driver.arrive(1))
-    driver.now += CALL
-    driver.settle(first, Status.OK, elapsed=CALL)
+    driver.now += CALL_TIME_S
+    driver.settle(first, Status.OK, elapsed=CALL_TIME_S)
     driver.wait(2.0)
-    assert used(driver, 10, 12) == {first.server}
+    assert servers_used(driver, 10, 12) == {first.server}
     driver.feed(ServerList(ListKind.FULL, entries(1, 2, 3, 4)))
     driver.wait(0.2)
-    assert used(driver, 30, 40) == {1, 2, 3, 4}
+    assert servers_used(driver, 30, 40) == {1, 2, 3, 4}
 
 
-def test_a_server_that_turns_a_call_away_gets_no_more_while_news_are_overdue() -> None:
-    driver = without_news(4.0, 1, 2, 3)
-    assert used(driver, 0, 12) == {1, 2, 3}
+def test_a_server_that_rejects_a_call_gets_no_more_while_updates_are_overdue() -> None:
+    driver = driver_without_updates(4.0, 1, 2, 3)
+    assert servers_used(driver, 0, 12) == {1, 2, 3}
     driver.wait(2.0)
-    refusing = only_send(driver.arrive(20))
-    driver.now += CALL
-    retries = sends(driver.settle(refusing, Status.REJECTED, elapsed=CALL) + driver.wait(0.1), 20)
-    assert [send.server != refusing.server for send in retries] == [True]
-    driver.settle(retries[0], Status.OK, attempt=1, elapsed=CALL)
-    assert refusing.server not in used(driver, 30, 12)
+    rejected = only_send(driver.arrive(20))
+    driver.now += CALL_TIME_S
+    retries = sends(driver.settle(rejected, Status.REJECTED, elapsed=CALL_TIME_S) + driver.wait(0.1), 20)
+    assert [send.server != rejected.server for send in retries] == [True]
+    driver.settle(retries[0], Status.OK, attempt=1, elapsed=CALL_TIME_S)
+    assert rejected.server not in servers_used(driver, 30, 12)
 
 
-def test_a_server_that_answers_a_probe_gets_calls_though_news_are_overdue() -> None:
-    driver = without_news(4.0, 1, 2, may_probe=True)
+def test_a_server_that_answers_a_probe_gets_calls_though_updates_are_overdue() -> None:
+    driver = driver_without_updates(4.0, 1, 2, may_probe=True)
     first = only_send(driver.arrive(1))
-    driver.now += CALL
-    driver.settle(first, Status.OK, elapsed=CALL)
+    driver.now += CALL_TIME_S
+    driver.settle(first, Status.OK, elapsed=CALL_TIME_S)
     other = 3 - first.server
-    driver.feed(ProbeResult(first.server, Status.OK, CALL), ProbeResult(other, Status.REJECTED, CALL))
+    driver.feed(
+        ProbeResult(first.server, Status.OK, CALL_TIME_S), ProbeResult(other, Status.REJECTED, CALL_TIME_S)
+    )
     assert Probe(other) in driver.wait(3.0)
-    assert used(driver, 10, 4) == {first.server}
-    driver.feed(ProbeResult(other, Status.OK, CALL))
+    assert servers_used(driver, 10, 4) == {first.server}
+    driver.feed(ProbeResult(other, Status.OK, CALL_TIME_S))
     driver.wait(0.1)
-    assert other in used(driver, 20, 12)
+    assert other in servers_used(driver, 20, 12)
 
 
-def test_a_server_that_fails_its_probes_gets_no_calls_though_it_answers_them() -> None:
-    """A server that drains may complete what it gets, as before; its health check tells (report 24bf6d)."""
-    driver = without_news(3.0, 1, 2, may_probe=True)
+def test_a_server_that_fails_its_probes_gets_no_calls_though_it_completes_them() -> None:
+    """A draining server may complete calls as before; only its probes show the drain (report 24bf6d)."""
+    driver = driver_without_updates(3.0, 1, 2, may_probe=True)
     for call in range(0, 120, 4):
-        used(driver, call, 4)
-        driver.feed(ProbeResult(1, Status.OK, CALL), ProbeResult(2, Status.ERROR, CALL))
+        servers_used(driver, call, 4)
+        driver.feed(ProbeResult(1, Status.OK, CALL_TIME_S), ProbeResult(2, Status.ERROR, CALL_TIME_S))
         driver.wait(0.2)
-    assert used(driver, 200, 12) == {1}
+    assert servers_used(driver, 200, 12) == {1}
 
 
-def test_where_no_server_has_proven_itself_all_get_calls() -> None:
-    driver = without_news(12.0, 1, 2, 3)
+def test_if_no_server_is_verified_all_get_calls() -> None:
+    driver = driver_without_updates(12.0, 1, 2, 3)
     first = only_send(driver.arrive(1))
-    driver.now += CALL
-    (second,) = sends(driver.settle(first, Status.CONNECT_FAILED, elapsed=CALL) + driver.wait(0.1), 1)
+    driver.now += CALL_TIME_S
+    (second,) = sends(driver.settle(first, Status.CONNECT_FAILED, elapsed=CALL_TIME_S) + driver.wait(0.1), 1)
     assert second.server != first.server
 
 
-def test_a_watch_that_goes_on_quietly_withholds_nothing() -> None:
+def test_no_server_is_withheld_while_a_watch_is_open_without_changes() -> None:
     driver = Driver(settings(polls_endpoints=True, may_probe=False), servers=entries(1, 2, 3, 4))
     driver.wait(3.0)
     driver.feed(ServerList(ListKind.FULL, entries(1, 2, 3, 4)))
     driver.wait(30.0)
-    assert used(driver, 0, 40) == {1, 2, 3, 4}
+    assert servers_used(driver, 0, 40) == {1, 2, 3, 4}
--- a/tests/balancing/test_request_rules.py
+++ b/tests/balancing/test_request_rules.py
@@ -5,7 +5,7 @@
 from itertools import pairwise
 
 import pytest
-from support.balancing import CLASSES, Driver, drained, entries, only_send, sends, settings
+from support.balancing import CLASSES, Driver, entries, only_send, sends, settings, state_update
 
 from gladegw import (
     Action,
@@ -130,7 +130,7 @@
 def test_drained_servers_get_nothing_new() -> None:
     for state in (ServerState.DRAINING, ServerState.REMOVED):
         driver = Driver(settings(), servers=entries(1, 2))
-        driver.feed(drained(1, state))
+        driver.feed(state_update(1, state))
         for call in range(20):
             for send in sends(driver.arrive(call)):
                 assert send.server == 2
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start over a whole fleet: what all balancers together send to servers that have just started."""
+"""Slow start across a fleet: how many calls all balancers together send to servers that just started."""
 
 from __future__ import annotations
 
@@ -33,19 +33,19 @@
     Timer,
 )
 
-LATENCY = 0.05  # s of each call
-BUSY = 60.0  # calls that a warm server says it holds; a cold one says that it holds none
+LATENCY_S = 0.05  # of each call
+WARM_SERVER_LOAD = 60.0  # calls in the load report of a warm server; a warming server reports none
 CLASS = RequestClass("safe", priority_weight=1, latency_objective=1.0, deadline=2.0)
 
 
 @dataclass
 class Fleet:
-    """Balancers that share nothing, before servers that answer all alike, in simulated time."""
+    """Independent balancers and their servers, which all answer alike, in simulated time."""
 
     settings: Settings
     servers: int
-    rate: float  # calls a second of the whole fleet
-    skew: float  # how unevenly they are spread over the balancers
+    rate: float  # calls per second of the whole fleet
+    skew: float  # how unevenly the calls are spread over the balancers
     seed: int
     now: float = 1000.0
     sent: dict[int, list[float]] = field(default_factory=dict)
@@ -53,34 +53,36 @@
 
     def __post_init__(self) -> None:
         self.random = Random(self.seed)
-        self.cold_since = dict.fromkeys(range(1, self.servers + 1), 0.0)
-        self.sent = {server: [] for server in self.cold_since}
+        self.started_at = dict.fromkeys(range(1, self.servers + 1), 0.0)
+        self.sent = {server: [] for server in self.started_at}
         self.events: list[tuple[float, int, int, Event]] = []
-        self.made = self.calls = 0
-        self.shares = [math.exp(self.skew * self.random.gauss(0, 1)) for _ in range(self.settings.balancers)]
+        self.event_count = self.calls = 0
+        self.traffic_weights = [
+            math.exp(self.skew * self.random.gauss(0, 1)) for _ in range(self.settings.balancers)
+        ]
         self.balancers = [self._balancer(me) for me in range(self.settings.balancers)]
 
     def _balancer(self, me: int) -> Balancer:
         values = {name: getattr(self.settings, name) for name in self.settings.__slots__}
         balancer = Balancer(Settings(**{**values, "instance": me}), self.random.getrandbits(32))
-        self._later(0.0, me, ServerList(ListKind.FULL, self._entries()))
+        self._schedule(0.0, me, ServerList(ListKind.FULL, self._entries()))
         return balancer
 
     def _entries(self) -> list[ServerEntry]:
-        return [ServerEntry(server, zone="a", started_at=since) for server, since in self.cold_since.items()]
+        return [ServerEntry(server, zone="a", started_at=since) for server, since in self.started_at.items()]
 
-    def _later(self, delay: float, me: int, event: Event) -> None:
-        self.made += 1
-        heapq.heappush(self.events, (self.now + delay, self.made, me, event))
+    def _schedule(self, delay: float, me: int, event: Event) -> None:
+        self.event_count += 1
+        heapq.heappush(self.events, (self.now + delay, self.event_count, me, event))
 
     def restart(self, *servers: int) -> None:
-        """All balancers learn of it at once, and none of them has a call out there."""
-        self.cold_since |= dict.fromkeys(servers, self.now)
+        """Restart servers that have no calls in flight; all balancers get the new list immediately."""
+        self.started_at |= dict.fromkeys(servers, self.now)
         for me in range(self.settings.balancers):
-            self._later(0.0, me, ServerList(ListKind.FULL, self._entries()))
+            self._schedule(0.0, me, ServerList(ListKind.FULL, self._entries()))
 
     def replace_balancers(self) -> None:
-        """Each is killed and starts again with nothing learned."""
+        """Kill all balancers and start them again without what they learned."""
         self.events = []
         self.balancers = [self._balancer(me) for me in range(self.settings.balancers)]
 
@@ -95,7 +97,7 @@
             if arrival <= due:
                 self.now = arrival
                 self.calls += 1
-                (me,) = self.random.choices(range(len(self.shares)), self.shares)
+                (me,) = self.random.choices(range(len(self.traffic_weights)), self.traffic_weights)
                 self._handle(me, Arrival(self.calls, "safe", 2.0))
                 arrival += self.random.expovariate(rate)
             else:
@@ -107,60 +109,70 @@
         self.answered += isinstance(event, Outcome)
         for action in self.balancers[me].handle(self.now, [event]):
             if isinstance(action, SetTimer):
-                self._later(action.delay, me, Timer(action.token))
+                self._schedule(action.delay, me, Timer(action.token))
             elif isinstance(action, Send):
                 self.sent[action.server].append(self.now)
-                outcome = Outcome(action.call, 0, action.server, Status.OK, LATENCY, True)
-                self._later(LATENCY, me, outcome)
+                outcome = Outcome(action.call, 0, action.server, Status.OK, LATENCY_S, True)
+                self._schedule(LATENCY_S, me, outcome)
             elif isinstance(action, Probe):
-                busy = BUSY if self.warmth(action.server, self.now) >= 1 else 0.0
-                self._later(0.001, me, ProbeResult(action.server, Status.OK, 0.001, {"busy_reqs": busy}))
+                load = WARM_SERVER_LOAD if self.warmup_fraction(action.server, self.now) >= 1 else 0.0
+                self._schedule(0.001, me, ProbeResult(action.server, Status.OK, 0.001, {"busy_reqs": load}))
 
-    def warmth(self, server: int, at: float) -> float:
-        setup, since = self.settings, self.cold_since[server]
-        if not since or at >= since + setup.warmup_time:
+    def warmup_fraction(self, server: int, at: float) -> float:
+        settings, since = self.settings, self.started_at[server]
+        if not since or at >= since + settings.warmup_time:
             return 1.0
         return (
-            setup.warmup_start_fraction + (1 - setup.warmup_start_fraction) * (at - since) / setup.warmup_time
+            settings.warmup_start_fraction
+            + (1 - settings.warmup_start_fraction) * (at - since) / settings.warmup_time
         )
 
-    def most_over_budget(self, server: int, capacity: float) -> float:
-        """The largest part of its budget that a cold server got in any span; a warm one bears `capacity`."""
-        setup, since = self.settings, self.cold_since[server]
-        times = [at for at in self.sent[server] if since <= at < since + setup.warmup_time]
+    def max_budget_use(self, server: int, capacity: float) -> float:
+        """Return the highest ratio of calls to budget over all overload windows of a server's warm-up.
+
+        `capacity`: calls per second that a warm server can serve.
+        """
+        settings, since = self.settings, self.started_at[server]
+        times = [at for at in self.sent[server] if since <= at < since + settings.warmup_time]
         worst = 0.0
         for first, start in enumerate(times):
-            got = sum(1 for at in times[first:] if at < start + setup.overload_window)
-            middle = self.warmth(server, start + setup.overload_window / 2)
-            allowed = setup.overload_multiple * middle * capacity * setup.overload_window
-            worst = max(worst, got / bound(allowed))
+            sent = sum(1 for at in times[first:] if at < start + settings.overload_window)
+            warmup_fraction = self.warmup_fraction(server, start + settings.overload_window / 2)
+            allowed = settings.overload_multiple * warmup_fraction * capacity * settings.overload_window
+            worst = max(worst, sent / max_calls(allowed))
         return worst
 
 
-def bound(allowed: float) -> float:
-    """The most calls that a budget of `allowed` may become, by the operators' terms."""
+def max_calls(allowed: float) -> float:
+    """Return the maximum number of calls that the operators' terms accept for a budget of `allowed` calls."""
     if allowed < 30:
         return allowed + 3 * math.sqrt(allowed) + 3
     return allowed + 2 * math.sqrt(allowed) + 2
 
 
-def setup(balancers: int, cold_from: float, cold_for: float, multiple: float, within: float) -> Settings:
+def make_settings(
+    balancers: int,
+    warmup_start_fraction: float,
+    warmup_time: float,
+    overload_multiple: float,
+    overload_window: float,
+) -> Settings:
     return Settings(
         classes=[CLASS],
         zone="a",
         balancers=balancers,
         max_attempts=1,
-        warmup_start_fraction=cold_from,
-        warmup_time=cold_for,
-        overload_multiple=multiple,
-        overload_window=within,
+        warmup_start_fraction=warmup_start_fraction,
+        warmup_time=warmup_time,
+        overload_multiple=overload_multiple,
+        overload_window=overload_window,
         may_probe=True,
         price_probe=0.001,
     )
 
 
-SETUPS = st.builds(
-    setup,
+SETTINGS_STRATEGY = st.builds(
+    make_settings,
     st.sampled_from([2, 5, 12, 30]),
     st.floats(0.14, 0.5),
     st.floats(6.0, 20.0),
@@ -170,47 +182,47 @@
 
 
 @check(max_examples=12, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
-@given(SETUPS, st.integers(3, 10), st.floats(1.5, 12.0), st.floats(0.0, 1.0), st.integers(0, 1000))
-def test_one_cold_server_gets_its_budget_from_all_together(
-    drawn: Settings, servers: int, capacity: float, skew: float, seed: int
+@given(SETTINGS_STRATEGY, st.integers(3, 10), st.floats(1.5, 12.0), st.floats(0.0, 1.0), st.integers(0, 1000))
+def test_all_balancers_together_keep_the_budget_of_a_warming_server(
+    fleet_settings: Settings, servers: int, capacity: float, skew: float, seed: int
 ) -> None:
-    fleet = Fleet(drawn, servers, capacity * servers, skew, seed)
+    fleet = Fleet(fleet_settings, servers, capacity * servers, skew, seed)
     fleet.run(25.0)
     fleet.restart(1)
-    fleet.run(drawn.warmup_time)
-    assert fleet.most_over_budget(1, capacity) <= 1
+    fleet.run(fleet_settings.warmup_time)
+    assert fleet.max_budget_use(1, capacity) <= 1
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_thirty_idle_balancers_do_not_all_spend_what_they_saved_at_once(seed: int) -> None:
-    """After a pause each may hold a call's worth for the cold server; a burst would spend them all."""
-    drawn = setup(30, 0.15, 20.0, 2.0, 1.5)
-    fleet = Fleet(drawn, 6, 6 * 8.0, 0.5, seed)
+def test_thirty_idle_balancers_do_not_spend_saved_tokens_in_one_burst(seed: int) -> None:
+    """After a pause each may have saved a token for the warming server; a burst would spend all of them."""
+    fleet_settings = make_settings(30, 0.15, 20.0, 2.0, 1.5)
+    fleet = Fleet(fleet_settings, 6, 6 * 8.0, 0.5, seed)
     fleet.run(25.0)
     fleet.restart(1)
     fleet.run(6.0, rate=0.01)
     fleet.run(3.0, rate=6 * 16.0)
-    assert fleet.most_over_budget(1, 8.0) <= 1
+    assert fleet.max_budget_use(1, 8.0) <= 1
 
 
 @check(max_examples=12, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
-@given(SETUPS, st.integers(3, 8), st.floats(2.0, 12.0), st.booleans(), st.integers(0, 1000))
-def test_a_wholly_cold_fleet_is_served_within_its_budget(
-    drawn: Settings, servers: int, capacity: float, fresh: bool, seed: int
+@given(SETTINGS_STRATEGY, st.integers(3, 8), st.floats(2.0, 12.0), st.booleans(), st.integers(0, 1000))
+def test_calls_are_served_within_the_budget_while_all_servers_warm_up(
+    fleet_settings: Settings, servers: int, capacity: float, fresh: bool, seed: int
 ) -> None:
-    """All servers have just started, before balancers that know them or that have just started too."""
-    fleet = Fleet(drawn, servers, capacity * servers, 0.3, seed)
+    """All servers just started; the balancers have learned from traffic, or just started too (`fresh`)."""
+    fleet = Fleet(fleet_settings, servers, capacity * servers, 0.3, seed)
     if not fresh:
         fleet.run(25.0)
     calls, answered = fleet.calls, fleet.answered
-    fleet.restart(*fleet.cold_since)
+    fleet.restart(*fleet.started_at)
     fleet.run(10.0)
-    bears = max(capacity, 1 / LATENCY)  # it does one call after another at least
-    assert max(fleet.most_over_budget(server, bears) for server in fleet.cold_since) <= 1
+    server_capacity = max(capacity, 1 / LATENCY_S)  # a server can serve at least one call at a time
+    assert max(fleet.max_budget_use(server, server_capacity) for server in fleet.started_at) <= 1
     assert fleet.answered - answered > 0.15 * (fleet.calls - calls)
 
 
-def test_processes_that_have_just_started_serve_before_servers_that_have_too() -> None:
+def test_a_proxy_that_just_started_uses_servers_that_just_started() -> None:
     async def test() -> None:
         now_ms = int(1000 * time.time())
         backends = [await Backend().start() for _ in range(3)]
--- a/tests/balancing/test_watch_pacing.py
+++ b/tests/balancing/test_watch_pacing.py
@@ -1,11 +1,11 @@
-"""How a fleet asks discovery again when it has been down or is crowded.
-
-Seen (report 83daec): with discovery back after an outage no proxy was answered for the rest of the day, and
-one sent to a server whose drain counted as known. How it came about: discovery answers calls in turn and
-refuses one that has waited 2 s. Each refused proxy asked again within a second, so more calls came than
-were answered, each waited longer than 2 s, and discovery's time went into calls that nobody waited for any
-more. What proved it: with longer pauses alone, all were answered within seconds of the same outage; no
-watch that went on was refused.
+"""How a fleet retries its polls after an outage or overload of discovery.
+
+Guards against a retry storm (report 83daec): after an outage of discovery, no proxy got an answer for the
+rest of the day, and one sent a call to a server whose drain counted as known. Discovery answers calls one
+after another and rejects a call that has waited 2 s. Each rejected proxy retried within a second, so calls
+arrived faster than discovery answered them. Each waited longer than 2 s, and discovery spent its time on
+calls that were already rejected. With longer retry pauses alone, all proxies were answered within seconds
+after the same outage; no watch that was already open was rejected.
 """
 
 from __future__ import annotations
@@ -20,97 +20,103 @@
 from gladegw.balancing.events import Event
 
 PROXIES = 120
-BEGIN = 100.0  # s on the proxies' clock, at which all watches end
-MUST_ASK_WITHIN = 10.0  # s, of the settings
-PATIENCE = 2.0  # s that a call waits for its turn before discovery refuses it
-OUTAGE = 8.0  # s
-TOLD_WITHIN = 6.0  # s after which a change counts as told
-DRAIN_GRACE = 0.5  # s
+START_S = 100.0  # on the simulated clock; all watches end at this time
+MAX_POLL_GAP_S = 10.0  # of the settings
+MAX_QUEUE_WAIT_S = 2.0  # in discovery's queue, until it rejects the call
+OUTAGE_S = 8.0
+CHANGE_KNOWN_AFTER_S = 6.0  # a change counts as known this long after discovery had it
+DRAIN_GRACE_S = 0.5
 
 
-class CrowdedDiscovery:
-    """Answers first calls one after another, also those that it has refused meanwhile; a watch that goes on
-    costs nothing. `capacity`: first calls that it can answer in the time in which each proxy has to ask."""
+class OverloadedDiscovery:
+    """Answers the first calls of watches one after another, even those that it has rejected meanwhile.
+
+    A watch that is already open costs it nothing. `capacity`: calls per proxy that it can answer in
+    MAX_POLL_GAP_S.
+    """
 
     def __init__(self, capacity: float, down_until: float) -> None:
-        self.turn = MUST_ASK_WITHIN / (capacity * PROXIES)  # s
+        self.answer_time = MAX_POLL_GAP_S / (capacity * PROXIES)
         self.down_until = down_until
         self.busy_until = down_until
 
     def call(self, now: float) -> tuple[float, bool]:
-        """When the call ends, and whether with an answer."""
+        """Return when the call ends and whether it is answered."""
         if now < self.down_until:
-            return now + PATIENCE, False
-        answered_at = self.busy_until = max(self.busy_until, now) + self.turn
-        if answered_at > now + PATIENCE:
-            return now + PATIENCE, False
+            return now + MAX_QUEUE_WAIT_S, False
+        answered_at = self.busy_until = max(self.busy_until, now) + self.answer_time
+        if answered_at > now + MAX_QUEUE_WAIT_S:
+            return now + MAX_QUEUE_WAIT_S, False
         return answered_at, True
 
 
-def answered_after(capacity: float, outage: float) -> list[float]:
-    """Seconds from discovery's return to each proxy's first answer. All watches end at the outage."""
-    back_at = BEGIN + outage
-    discovery = CrowdedDiscovery(capacity, back_at)
+def answer_times(capacity: float, outage: float) -> list[float]:
+    """Return the sorted seconds from discovery's recovery to the first answer, for each answered proxy.
+
+    All watches end when the outage begins.
+    """
+    recovered_at = START_S + outage
+    discovery = OverloadedDiscovery(capacity, recovered_at)
     proxies = [
         Balancer(
-            settings(polls_endpoints=True, max_poll_gap=MUST_ASK_WITHIN, balancers=PROXIES, instance=n),
+            settings(polls_endpoints=True, max_poll_gap=MAX_POLL_GAP_S, balancers=PROXIES, instance=n),
             seed=n,
         )
         for n in range(PROXIES)
     ]
-    order = count()
+    event_ids = count()
     events: list[tuple[float, int, int, Event]] = []
     answered: dict[int, float] = {}
 
-    def put(at: float, proxy: int, event: Event) -> None:
-        heapq.heappush(events, (at, next(order), proxy, event))
+    def schedule(at: float, proxy: int, event: Event) -> None:
+        heapq.heappush(events, (at, next(event_ids), proxy, event))
 
     for number, proxy in enumerate(proxies):
-        asked_at = 0.0
-        while Watch(True) not in proxy.handle(asked_at, [ServerList(ListKind.CACHED), Timer(TICK_TOKEN)]):
-            asked_at += 0.1
-        proxy.handle(BEGIN - 1.0, [ServerList(ListKind.FULL)])
-        put(BEGIN, number, ServerList(ListKind.FAILED, failure=DiscoveryFailure.REJECTED))
-        put(BEGIN, number, Timer(TICK_TOKEN))
+        polled_at = 0.0
+        while Watch(True) not in proxy.handle(polled_at, [ServerList(ListKind.CACHED), Timer(TICK_TOKEN)]):
+            polled_at += 0.1
+        proxy.handle(START_S - 1.0, [ServerList(ListKind.FULL)])
+        schedule(START_S, number, ServerList(ListKind.FAILED, failure=DiscoveryFailure.REJECTED))
+        schedule(START_S, number, Timer(TICK_TOKEN))
     while events and len(answered) < PROXIES:
         now, _, number, event = heapq.heappop(events)
-        if now > back_at + 60.0:
+        if now > recovered_at + 60.0:
             break
         if isinstance(event, ServerList) and event.kind is ListKind.FULL:
-            answered[number] = now - back_at
+            answered[number] = now - recovered_at
         for action in proxies[number].handle(now, [event]):
             if isinstance(action, SetTimer):
-                put(now + action.delay, number, Timer(action.token))
+                schedule(now + action.delay, number, Timer(action.token))
             elif action == Watch(True):
-                at, heard = discovery.call(now)
-                kind = ListKind.FULL if heard else ListKind.FAILED
-                put(at, number, ServerList(kind, failure=DiscoveryFailure.REJECTED))
+                ends_at, is_answered = discovery.call(now)
+                kind = ListKind.FULL if is_answered else ListKind.FAILED
+                schedule(ends_at, number, ServerList(kind, failure=DiscoveryFailure.REJECTED))
     return sorted(answered.values())
 
 
-def test_a_whole_fleet_is_answered_again_soon_after_an_outage() -> None:
+def test_all_proxies_are_answered_soon_after_an_outage() -> None:
     for capacity in (1.3, 1.5, 1.9):
-        took = answered_after(capacity, OUTAGE)
-        assert len(took) == PROXIES, capacity
-        assert took[PROXIES // 2] < TOLD_WITHIN, capacity
-        assert took[-1] < 2 * TOLD_WITHIN, capacity
+        seconds = answer_times(capacity, OUTAGE_S)
+        assert len(seconds) == PROXIES, capacity
+        assert seconds[PROXIES // 2] < CHANGE_KNOWN_AFTER_S, capacity
+        assert seconds[-1] < 2 * CHANGE_KNOWN_AFTER_S, capacity
 
 
-def test_a_refused_call_is_repeated_early_enough_for_a_fleet_of_one() -> None:
-    """A change of the outage counts as told 6 s after discovery is back, and the grace of a drain follows."""
-    driver = Driver(settings(polls_endpoints=True, max_poll_gap=MUST_ASK_WITHIN))
+def test_a_single_proxy_retries_a_rejected_poll_early_enough() -> None:
+    """A change during the outage counts as known 6 s after discovery is up; the drain grace comes on top."""
+    driver = Driver(settings(polls_endpoints=True, max_poll_gap=MAX_POLL_GAP_S))
     while Watch(True) not in driver.wait(0.1):
         pass
     driver.feed(ServerList(ListKind.FULL))
     for _ in range(200):
         driver.feed(ServerList(ListKind.FAILED, failure=DiscoveryFailure.REJECTED))
-        asked_at = driver.now
+        polled_at = driver.now
         while Watch(True) not in driver.wait(0.05):
-            assert driver.now - asked_at < TOLD_WITHIN + DRAIN_GRACE
+            assert driver.now - polled_at < CHANGE_KNOWN_AFTER_S + DRAIN_GRACE_S
 
 
-def test_where_lists_are_pushed_a_refused_call_is_repeated_within_a_second() -> None:
-    """What this proxy's own agent has counts as told at once, and no other proxy calls there."""
+def test_with_pushed_lists_a_rejected_poll_is_retried_within_a_second() -> None:
+    """What this proxy's own agent has counts as known at once, and no other proxy calls that agent."""
     driver = Driver(settings(polls_endpoints=False))
     for _ in range(50):
         driver.feed(ServerList(ListKind.FAILED, failure=DiscoveryFailure.REJECTED))
--- a/tests/support/balancing.py
+++ b/tests/support/balancing.py
@@ -1,4 +1,4 @@
-"""Small builders shared by the tests."""
+"""Builders of settings, endpoint lists and a driven Balancer that the tests share."""
 
 from __future__ import annotations
 
@@ -68,22 +68,22 @@
 
 
 class Driver:
-    """Feeds a Balancer and keeps what it said; a step of the clock delivers the timers that are due."""
+    """Feeds events to a Balancer and records its actions; `wait` moves the clock and delivers due timers."""
 
     def __init__(self, setup: Settings, seed: int = 1, servers: list[ServerEntry] | None = None) -> None:
         self.balancer = Balancer(setup, seed)
         self.now = 100.0
         self.timers: list[tuple[float, int]] = []
-        self.said: list[Action] = []
-        listed = entries(1, 2, 3, 4) if servers is None else servers
-        self.feed(ServerList(ListKind.CACHED, listed))
+        self.actions: list[Action] = []
+        endpoint_list = entries(1, 2, 3, 4) if servers is None else servers
+        self.feed(ServerList(ListKind.CACHED, endpoint_list))
 
     def feed(self, *events: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, list(events))
         for action in actions:
             if isinstance(action, SetTimer):
                 self.timers.append((self.now + action.delay, action.token))
-        self.said += actions
+        self.actions += actions
         return actions
 
     def wait(self, span: float) -> list[Action]:
@@ -103,8 +103,8 @@
     def settle(
         self, send: Send, status: Status, attempt: int = 0, elapsed: float = 0.05, final: bool | None = None
     ) -> list[Action]:
-        ended = status is Status.OK if final is None else final
-        return self.feed(Outcome(send.call, attempt, send.server, status, elapsed, ended))
+        ends_call = status is Status.OK if final is None else final
+        return self.feed(Outcome(send.call, attempt, send.server, status, elapsed, ends_call))
 
 
 def sends(actions: list[Action], call: int | None = None) -> list[Send]:
@@ -116,5 +116,5 @@
     return send
 
 
-def drained(server: int, state: ServerState) -> ServerList:
+def state_update(server: int, state: ServerState) -> ServerList:
     return ServerList(ListKind.INCREMENTAL, entries(server, state=state))
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter over a hand-written transcript."""
+"""The simulator adapter, driven with hand-written input."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 )
 
 
-def start(who: int) -> str:
+def startup_lines(who: int) -> str:
     return (
         f"new_instance who={who} entropy=77{who} {PARAMS.format(me=who)}\n"
         "manifest slot=0 nodes_list=2\n"
@@ -36,7 +36,7 @@
     )
 
 
-def later(who: int) -> list[str]:
+def later_lines(who: int) -> list[str]:
     return [
         f"ingress who={who} call=5{who} cls=read time_budget=1.5\n"
         f"ingress who={who} call=6{who} cls=write time_budget=1\n",
@@ -48,20 +48,20 @@
 
 
 def transcript(*instances: int) -> str:
-    steps = ["", "".join(start(who) for who in instances)]
-    steps += ["".join(later(who)[n] for who in instances) for n in range(4)]
+    ticks = ["", "".join(startup_lines(who) for who in instances)]
+    ticks += ["".join(later_lines(who)[n] for who in instances) for n in range(4)]
     return "".join(
-        f"tick clock={100 + 0.1 * n:.6f} seq={n}\n{step}your_turn\n" for n, step in enumerate(steps)
+        f"tick clock={100 + 0.1 * n:.6f} seq={n}\n{tick}your_turn\n" for n, tick in enumerate(ticks)
     )
 
 
-def play(text: str) -> str:
+def run_in_process(text: str) -> str:
     sink = io.StringIO()
     Host(io.StringIO(text), sink).run()
     return sink.getvalue()
 
 
-def run(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
+def run_program(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "gladegw.simulator_adapter"],
         input=text,
@@ -74,34 +74,34 @@
 
 
 def test_transcript() -> None:
-    reply = play(transcript(0)).splitlines()
+    reply = run_in_process(transcript(0)).splitlines()
     assert [line for line in reply if line.startswith("eor")] == [f"eor seq={n}" for n in range(6)]
-    first = reply[reply.index("eor seq=1") + 1 : reply.index("eor seq=2")]
-    assert {line for line in first if line.startswith("poll")} <= {
+    replies_to_arrivals = reply[reply.index("eor seq=1") + 1 : reply.index("eor seq=2")]
+    assert {line for line in replies_to_arrivals if line.startswith("poll")} <= {
         "poll who=0 backend=11",
         "poll who=0 backend=12",
     }
-    first = [line for line in first if not line.startswith("poll")]
-    assert [line.split(" ")[0:3] for line in first] == [
+    replies_to_arrivals = [line for line in replies_to_arrivals if not line.startswith("poll")]
+    assert [line.split(" ")[0:3] for line in replies_to_arrivals] == [
         ["try", "who=0", "call=50"],
         ["try", "who=0", "call=60"],
     ]
-    assert {line.split(" ")[3] for line in first} == {"backend=11", "backend=12"} or all(
-        "backend=11" in line for line in first
+    assert {line.split(" ")[3] for line in replies_to_arrivals} == {"backend=11", "backend=12"} or all(
+        "backend=11" in line for line in replies_to_arrivals
     )
     assert any(line.startswith("recall who=0 call=50 shot=0") for line in reply)
     assert not any(line.startswith("fatal") for line in reply)
 
 
-def test_same_bytes_under_other_hash_seeds_and_spreads() -> None:
-    together = run(transcript(0, 1), "1")
+def test_output_depends_neither_on_hash_seed_nor_on_other_instances() -> None:
+    together = run_program(transcript(0, 1), "1")
     assert together.returncode == 0 and together.stderr == ""
-    assert together.stdout == run(transcript(0, 1), "2").stdout == play(transcript(0, 1))
+    assert together.stdout == run_program(transcript(0, 1), "2").stdout == run_in_process(transcript(0, 1))
     lines = together.stdout.splitlines()
     for who in (0, 1):
-        mine = [line for line in lines if f" who={who}" in line]
-        alone = [line for line in play(transcript(who)).splitlines() if " who=" in line]
-        assert mine == alone and mine
+        with_other = [line for line in lines if f" who={who}" in line]
+        alone = [line for line in run_in_process(transcript(who)).splitlines() if " who=" in line]
+        assert with_other == alone and with_other
 
 
 @pytest.mark.parametrize(
@@ -126,25 +126,25 @@
     ],
 )
 def test_malformed_line_ends_with_status_2(line: str, field: str) -> None:
-    done = run(f"tick clock=1 seq=0\n{start(0)}{line}\nyour_turn\n")
-    assert done.returncode == 2
-    assert len(done.stderr.splitlines()) == 1 and field in done.stderr and line in done.stderr
+    result = run_program(f"tick clock=1 seq=0\n{startup_lines(0)}{line}\nyour_turn\n")
+    assert result.returncode == 2
+    assert len(result.stderr.splitlines()) == 1 and field in result.stderr and line in result.stderr
 
 
-def test_cut_batches_and_end_of_input() -> None:
-    assert run("").returncode == 0
-    assert run(transcript(0)).returncode == 0
+def test_incomplete_batches_end_with_status_2_and_end_of_input_with_0() -> None:
+    assert run_program("").returncode == 0
+    assert run_program(transcript(0)).returncode == 0
     for text in (
         "tick clock=1 seq=0\n",
         "tick clock=1 seq=0\nmanifest slot=0 nodes_list=2\nm backend=1 state=SERVING\n",
         "tick clock=1 seq=0\nyour_t",
         "wakeup who=0 key_back=1\n",
     ):
-        done = run(text)
-        assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
+        result = run_program(text)
+        assert result.returncode == 2 and len(result.stderr.splitlines()) == 1
 
 
-def pairs(text: str) -> dict[str, str]:
+def parse_params(text: str) -> dict[str, str]:
     return dict(part.split("=", 1) for part in text.format(me=0).split(" "))
 
 
@@ -171,31 +171,31 @@
     ],
 )
 def test_bad_settings_name_the_key(key: str, value: str | None) -> None:
-    params = pairs(PARAMS)
+    params = parse_params(PARAMS)
     if value is None:
         del params[key]
     else:
         params[key] = value
-    shown = key.split(".")[-1] if value is not None else key
+    name = key.split(".")[-1] if value is not None else key
     names = {"objective": "latency_objective", "send_cap": "max_attempts", "count": "classes"}
     names["streams_per_conn"] = "calls_per_connection"
-    with pytest.raises(ValueError, match=names.get(shown, shown)):
+    with pytest.raises(ValueError, match=names.get(name, name)):
         read_settings(params)
 
 
-def test_fault_in_the_module_becomes_fatal(
+def test_exception_in_the_balancer_becomes_a_fatal_line(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    def broken(*_: object) -> None:
+    def raise_error(*_: object) -> None:
         raise RuntimeError("two\nlines")
 
-    monkeypatch.setattr(Balancer, "handle", broken)
-    reply = play(transcript(0))
+    monkeypatch.setattr(Balancer, "handle", raise_error)
+    reply = run_in_process(transcript(0))
     assert "fatal who=0 words=RuntimeError: two lines" in reply.splitlines()
     assert "Traceback" in capsys.readouterr().err
 
 
-def test_status_numbers_are_the_wire_s() -> None:
+def test_status_numbers_match_the_protocol() -> None:
     from gladegw import Status
 
     assert [status.name for status in Status] == [
@@ -210,9 +210,9 @@
     ]
 
 
-def test_settings_of_the_wire_page() -> None:
-    shown = read_settings(
-        pairs(
+def test_optional_settings_and_their_defaults() -> None:
+    settings = read_settings(
+        parse_params(
             PARAMS
             + " stages=front,back dcs=north,south kinds=std quantum=0.005 report.names=busy_reqs,odd,svc_ms"
             " report.via=inline weights=rough worth_by=work policy_limits.peers=true"
@@ -222,19 +222,28 @@
             " policy_limits.cpu_us_per_s=2000000"
         )
     )
-    assert isinstance(shown, Settings)
-    assert (shown.stages, shown.zones, shown.kinds, shown.quantum) == (2, ("north", "south"), ("std",), 0.005)
-    assert (shown.report_names, shown.reports, shown.weights) == (("busy_reqs", "svc_ms"), "answer", "rough")
+    assert isinstance(settings, Settings)
+    assert (settings.stages, settings.zones, settings.kinds, settings.quantum) == (
+        2,
+        ("north", "south"),
+        ("std",),
+        0.005,
+    )
+    assert (settings.report_names, settings.reports, settings.weights) == (
+        ("busy_reqs", "svc_ms"),
+        "answer",
+        "rough",
+    )
     assert (
-        shown.weight_by_work
-        and shown.may_message_peers
-        and shown.clients_mark_retries
-        and shown.max_open_requests == 9
+        settings.weight_by_work
+        and settings.may_message_peers
+        and settings.clients_mark_retries
+        and settings.max_open_requests == 9
     )
-    assert (shown.connect_timeout, shown.calls_per_connection, shown.cpu_per_s) == (0.15, 100, 2.0)
-    assert (shown.price_waste, shown.price_late_failure, shown.goal_class) == (0.04, 0.05, 0.2)
-    plain = read_settings(pairs(PARAMS))
-    assert (plain.reports, plain.weights, plain.may_message_peers, plain.connect_timeout) == (
+    assert (settings.connect_timeout, settings.calls_per_connection, settings.cpu_per_s) == (0.15, 100, 2.0)
+    assert (settings.price_waste, settings.price_late_failure, settings.goal_class) == (0.04, 0.05, 0.2)
+    defaults = read_settings(parse_params(PARAMS))
+    assert (defaults.reports, defaults.weights, defaults.may_message_peers, defaults.connect_timeout) == (
         "probe",
         "nominal",
         False,
@@ -248,11 +257,11 @@
 
 
 def test_input_that_is_not_utf8_ends_with_status_2() -> None:
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "gladegw.simulator_adapter"],
         input=b"tick clock=1 seq=0\n\xff\xfe=1\nm\n",
         capture_output=True,
         cwd=ROOT,
         check=False,
     )
-    assert done.returncode == 2 and done.stdout == b"" and len(done.stderr.splitlines()) == 1
+    assert result.returncode == 2 and result.stdout == b"" and len(result.stderr.splitlines()) == 1
