--- a/gladegw/net/downstream/connection.py
+++ b/gladegw/net/downstream/connection.py
@@ -26,14 +26,13 @@
 log = logging.getLogger(__name__)
 
 MAX_BODY_BYTES = 32 * 1024 * 1024  # bytes of a request's body
-MAX_HEAD_BYTES = 32 * 1024  # bytes of its target and headers
-MAX_RAW_BYTES = 2 * (
-    MAX_HEAD_BYTES + MAX_BUFFERED_BYTES
-)  # bytes of what is held as it comes; the parser holds what is unfinished
-LINGER_S = 1.0  # for the peer to close after its last response
-MAX_UNREAD_S = 10.0  # longer times are considered implausible
+MAX_HEAD_BYTES = 32 * 1024  # bytes of a request's target and headers
+# Bytes received for one buffered request, framing included: the parser retains an unfinished element.
+MAX_RAW_BYTES = 2 * (MAX_HEAD_BYTES + MAX_BUFFERED_BYTES)
+LINGER_S = 1.0  # time that the peer has to close after its last response
+MAX_UNREAD_S = 10.0  # limit of the time credited for bytes that waited unread; more is implausible
 LINGER_CHECK_INTERVAL_S = 0.01  # between checks whether the peer has closed
-OVERLOADED_CHECK_INTERVAL_S = 0.001  # between these checks while overloaded
+OVERLOADED_CHECK_INTERVAL_S = 0.001  # the same while the server is overloaded
 NO_HEADERS: tuple[tuple[bytes, bytes], ...] = ()
 
 
@@ -49,29 +48,28 @@
         self.body: list[bytes] = []
         self.head_size = self.body_size = self.raw_size = 0
         self.receiving = False  # a request is being received
-        self.incoming: PendingResponse | None = (
-            None  # the message whose head is complete and whose end was not received
-        )
+        # The request whose head was received completely, but not its end.
+        self.incoming: PendingResponse | None = None
         self.request_started_at = accepted_at  # start of the request's deadline
-        self.received = 0  # bytes of it
-        self.request_deadline = RequestDeadline(accepted_at)  # of the request that is awaited
-        self.had_request = False
-        self.waiting: deque[PendingResponse] = deque()
-        self.current: PendingResponse | None = None  # whose response is pending
-        self.call: object | None = None
-        self.source: FlowControl | None = None  # of the streamed response
+        self.received = 0  # bytes received of the request
+        self.request_deadline = RequestDeadline(accepted_at)  # for receiving the next or current request
+        self.had_request = False  # at least one request was received completely
+        self.queued: deque[PendingResponse] = deque()  # not started yet, in order of arrival
+        self.current: PendingResponse | None = None  # the open request, whose response is pending
+        self.call: object | None = None  # the handler's identification of the open request
+        self.body_source: FlowControl | None = None  # of the streamed response
         self.chunked = False  # the length of the streamed response is unknown
         self.closing = False
-        self.rejected = False  # shed for lack of capacity
-        self.discarding = False  # the response preceded the end of its request, whose rest is discarded
+        self.rejected = False  # a request was shed for lack of capacity
+        self.discarding = False  # the rest of a request that was answered early is discarded
         self.changed_at = accepted_at  # when bytes were last received or sent
-        self.full = False  # the peer does not read
-        self.paused = False
+        self.write_buffer_full = False  # the peer does not read fast enough
+        self.reading_paused = False
 
     # transport callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection (called by the event loop)."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
+        self.transport = cast(asyncio.Transport, transport)  # uvloop has a transport class of its own
         self.transport.set_write_buffer_limits(high=len(self.server.scratch))
         if self.peer is not None and transport.get_extra_info("ssl_object") is not None:
             self.peer.subject = subject(transport.get_extra_info("peercert"))
@@ -81,7 +79,7 @@
         """Unregister the connection and cancel its open request (called by the event loop)."""
         self.transport = None
         self.closing = True
-        self._forget()
+        self._discard_queued()
         self.server.on_closed(self)
         pending, self.current = self.current, None
         if pending is not None:
@@ -92,37 +90,38 @@
 
     def pause_writing(self) -> None:
         """The write buffer is full: pause the response's source and reading."""
-        self.full = True
-        if self.source is not None:
-            self.source.pause()
-        self._flow()
+        self.write_buffer_full = True
+        if self.body_source is not None:
+            self.body_source.pause()
+        self._update_reading()
 
     def resume_writing(self) -> None:
         """The write buffer has drained: resume the response's source and reading."""
-        self.full = False
+        self.write_buffer_full = False
         self.changed_at = time.monotonic()
-        if self.source is not None:
-            self.source.resume()
-        self._flow()
+        if self.body_source is not None:
+            self.body_source.resume()
+        self._update_reading()
 
-    def _flow(self) -> None:
+    def _update_reading(self) -> None:
         """Pause or resume reading.
 
-        Paused if the peer does not read, has sent requests ahead of its responses, or sends a body faster
-        than the backend takes it.
+        Reading is paused if the peer does not read its responses, has sent requests ahead of them, or sends a
+        body faster than the backend takes it.
         """
         if self.transport is None or self.transport.is_closing() or (self.closing and not self.discarding):
             return
         upload = self.incoming.upload if self.incoming is not None else None
         is_stalled = upload is not None and upload.waiting
-        # Every request that is read is answered. So that they end, a draining proxy reads no further.
-        is_ahead = bool(self.waiting) or (
+        # Every request that is read gets a response. A draining proxy therefore reads no further requests;
+        # otherwise the drain would not end while a client keeps sending.
+        is_ahead = bool(self.queued) or (
             self.server.draining and self.current is not None and not self.receiving
         )
-        pause = not self.discarding and (self.full or is_ahead or is_stalled)
-        if pause == self.paused:
+        pause = not self.discarding and (self.write_buffer_full or is_ahead or is_stalled)
+        if pause == self.reading_paused:
             return
-        self.paused = pause
+        self.reading_paused = pause
         if pause:
             self.transport.pause_reading()
             if self.receiving:
@@ -153,7 +152,7 @@
         except Exception as fault:  # from the parser, or from a callback through it
             self._on_malformed(fault)
         if self.receiving and self.server.is_overloaded:
-            # Its silence began when these bytes arrived, not when they were read.
+            # For the eviction policy, silence starts when the client's bytes arrive, not when they are read.
             self.changed_at -= self._waited_unread()
         self._answer_next()
 
@@ -161,15 +160,16 @@
         """Respond to input that cannot be parsed any further."""
         incoming, self.incoming = self.incoming, None
         if incoming is not None and incoming.upload is not None:
-            self.abort_connection()  # a response would belong to a request that nobody made
+            # The request is queued or open already: a second response would be taken for another request's.
+            self.abort_connection()
             return
         cause = fault if isinstance(fault, BadRequestError) else fault.__context__
         pending = PendingResponse(
             cause if isinstance(cause, BadRequestError) else BadRequestError(400, "malformed HTTP")
         )
         pending.info = self._request_info()
-        self.waiting.append(pending)
-        self.closing = True  # the rest is read and discarded, so that the response arrives
+        self.queued.append(pending)
+        self.closing = True  # closing with unread bytes could destroy the response, so the rest is discarded
 
     # parser callbacks
     def on_message_begin(self) -> None:
@@ -190,8 +190,8 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """Append a header field (called by the parser)."""
         self._count_head(len(name) + len(value))
-        if self.incoming is None:  # trailer fields are no headers of the request
-            self.headers.append((name.lower(), value.strip(b" \t")))  # the parser retains trailing whitespace
+        if self.incoming is None:  # ignore trailer fields
+            self.headers.append((name.lower(), value.strip(b" \t")))  # the parser keeps trailing whitespace
 
     def _count_head(self, size: int) -> None:
         """Check the size of the head; raises BadRequestError."""
@@ -226,13 +226,13 @@
                     now,
                     self.server.effects,
                     self.server.router,
-                    self._source,
+                    self._client_address,
                 )
                 if pending.request.bodyless and length:
                     raise BadRequestError(400, "a GET has no body")
             except BadRequestError as bad:
                 if length > MAX_BUFFERED_BYTES:
-                    raise  # not worth receiving
+                    raise  # the body is too large to receive only to reject it
                 pending.request = bad
             else:
                 chunked = any(name == b"transfer-encoding" for name, _ in self.headers)
@@ -241,12 +241,12 @@
             pending.info = self._request_info()
         self.incoming = pending
         self.request_deadline.on_body_start(now)
-        expects = any(n == b"expect" and v.lower() == b"100-continue" for n, v in self.headers)
+        expects_continue = any(n == b"expect" and v.lower() == b"100-continue" for n, v in self.headers)
         if (
-            expects
+            expects_continue
             and not pending.http_1_0
             and self.transport is not None
-            and not (self.current or self.waiting)
+            and not (self.current or self.queued)
         ):
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -276,10 +276,10 @@
             self.body.append(chunk)
             if self.body_size > MAX_BUFFERED_BYTES:
                 pending.upload = pending.request.upload = RequestBody(
-                    pending.request.length, self.body, self._flow
+                    pending.request.length, self.body, self._update_reading
                 )
                 self.body = []
-                self.waiting.append(pending)
+                self.queued.append(pending)
 
     def on_message_complete(self) -> None:
         """Queue the complete request, or end its streamed body (called by the parser)."""
@@ -291,7 +291,7 @@
         self.headers = []
         if self.discarding:
             self.discarding = False
-            self._finish()
+            self._close_gracefully()
             return
         request = pending.request
         if isinstance(request, Request):
@@ -305,19 +305,19 @@
                 return
             request.body = b"".join(self.body)
         self.body = []
-        self.waiting.append(pending)
+        self.queued.append(pending)
 
     def _waited_unread(self) -> float:
         """Seconds that the last received bytes spent in the kernel.
 
-        The client's budget runs since then, also while this process was stalled or the connection waited to
-        be accepted.
+        The client's budget runs from their arrival, also while this process was stalled or the connection
+        waited to be accepted.
         """
         if self.transport is None or self.transport.is_closing():
             return 0.0
         return min(time_since_data(self.transport.get_extra_info("socket")), MAX_UNREAD_S)
 
-    def _source(self) -> str:
+    def _client_address(self) -> str:
         """The client's address, for routes that match it."""
         if self.peer is not None:
             return self.peer.client.rpartition(":")[0].strip("[]")
@@ -337,29 +337,29 @@
             peer=self.peer,
         )
 
-    def _forget(self) -> None:
+    def _discard_queued(self) -> None:
         """Discard the requests queued behind the open one."""
-        for pending in self.waiting:
+        for pending in self.queued:
             if pending.received and isinstance(pending.request, Request):
                 self.server.counters.on_ended(pending.request.cls, None)
-        self.waiting.clear()
+        self.queued.clear()
 
     def _on_request_end(self, pending: PendingResponse, code: int | None) -> None:
         """Count the end of a request and notify the observers."""
         counters = self.server.counters
         if isinstance(pending.request, Request) and (pending.received or code is not None):
-            if not pending.received:  # it was answered before it was complete
+            if not pending.received:  # it was answered before it was received completely
                 counters.on_received()
             counters.on_ended(pending.request.cls, code)
         if pending.info is not None:
             for observer in self.server.observers:
                 observer.on_end(pending.info, code)
 
-    # answers
+    # responses
     def _answer_next(self) -> None:
         """Start the next queued request unless one is open."""
-        while self.waiting and self.current is None and self.transport is not None:
-            pending = self.current = self.waiting.popleft()
+        while self.queued and self.current is None and self.transport is not None:
+            pending = self.current = self.queued.popleft()
             request = pending.request
             if pending.info is not None:
                 for observer in self.server.observers:
@@ -373,32 +373,32 @@
             elif isinstance(request, BadRequestError):
                 self.answer(request.code, request.headers, f"{request}\n".encode())
             elif self.server.at_capacity:
-                # Never sent, so shedding is harmless.
+                # No backend has received the request, so the client may safely repeat it.
                 pending.close_after = self.rejected = True
                 self.answer(503, ((b"retry-after", b"1"),), b"too many connections\n")
             else:
                 try:
                     call = self.server.handler.on_request(request, self)
                 except Exception:
-                    log.exception("a request could not be taken")
+                    log.exception("the request handler failed; responding with 500")
                     self.answer(500, NO_HEADERS, b"internal error\n")
                     continue
                 if self.current is pending:
                     self.call = call
-        self._flow()
+        self._update_reading()
 
     def _open_response(self) -> PendingResponse:
-        """The pending response; raises RuntimeError if the request was already answered."""
-        if self.current is None or self.source is not None:
-            raise RuntimeError("a request has one answer")
+        """The open request; raises RuntimeError if there is none or its response has already started."""
+        if self.current is None or self.body_source is not None:
+            raise RuntimeError("no open request, or its response has already started")
         return self.current
 
     def _has_more_pending(self) -> bool:
-        """Whether a further request was read, or arrived before the drain stopped reading."""
-        return bool(self.waiting) or (time.monotonic() < self.server.reads_until and self.unread)
+        """Whether another request is queued, or has arrived unread while a drain still reads requests."""
+        return bool(self.queued) or (time.monotonic() < self.server.reads_until and self.unread)
 
-    def _head(self, pending: PendingResponse, code: int, headers: Any, length: int | None) -> bytes:
-        """The head of a response, which also decides whether the connection persists."""
+    def _build_head(self, pending: PendingResponse, code: int, headers: Any, length: int | None) -> bytes:
+        """Build the head of a response and decide whether the connection persists."""
         if pending is self.incoming or (
             (pending.close_after or self.server.closes_after_response) and not self._has_more_pending()
         ):
@@ -412,17 +412,17 @@
         """Send a complete response to the open request."""
         pending = self._open_response()
         if self.transport is not None:
-            head = self._head(pending, code, headers, len(body))
+            head = self._build_head(pending, code, headers, len(body))
             self.transport.write(head if pending.bodyless else head + body)
-        self._answered(pending, code)
+        self._on_answered(pending, code)
 
     def begin(self, headers: Any, length: int | None, source: FlowControl) -> None:
         """Start a streamed response with status 200, continued by `send` until `finish` or `abort`."""
         pending = self._open_response()
-        self.source = source
+        self.body_source = source
         if self.transport is not None:
-            self.transport.write(self._head(pending, 200, headers, length))
-        if self.full:
+            self.transport.write(self._build_head(pending, 200, headers, length))
+        if self.write_buffer_full:
             source.pause()
 
     def send(self, chunk: bytes) -> None:
@@ -437,13 +437,12 @@
         if pending is not None:
             if self.chunked and self.transport is not None:
                 self.transport.write(b"0\r\n\r\n")
-            self._answered(pending, 200)
+            self._on_answered(pending, 200)
 
     def hung_up(self) -> bool:
         """Whether the client has closed its connection.
 
-        The kernel is queried, since the event loop may not be reading, or may not have processed the close
-        yet.
+        Queries the kernel, since the event loop may have paused reading or not have processed the close yet.
         """
         if self.transport is None or self.transport.is_closing():
             return True
@@ -455,44 +454,46 @@
     def abort(self) -> None:
         """Break off the streamed response.
 
-        The client can tell, since neither the full length nor the last chunk was sent.
+        The client detects this, since neither the full length nor the last chunk was sent.
         """
-        pending, self.current, self.source, self.call = self.current, None, None, None
+        pending, self.current, self.body_source, self.call = self.current, None, None, None
         if pending is not None:
             self._on_request_end(pending, 502)
         self.abort_connection()
 
-    def _answered(self, pending: PendingResponse, code: int) -> None:
+    def _on_answered(self, pending: PendingResponse, code: int) -> None:
         """Complete the open request and continue, or close the connection."""
-        self.current = self.call = self.source = None
+        self.current = self.call = self.body_source = None
         self._on_request_end(pending, code)
         transport = self.transport
         if transport is None:
             return
         self.changed_at = time.monotonic()
         if pending is self.incoming:
-            # Its request is incomplete: the rest is read and discarded, so that the response arrives.
+            # The request is incomplete: its rest is read and discarded, since closing with unread bytes could
+            # destroy the response.
             self.closing = self.discarding = True
             if pending.upload is not None:
                 pending.upload.drop()
-            self._forget()
-            self._flow()
+            self._discard_queued()
+            self._update_reading()
         elif not pending.keep_alive:
-            self._finish(read_out=self.closing)  # its sender may read only after it has written everything
-        elif self.waiting:
+            self._close_gracefully(read_out=self.closing)  # the client may read only after it has sent all
+        elif self.queued:
             self.server.loop.call_soon(self._answer_next)
         else:
-            self._flow()
+            self._update_reading()
 
-    def _finish(self, read_out: bool = False) -> None:
+    def _close_gracefully(self, read_out: bool = False) -> None:
         """Close the connection after its last response, which the peer must be able to read.
 
         The peer may still be sending, and closing with unread bytes resets the connection, which can destroy
         the response. Hence only the sending side is closed first (RFC 9112, section 9.6). A request that
-        arrives now is not read, so that the client knows that it may repeat it.
+        arrives now is not read: without a response, the client may repeat it. With `read_out`, incoming bytes
+        are read and discarded.
         """
         self.closing, self.discarding = True, False
-        self._forget()
+        self._discard_queued()
         transport = self.transport
         if transport is None or transport.is_closing():
             return
@@ -516,17 +517,17 @@
         if transport.get_write_buffer_size():
             until = now + LINGER_S
         closed = peer_has_closed(transport.get_extra_info("socket").fileno())
-        is_needed = self.rejected and self.server.is_overloaded
-        if now >= until or closed or (is_needed and self.delivered):
+        descriptor_is_needed = self.rejected and self.server.is_overloaded
+        if now >= until or closed or (descriptor_is_needed and self.delivered):
             transport.abort()
         else:
-            interval = OVERLOADED_CHECK_INTERVAL_S if is_needed else LINGER_CHECK_INTERVAL_S
+            interval = OVERLOADED_CHECK_INTERVAL_S if descriptor_is_needed else LINGER_CHECK_INTERVAL_S
             self.server.loop.call_later(interval, self._linger, until)
 
     @property
     def stage(self) -> ConnectionStage:
         """The stage of the connection, for the eviction policy."""
-        if self.current is not None or self.waiting:
+        if self.current is not None or self.queued:
             return ConnectionStage.PENDING
         if self.closing and not self.discarding:
             return ConnectionStage.CLOSING
@@ -534,7 +535,7 @@
 
     @property
     def unread(self) -> bool:
-        """Whether received bytes were not read yet, so that it is unknown whether a request is pending."""
+        """Whether the kernel holds unread bytes, which may contain a request."""
         if self.transport is None or self.transport.is_closing():
             return False
         return has_unread(self.transport.get_extra_info("socket").fileno())
@@ -554,18 +555,18 @@
         """Whether the awaited request missed its deadline; False while another response is pending."""
         if self.current is not None and self.current is not self.incoming:
             return False
-        return self.request_deadline.due_at < now and not self.waiting
+        return self.request_deadline.due_at < now and not self.queued
 
     def close(self) -> None:
         """Close the connection if no response is pending.
 
-        Bytes that arrive from now on are not read, so that the client may repeat its request. A response sent
-        just before must not be lost, so that the connection then lingers.
+        Bytes that arrive from now on are not read, so the client may repeat its request. After a recent
+        response the connection lingers, so that the response is not lost.
         """
         if self.transport is None or (self.closing and not self.discarding):
             return
         if self.had_request and time.monotonic() < self.changed_at + LINGER_S:
-            self._finish()
+            self._close_gracefully()
             return
         self.closing, self.discarding = True, False
         self.transport.close()
--- a/gladegw/net/downstream/pending_response.py
+++ b/gladegw/net/downstream/pending_response.py
@@ -34,20 +34,20 @@
 class PendingResponse:
     """A message whose response is pending.
 
-    `request` is None for a readiness check.
+    `request` is None for a readiness check, and an error if the message is answered without a backend.
     """
 
     __slots__ = ("bodyless", "close_after", "http_1_0", "info", "keep_alive", "received", "request", "upload")
 
     def __init__(self, request: Request | BadRequestError | None) -> None:
         self.request = request
-        self.upload: RequestBody | None = None  # its body is streamed
+        self.upload: RequestBody | None = None  # set if the request body is streamed
         self.keep_alive = False
         self.close_after = False  # close after this response, if no further one is pending
         self.bodyless = False  # HEAD: the response has no body
-        self.http_1_0 = False  # HTTP/1.0
-        self.received = False  # received completely, and counted
-        self.info: RequestInfo | None = None
+        self.http_1_0 = False  # the request is HTTP/1.0
+        self.received = False  # the request was received completely, and counted
+        self.info: RequestInfo | None = None  # for observers, if there are any
 
 
 def response_head(
--- a/gladegw/net/downstream/server.py
+++ b/gladegw/net/downstream/server.py
@@ -19,10 +19,10 @@
 from gladegw.net.request import Router
 from gladegw.operators.request_counters import RequestCounters, RequestObserver
 
-IDLE_TIMEOUT_S = 120.0  # without a request
-READ_AFTER_DRAIN_S = (
-    0.25  # after the start of a drain: clients may not rely on a response 0.7 s after SIGTERM
-)
+IDLE_TIMEOUT_S = 120.0  # until a connection without a request is closed
+# Time after the start of a drain in which requests in transit are still read. It ends well before 0.7 s
+# after SIGTERM, when clients may no longer rely on a response.
+READ_AFTER_DRAIN_S = 0.25
 SWEEP_INTERVAL_S = 0.1  # between checks for overdue connections
 
 
@@ -41,10 +41,10 @@
         self.loop = asyncio.get_running_loop()
         self.effects, self.handler, self.max_connections = effects, handler, max_connections
         self.counters, self.ready = counters, ready
-        self.scratch = scratch  # into which all connections read
-        self.connections: set[ClientConnection] = set()  # until their descriptors are closed
+        self.scratch = scratch  # read buffer that all connections share
+        self.connections: set[ClientConnection] = set()  # those whose descriptors are not closed yet
         self.draining = False  # each response is the last on its connection
-        self.reads_until = math.inf  # when requests behind a pending one are no longer read
+        self.reads_until = math.inf  # monotonic time until which requests behind a pending one are read
         self.observers: tuple[RequestObserver[RequestInfo], ...] = ()
         self.router: Router | None = None
         self.acceptor = Acceptor(
@@ -76,7 +76,7 @@
 
     @property
     def is_overloaded(self) -> bool:
-        """Whether new clients wait for connections of others to close."""
+        """Whether new clients have to wait until other connections close."""
         return len(self.connections) >= self.acceptor.max_served
 
     @property
@@ -95,10 +95,10 @@
         )
 
     def on_closed(self, connection: ClientConnection) -> None:
-        """Remove a connection; listeners resume once its descriptor is closed."""
+        """Remove a connection, and resume paused listeners once its descriptor is closed."""
         self.connections.discard(connection)
         if self.acceptor.paused:
-            self.loop.call_soon(self.acceptor.resume)  # its descriptor is closed right after this
+            self.loop.call_soon(self.acceptor.resume)  # the transport closes it right after this callback
 
     def _evict(self, count: int) -> None:
         """Abort up to `count` connections by the eviction policy, unless they hold unread bytes."""
@@ -124,7 +124,10 @@
                 connection.close()
 
     def abort(self, unused_since: float = math.inf) -> None:
-        """Abort closing connections whose peers do not take the last response."""
+        """Abort closing connections that have been unchanged since `unused_since`.
+
+        Their peers do not read the last response.
+        """
         for connection in list(self.connections):
             if connection.closing and connection.changed_at <= unused_since:
                 connection.abort_connection()
--- a/gladegw/net/interfaces.py
+++ b/gladegw/net/interfaces.py
@@ -13,12 +13,12 @@
 
 @dataclass(slots=True)
 class ClientIdentity:
-    """The client at the other end of a downstream connection, as far as a feature identified it."""
+    """The client at the other end of a downstream connection, as determined by a `ClientIdentifier`."""
 
     client: str  # address and port
     via: str | None = None  # address of the load balancer in front
-    denied: bool = False
-    subject: str | None = None  # of its certificate; None: not TLS
+    denied: bool = False  # its requests are answered with 403
+    subject: str | None = None  # of its certificate; None: not a TLS connection
 
     def log_text(self) -> str:
         """The identity as fields of a log line."""
@@ -31,7 +31,7 @@
 class RequestInfo:
     """Attributes of a request for its observers, available however it ends.
 
-    Texts are the client's own, unvalidated.
+    The texts come from the client and are not validated.
     """
 
     id: str
@@ -58,7 +58,7 @@
     """
 
     def hung_up(self) -> bool:
-        """Whether the client has closed its connection, also if the event loop has not read that yet."""
+        """Whether the client has closed its connection, even if the event loop has not noticed yet."""
         ...
 
     def answer(self, code: int, headers: Any, body: bytes) -> None:
--- a/gladegw/net/request.py
+++ b/gladegw/net/request.py
@@ -14,12 +14,12 @@
 if TYPE_CHECKING:
     from gladegw.routing.model import Ask, Route
 
-BUDGET = re.compile(rb"(\d{1,15}(?:\.\d{1,9})?)([mu])")
-ABSOLUTE = re.compile(rb"^https?://[^/?#]*(?=/|$)", re.IGNORECASE)
+BUDGET_PATTERN = re.compile(rb"(\d{1,15}(?:\.\d{1,9})?)([mu])")
+SCHEME_AND_HOST = re.compile(rb"^https?://[^/?#]*(?=/|$)", re.IGNORECASE)
 FORWARDED_UNCHANGED = frozenset({b"host", b"x-call-id", b"x-caller", b"x-budget", b"idempotency-key"})
-REPLACED = HOP_BY_HOP | {b"x-budget", b"expect", b"x-load-report"}
+NOT_FORWARDED = HOP_BY_HOP | {b"x-budget", b"expect", b"x-load-report"}
 
-MAX_TEXT_CHARS = 200  # of a recorded header
+MAX_TEXT_CHARS = 200  # characters of a header value in a capture record
 Headers = list[tuple[bytes, bytes]]
 
 
@@ -27,18 +27,18 @@
 class RoutedRequest:
     """The result of routing a request."""
 
-    cls: str  # empty: the first part of the path
+    cls: str  # request class; empty: named by the first segment of the path
     target: bytes
     headers: Headers
-    timeout: float  # s; 0: the client's
-    attempts: int  # 0: the settings'
+    timeout: float  # s; 0: the client's budget
+    attempts: int  # maximum number; 0: as in the settings
     route: Route
-    pool: str  # the first choice
+    pool: str  # the preferred pool, before any fallback
     ask: Ask
-    generation: int  # of the table
-    looked_at: tuple[str, ...]  # headers that some route asks for
-    table: Any = None  # of pools, that goes on serving it when a newer one is in use
-    epoch: int | None = None  # of the policy, where there are policies
+    generation: int  # of the route table
+    recorded_headers: tuple[str, ...]  # names of the headers that routes match, for capture records
+    table: Any = None  # the pools for this request, also after a newer route table is in use
+    epoch: int | None = None  # policy epoch; None: no policies in use
 
     def capture_fields(self, pool: str) -> dict[str, Any]:
         """Fields of a capture record from which the routing decision can be replayed."""
@@ -56,7 +56,7 @@
             "budget_ms": ask.budget_ms,
             "headers": {
                 name: ask.headers.get(name, "")[:MAX_TEXT_CHARS]
-                for name in self.looked_at
+                for name in self.recorded_headers
                 if name in ask.headers
             },
         }
@@ -80,18 +80,18 @@
 
     id: bytes
     cls: str
-    budget: float  # s, from when the client sent it
+    budget: float  # s, counted from when the client sent the request
     tenant: str
     subject: str
-    work: float
-    resent: bool
-    head: bytes  # the head for a backend, without the last headers
+    work: float  # s, announced by X-Call-Cost
+    resent: bool  # the client marks it as a retry
+    head: bytes  # for a backend, without the headers that depend on the attempt or the body
     received_at: float  # monotonic: when it was complete, or its head if the body is streamed
-    bodyless: bool  # a GET
+    bodyless: bool  # a GET, which has no body
     body: bytes = b""
-    length: int | None = 0  # of a streamed body; None: unknown until its end
+    length: int | None = 0  # bytes of a streamed body; None: unknown until its end
     upload: RequestBody | None = None  # its streamed body
-    routed: RoutedRequest | None = None  # where routes are on
+    routed: RoutedRequest | None = None  # None: no routes in use
 
     def framing(self) -> bytes:
         """The header line that delimits the body towards a backend."""
@@ -109,8 +109,8 @@
         self.code, self.headers = code, headers
 
 
-def _one(found: list[tuple[bytes, bytes]], name: bytes) -> bytes:
-    values = [value for key, value in found if key == name]
+def _single_value(headers: list[tuple[bytes, bytes]], name: bytes) -> bytes:
+    values = [value for key, value in headers if key == name]
     if len(values) > 1:
         raise BadRequestError(400, f"more than one {name.decode()}")
     return values[0] if values else b""
@@ -130,7 +130,7 @@
 
 def origin_form(target: bytes) -> bytes:
     """The request target without scheme and host (RFC 9112, section 3.2.2)."""
-    return (ABSOLUTE.sub(b"", target, count=1) or b"/") if target[:1] != b"/" else target
+    return (SCHEME_AND_HOST.sub(b"", target, count=1) or b"/") if target[:1] != b"/" else target
 
 
 def class_of(target: bytes) -> str:
@@ -155,17 +155,17 @@
     target = origin_form(target)
     if not target.startswith(b"/"):
         raise BadRequestError(400, "the target is not a path")
-    budget = BUDGET.fullmatch(_one(headers, b"x-budget"))
-    seconds = float(budget[1]) / (1e3 if budget[2] == b"m" else 1e6) if budget is not None else 0.0
+    budget = BUDGET_PATTERN.fullmatch(_single_value(headers, b"x-budget"))
+    budget_s = float(budget[1]) / (1e3 if budget[2] == b"m" else 1e6) if budget is not None else 0.0
     cls = class_of(target)
     routed: RoutedRequest | None = None
     if router is not None:
-        routed = router(method, target, headers, seconds, source)
+        routed = router(method, target, headers, budget_s, source)
         cls, target, headers = routed.cls or cls, routed.target, routed.headers
     effect = effects.get(cls)
     if effect is None:
         raise BadRequestError(404, "no such class")
-    id, key = _one(headers, b"x-call-id"), _one(headers, b"idempotency-key")
+    id, key = _single_value(headers, b"x-call-id"), _single_value(headers, b"idempotency-key")
     if not id:
         raise BadRequestError(400, "X-Call-Id is missing")
     if budget is None:
@@ -175,25 +175,25 @@
     if (effect is Effect.IDEMPOTENCY_KEY) != bool(key):
         raise BadRequestError(400, "Idempotency-Key goes with a keyed class, and only with one")
     try:
-        work = max(0.0, float(_one(headers, b"x-call-cost") or 0)) / 1e6
+        work = max(0.0, float(_single_value(headers, b"x-call-cost") or 0)) / 1e6
     except ValueError:
         raise BadRequestError(400, "X-Call-Cost is malformed") from None
     lines = [method + b" " + target + b" HTTP/1.1"]
-    removed = REPLACED | named_by_connection(headers)
+    removed = NOT_FORWARDED | named_by_connection(headers)
     lines += [name + b": " + value for name, value in headers if name not in removed]
     subject = ""
-    for part in _one(headers, b"cookie").split(b";"):
+    for part in _single_value(headers, b"cookie").split(b";"):
         name, _, value = part.strip().partition(b"=")
         if name == b"sid":
             subject = value.decode("latin-1")
     return Request(
         id=id,
         cls=cls,
-        budget=seconds,
-        tenant=_one(headers, b"x-caller").decode("latin-1"),
+        budget=budget_s,
+        tenant=_single_value(headers, b"x-caller").decode("latin-1"),
         subject=subject,
         work=work if work - work == 0.0 else 0.0,
-        resent=_one(headers, b"x-again") == b"1",
+        resent=_single_value(headers, b"x-again") == b"1",
         head=b"\r\n".join(lines) + b"\r\n",
         received_at=received_at,
         bodyless=method == b"GET",
--- a/gladegw/net/sockets.py
+++ b/gladegw/net/sockets.py
@@ -10,11 +10,11 @@
 import termios
 import time
 
-LAST_RECEIVED, LAST_RECEIVED_AT = struct.Struct("I"), 52  # struct tcp_info: tcpi_last_data_recv, ms
-LAST_RECEIVED_END = LAST_RECEIVED_AT + LAST_RECEIVED.size
-UNSENT = struct.Struct("i")  # what TIOCOUTQ tells: bytes that were not sent or not acknowledged
+LAST_RECEIVED, LAST_RECEIVED_OFFSET = struct.Struct("I"), 52  # tcpi_last_data_recv in struct tcp_info, ms
+LAST_RECEIVED_END = LAST_RECEIVED_OFFSET + LAST_RECEIVED.size
+UNSENT = struct.Struct("i")  # result of TIOCOUTQ: number of bytes not sent or not acknowledged
 OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-OPEN_RETRY_INTERVAL_S = 0.01  # s between tries to open a socket
+OPEN_RETRY_INTERVAL_S = 0.01  # between attempts to open a socket
 MAX_OPEN_ATTEMPTS = 100
 HUNG_UP = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
 
@@ -34,7 +34,7 @@
     return socket.socket(family, kind)
 
 
-def _events(fileno: int) -> int:
+def _poll_events(fileno: int) -> int:
     poller = select.poll()
     poller.register(fileno, select.POLLIN | select.POLLRDHUP)
     return next((events for _, events in poller.poll(0)), 0)
@@ -42,24 +42,24 @@
 
 def peer_has_closed(fileno: int) -> bool:
     """Whether the peer has closed its side, also if unread bytes precede the close."""
-    events = _events(fileno)
+    events = _poll_events(fileno)
     if events & HUNG_UP:
         return True
-    return bool(events & select.POLLIN) and _at_end(fileno)
+    return bool(events & select.POLLIN) and _is_at_end(fileno)
 
 
 def has_unread(fileno: int) -> bool:
     """Whether bytes, or the peer's close, can be read."""
-    return bool(_events(fileno))
+    return bool(_poll_events(fileno))
 
 
 def all_acknowledged(fileno: int) -> bool:
     """Whether the peer's system acknowledged all written bytes; False if this cannot be determined."""
     try:
-        answer = fcntl.ioctl(fileno, termios.TIOCOUTQ, bytes(UNSENT.size))
+        result = fcntl.ioctl(fileno, termios.TIOCOUTQ, bytes(UNSENT.size))
     except OSError:
         return False
-    (unsent,) = UNSENT.unpack(answer)
+    (unsent,) = UNSENT.unpack(result)
     return not unsent
 
 
@@ -71,11 +71,11 @@
         return 0.0
     if len(info) < LAST_RECEIVED_END:
         return 0.0
-    (since,) = LAST_RECEIVED.unpack_from(info, LAST_RECEIVED_AT)
+    (since,) = LAST_RECEIVED.unpack_from(info, LAST_RECEIVED_OFFSET)
     return float(since) / 1000
 
 
-def _at_end(fileno: int) -> bool:
+def _is_at_end(fileno: int) -> bool:
     """Whether the next read returns the end of the stream."""
     borrowed = socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=fileno)
     try:
--- a/gladegw/net/timing.py
+++ b/gladegw/net/timing.py
@@ -17,14 +17,14 @@
 class RequestTiming:
     """Request observer with cumulative counters.
 
-    Read from the fleet member's thread, so counters may be one update apart.
+    The fleet member's thread reads the counters without a lock, so they may be one update apart.
     """
 
     def __init__(self, classes: Iterable[RequestClass]) -> None:
         self.objectives = {cls.name: cls.latency_objective for cls in classes}
-        self.durations = dict.fromkeys(self.objectives, 0.0)  # s, of those that were answered with 200
-        self.late = dict.fromkeys(self.objectives, 0)  # of these, not within their class's aim
-        self.count = dict.fromkeys(self.durations, 0)
+        self.durations = dict.fromkeys(self.objectives, 0.0)  # s, total of requests answered with 200
+        self.late = dict.fromkeys(self.objectives, 0)  # of these, slower than the class's latency objective
+        self.count = dict.fromkeys(self.durations, 0)  # requests answered with 200
         self.ends = {cls: OutcomeCounts() for cls in self.durations}
 
     def on_start(self, request: RequestInfo) -> None:
@@ -44,7 +44,7 @@
 
     def counters(self) -> dict[str, int]:
         """Cumulative counters; durations are in microseconds."""
-        counters = {f"took.{cls}": round(1e6 * took) for cls, took in self.durations.items()}
+        counters = {f"took.{cls}": round(1e6 * duration) for cls, duration in self.durations.items()}
         for cls, ends in self.ends.items():
             counters |= {
                 f"late.{cls}": self.late[cls],
--- a/gladegw/net/upload.py
+++ b/gladegw/net/upload.py
@@ -9,21 +9,21 @@
 class RequestBody:
     """Buffer of body bytes between a client and one backend at a time.
 
-    Bytes that no backend has taken are retained, so that another backend can be tried. The client is not read
-    meanwhile: `on_progress` is called when the buffer has been emptied.
+    Bytes that no backend has taken are retained, so that another backend can be tried. Meanwhile the client
+    is not read; `on_progress` is called when the buffer has been emptied.
     """
 
     __slots__ = ("chunks", "complete", "length", "on_progress", "on_release", "reader", "released", "size")
 
     def __init__(self, length: int | None, chunks: list[bytes], on_progress: Callable[[], None]) -> None:
-        self.length = length  # None: unknown until its end
+        self.length = length  # bytes; None: unknown until its end
         self.chunks = deque(chunks)
         self.size = sum(map(len, chunks))  # bytes received
         self.on_progress = on_progress
         self.complete = False
-        self.released = False  # some bytes are no longer retained
-        self.on_release: Callable[[], None] | None = None
-        self.reader: Callable[[], None] | None = None
+        self.released = False  # a backend has taken bytes, which are no longer retained
+        self.on_release: Callable[[], None] | None = None  # called when the first bytes are taken
+        self.reader: Callable[[], None] | None = None  # called at new bytes and at the end
 
     @property
     def waiting(self) -> bool:
@@ -57,7 +57,7 @@
         return chunk
 
     def drop(self) -> None:
-        """Discard the buffer and its consumers; the rest of the body is not needed."""
+        """Discard the buffer and the callbacks; the rest of the body is not needed."""
         self.reader = self.on_release = None
         self.chunks.clear()
         self.on_progress()
