--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -1,4 +1,4 @@
-"""Each request that was read gets its answer, whatever closes its connection; no close takes one."""
+"""Each request that was read gets a complete response, however its connection is closed."""
 
 from __future__ import annotations
 
@@ -18,36 +18,36 @@
 from gladegw.net.request import Request
 from gladegw.operators.request_counters import RequestCounters
 
-LARGE = 4 << 20  # bytes of an answer that no socket's buffers hold
+LARGE = 4 << 20  # bytes of a response, more than socket buffers hold
 
 
-def request_line(number: int) -> bytes:
+def request_bytes(number: int) -> bytes:
     return b"GET /stock HTTP/1.1\r\nHost: x\r\nX-Call-Id: %d\r\nX-Budget: 1000m\r\n\r\n" % number
 
 
 class Recorder:
-    """Stands in for the driver: keeps each request that is opened, and does with it as it is told."""
+    """A request handler that records the requests and, if given, calls `handle` with each response sink."""
 
-    def __init__(self, do: Callable[[ResponseSink], None] | None = None) -> None:
-        self.do = do
+    def __init__(self, handle: Callable[[ResponseSink], None] | None = None) -> None:
+        self.handle = handle
         self.opened_requests: asyncio.Queue[Request] = asyncio.Queue()
         self.replies: list[ResponseSink] = []
 
     def on_request(self, request: Request, reply: ResponseSink) -> object:
         self.opened_requests.put_nowait(request)
         self.replies.append(reply)
-        if self.do is not None:
-            self.do(reply)
+        if self.handle is not None:
+            self.handle(reply)
         return self
 
     def on_body_complete(self, call: Any) -> None:
-        raise AssertionError("no request here has a large body")
+        raise AssertionError("no request in these tests has a streamed body")
 
     def on_disconnect(self, call: Any) -> None:
         pass
 
 
-def callers_side(handler: Recorder) -> tuple[DownstreamServer, tuple[str, int]]:
+def start_downstream_server(handler: Recorder) -> tuple[DownstreamServer, tuple[str, int]]:
     server = DownstreamServer(
         {"stock": Effect.IDEMPOTENT},
         handler,
@@ -67,39 +67,40 @@
             await asyncio.sleep(0.001)
 
 
-@pytest.mark.parametrize("ending", ["idle", "partial", "overdue", "evicted"])
-@pytest.mark.parametrize("kept", [False, True])
-def test_a_request_that_arrives_in_the_instant_of_a_close_is_answered(ending: str, kept: bool) -> None:
-    """The bytes are in the kernel when the close is decided on: they are read first."""
+@pytest.mark.parametrize("close_reason", ["idle", "partial", "overdue", "evicted"])
+@pytest.mark.parametrize("reused", [False, True])
+def test_a_request_that_arrives_just_before_a_close_is_answered(close_reason: str, reused: bool) -> None:
+    """The request is unread in the kernel when the server decides to close; it must be read and answered."""
 
     async def test() -> None:
         handler = Recorder(lambda reply: reply.answer(200, NO_HEADERS, b"done"))
-        server, address = callers_side(handler)
+        server, address = start_downstream_server(handler)
         with socket.create_connection(address) as client:
-            client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # what is sent has arrived
+            # Bytes are sent immediately.
+            client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await until(lambda: len(server.connections) == 1)
             (connection,) = server.connections
-            if kept:
-                client.send(request_line(1))
+            if reused:
+                client.send(request_bytes(1))
                 await handler.opened_requests.get()
                 await until(lambda: connection.current is None)
-            first, rest = request_line(2)[:10], request_line(2)[10:]
-            if ending in ("partial", "overdue"):
+            first, rest = request_bytes(2)[:10], request_bytes(2)[10:]
+            if close_reason in ("partial", "overdue"):
                 client.send(first)
                 await until(lambda: connection.receiving)
-            connection.changed_at -= 10.0  # its last answer, if there was one, is long ago
+            connection.changed_at -= 10.0  # long after the previous response, if any
             connection.request_started_at -= 10.0
             connection.request_deadline.due_at = (
-                time.monotonic() - 1.0 if ending == "overdue" else connection.request_deadline.due_at
+                time.monotonic() - 1.0 if close_reason == "overdue" else connection.request_deadline.due_at
             )
-            client.send(rest if ending in ("partial", "overdue") else first + rest)
+            client.send(rest if close_reason in ("partial", "overdue") else first + rest)
             close: dict[str, Callable[[], None]] = {
                 "idle": server.close_idle,
                 "partial": lambda: server.close_idle(partial=True),
                 "overdue": server._sweep,
                 "evicted": lambda: server._evict(1),
             }
-            close[ending]()
+            close[close_reason]()
             async with asyncio.timeout(PATIENCE):
                 assert (await handler.opened_requests.get()).id == b"2"
         await server.acceptor.close()
@@ -107,34 +108,34 @@
     run(test())
 
 
-def test_a_last_answer_arrives_whole_though_its_client_sends_on() -> None:
-    """A close over the unread second request would reset the connection and take the rest of the answer."""
+def test_the_last_response_arrives_complete_while_its_client_sends_more() -> None:
+    """Closing with the unread second request would reset the connection and lose the rest of the response."""
 
     async def test() -> None:
         def answer(reply: ResponseSink) -> None:
-            client.send(request_line(2))
+            client.send(request_bytes(2))
             reply.answer(200, NO_HEADERS, b"x" * LARGE)
 
         handler = Recorder(answer)
-        server, address = callers_side(handler)
+        server, address = start_downstream_server(handler)
         server.drain()
-        server.reads_until = 0.0  # it reads no further behind an open request
+        server.reads_until = 0.0  # stop reading behind an open request
         with socket.create_connection(address) as client:
-            client.send(request_line(1))
+            client.send(request_bytes(1))
             await handler.opened_requests.get()
             reader, _ = await asyncio.open_connection(sock=client.dup())
             head = await reader.readuntil(b"\r\n\r\n")
             assert b"connection: close" in head.lower()
             assert len(await reader.read()) == LARGE
-            assert handler.opened_requests.empty()  # what came after the end was not taken
+            assert handler.opened_requests.empty()  # the request after the last response was not read
         await server.acceptor.close()
 
     run(test())
 
 
-@pytest.mark.parametrize("ended", ["each answer", "drained"])
-def test_all_that_was_read_is_answered_before_the_proxy_closes(ended: str) -> None:
-    """Pipelined requests wait behind one that is being served when the proxy begins to leave."""
+@pytest.mark.parametrize("responses_read", ["before exit", "after exit"])
+def test_all_requests_that_were_read_are_answered_before_the_proxy_exits(responses_read: str) -> None:
+    """Pipelined requests are queued behind an open one when the proxy starts to drain."""
 
     async def test() -> None:
         answer_now = asyncio.Event()
@@ -150,22 +151,22 @@
                 caller.send("canje", f"{number:016x}", budget="6000m")
             await backend.calls.get()
             node.terminate()
-            await idle.ended()  # from here on connections are closed
+            await idle.ended()  # connections are being closed now
             answer_now.set()
-            if ended == "each answer":
+            if responses_read == "before exit":
                 answers = [await caller.answer() for _ in range(5)]
                 assert [answer.code for answer in answers] == [200] * 5
                 assert answers[-1].headers["connection"] == "close"
                 assert await caller.ended()
             assert await node.code() == 0
-            if ended == "drained":
+            if responses_read == "after exit":
                 assert [(await caller.answer()).code for _ in range(5)] == [200] * 5
 
     run(test())
 
 
-def test_answers_are_read_in_order_by_a_caller_of_these_tests() -> None:
-    """`Caller.answer` reads one message at a time, so that the tests above count answers and not bytes."""
+def test_the_caller_helper_reads_one_response_at_a_time() -> None:
+    """The tests above rely on `Caller.answer` to return the responses one by one and in order."""
 
     async def test() -> None:
         async with proxy({"s-1": Backend()}) as node:
--- a/tests/net/test_proxy.py
+++ b/tests/net/test_proxy.py
@@ -1,4 +1,4 @@
-"""The program itself, over loopback sockets: what ends an attempt, the rules, bad input, limits, SIGTERM."""
+"""The proxy program over loopback: ends of attempts, retry rules, discovery, bad input, limits, signals."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         return await backend.calls.get()
 
 
-def test_a_call_goes_on_unchanged_and_its_answer_comes_back() -> None:
+def test_a_request_and_its_response_are_forwarded_unchanged() -> None:
     async def test() -> None:
         body = bytes(range(256)) * 256  # 64 KiB
 
@@ -51,8 +51,8 @@
         backend = Backend(behave)
         async with proxy({"s-1": backend}) as node:
             caller = await node.caller()
-            more = {"Cookie": "sid=7f", "X_Caller": "acme"}
-            reply = await caller.call("reserva", "9b1f03aa5c7e2d41", body=body, **more)
+            headers = {"Cookie": "sid=7f", "X_Caller": "acme"}
+            reply = await caller.call("reserva", "9b1f03aa5c7e2d41", body=body, **headers)
             seen = await next_call(backend)
         assert (reply.code, reply.body) == (200, body[::-1])
         assert reply.headers["x-note"] == "yes" and "x-load-report" not in reply.headers
@@ -65,29 +65,27 @@
     run(test())
 
 
-def test_connections_are_kept_and_the_last_used_is_used_again() -> None:
+def test_upstream_connections_are_kept_and_the_last_used_is_reused() -> None:
     async def test() -> None:
         backend = Backend()
-        limits = {
-            **SETTINGS["policy_limits"],
-            "probes": False,
-        }  # a probe would hold the connection for a while
+        # A probe would occupy the connection for a while.
+        limits = {**SETTINGS["policy_limits"], "probes": False}
         async with proxy({"s-1": backend}, policy_limits=limits) as node:
             caller = await node.caller()
             for number in range(5):
                 assert (await caller.call("canje", f"{number:016x}")).code == 200
-                await asyncio.sleep(2 * MIN_REST_S)  # none is used right after an answer
+                await asyncio.sleep(2 * MIN_REST_S)  # a connection is not reused immediately after a response
             numbers = {(await next_call(backend)).connection for _ in range(5)}
         assert len(numbers) == 1
 
     run(test())
 
 
-async def rejected(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def reject(seen: Seen, writer: asyncio.StreamWriter) -> None:
     writer.write(response(503, X_Rejected="1"))
 
 
-async def error(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def fail(seen: Seen, writer: asyncio.StreamWriter) -> None:
     writer.write(response(503, b"no mark, so it may have run"))
 
 
@@ -105,17 +103,20 @@
     writer.write(b"\x00\x01 this is not HTTP\r\n\r\n")
 
 
-async def twice(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def respond_twice(seen: Seen, writer: asyncio.StreamWriter) -> None:
     writer.write(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n" * 2)
 
 
-async def silent(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def never_answer(seen: Seen, writer: asyncio.StreamWriter) -> None:
     return
 
 
-@pytest.mark.parametrize("behave", [error, reset, cut_short, garbage, twice, silent])
+@pytest.mark.parametrize("behave", [fail, reset, cut_short, garbage, respond_twice, never_answer])
 def test_an_unsafe_call_that_may_have_run_fails_after_one_attempt(behave: Any) -> None:
-    """Guards rule 2: any end but a marked rejection may have run, so neither a resend nor a refusal."""
+    """Guards rule 2: unless the backend marks a rejection, the request may have run.
+
+    Hence it is neither sent again nor answered with a retry-after.
+    """
 
     async def test() -> None:
         backends = {"s-1": Backend(behave), "s-2": Backend(behave)}
@@ -128,10 +129,10 @@
     run(test())
 
 
-def test_a_malformed_answer_is_an_error_and_a_broken_connection_a_reset() -> None:
-    # Found in r611: one answer in thirty was malformed, and each, read as a reset, kept a sound backend from
-    # all calls for half a second and more.
-    async def ended(behave: Any) -> Status | None:
+def test_a_malformed_response_is_an_error_and_a_broken_connection_a_reset() -> None:
+    # In r611 one response in thirty was malformed. Each was counted as a reset, so that a healthy backend got
+    # no calls for half a second and more each time.
+    async def attempt_status(behave: Any) -> Status | None:
         backend = await Backend(behave).start()
         upstreams = UpstreamPool(connect_timeout=PATIENCE, conn_idle=PATIENCE, max_connections=10)
         upstreams.apply(read_listing(listing(1, endpoint("s-1", backend.address))))
@@ -144,15 +145,15 @@
         return exchange.status
 
     async def test() -> None:
-        assert await ended(garbage) is Status.ERROR
-        assert await ended(cut_short) is Status.RESET
+        assert await attempt_status(garbage) is Status.ERROR
+        assert await attempt_status(cut_short) is Status.RESET
 
     run(test())
 
 
-def test_a_marked_rejection_never_ran_and_is_tried_elsewhere() -> None:
+def test_a_marked_rejection_is_retried_on_another_backend() -> None:
     async def test() -> None:
-        backends = {"s-1": Backend(rejected), "s-2": Backend()}
+        backends = {"s-1": Backend(reject), "s-2": Backend()}
         async with proxy(backends) as node:
             caller = await node.caller()
             replies = [(await caller.call("canje", f"{n:016x}")).code for n in range(4)]
@@ -162,10 +163,10 @@
 
 
 def test_a_keyed_call_that_may_have_run_is_resent_only_within_its_zone() -> None:
-    """Guards rule 2 for keyed calls: only the backends of one zone drop each other's repeats."""
+    """Guards rule 2 for keyed calls: backends detect duplicates only within their own zone."""
 
     async def test() -> None:
-        async def once(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def reset_first(seen: Seen, writer: asyncio.StreamWriter) -> None:
             if broken:
                 await serve_ok(seen, writer)
             else:
@@ -173,7 +174,7 @@
                 writer.transport.abort()
 
         broken: list[Seen] = []
-        near, far = [Backend(once), Backend(once)], [Backend(once), Backend(once)]
+        near, far = [Backend(reset_first), Backend(reset_first)], [Backend(reset_first), Backend(reset_first)]
         discovery = await Discovery().start()
         for backend in (*near, *far):
             await backend.start()
@@ -185,7 +186,7 @@
         async with proxy({"s-0": near[0]}, discovery) as node:
             async with asyncio.timeout(PATIENCE):
                 await discovery.asked.get()
-                await discovery.asked.get()  # the list is taken
+                await discovery.asked.get()  # the list has been applied
             reply = await (await node.caller()).call("reserva", "7" * 16, budget="3500m")
             assert reply.code == 200
         counts = [sum(backend.count for backend in zone) for zone in (near, far)]
@@ -196,7 +197,7 @@
     run(test())
 
 
-def test_discovery_that_is_down_is_asked_again_and_the_list_is_kept() -> None:
+def test_failed_discovery_is_polled_again_and_the_last_list_is_kept() -> None:
     async def test() -> None:
         discovery = await Discovery().start()
         backend = Backend()
@@ -212,16 +213,16 @@
     run(test())
 
 
-def test_no_backend_up_is_a_refusal_at_once_that_says_when_to_come_back() -> None:
-    """The connection failed before a byte was written, so a refusal is harmless; it is not held back."""
+def test_without_a_reachable_backend_a_request_is_shed_early_with_retry_after() -> None:
+    """The connection failed before a byte was written, so a retry is safe and the 503 need not wait."""
 
     async def test() -> None:
-        gone = await Backend().start()
-        await gone.stop()
-        async with proxy({"s-1": gone}) as node:
-            begun = asyncio.get_running_loop().time()
+        stopped = await Backend().start()
+        await stopped.stop()
+        async with proxy({"s-1": stopped}) as node:
+            started_at = asyncio.get_running_loop().time()
             reply = await (await node.caller()).call("canje", "b" * 16, budget="5000m")
-            took = asyncio.get_running_loop().time() - begun
+            took = asyncio.get_running_loop().time() - started_at
         assert reply.code == 503
         assert 0 < float(reply.headers["retry-after"]) <= 2.0
         assert took < 3.0
@@ -229,8 +230,8 @@
     run(test())
 
 
-def test_a_late_answer_reaches_nobody() -> None:
-    """A timed out attempt gives up its connection: its answer must not become that of the next call."""
+def test_a_late_response_reaches_no_client() -> None:
+    """The connection of a timed out attempt is closed: a late response must not reach the next call."""
 
     async def test() -> None:
         held: list[asyncio.StreamWriter] = []
@@ -253,30 +254,30 @@
     run(test())
 
 
-def test_a_draining_backend_gets_nothing_new_and_a_readdressed_one_no_old_connection() -> None:
+def test_a_draining_backend_gets_no_new_call_and_an_old_address_no_connection() -> None:
     async def test() -> None:
         discovery = await Discovery().start()
-        one, two, moved = Backend(), await Backend().start(), await Backend().start()
-        async with proxy({"s-1": one}, discovery) as node:
+        first, second, moved = Backend(), await Backend().start(), await Backend().start()
+        async with proxy({"s-1": first}, discovery) as node:
             caller = await node.caller()
             assert (await caller.call("canje", "0" * 16)).code == 200
-            discovery.put(2, endpoint("s-1", one.address, "Terminating"), endpoint("s-2", two.address))
+            discovery.put(2, endpoint("s-1", first.address, "Terminating"), endpoint("s-2", second.address))
             async with asyncio.timeout(PATIENCE):
-                await one.closed.get()  # told: its idle connections close
+                await first.closed.get()  # the list has been applied: idle connections are closed
             for number in range(1, 5):
                 assert (await caller.call("canje", f"{number:016x}")).code == 200
-            assert (one.count, two.count) == (1, 4)
+            assert (first.count, second.count) == (1, 4)
             discovery.put(3, endpoint("s-2", moved.address))
             async with asyncio.timeout(PATIENCE):
-                await two.closed.get()
+                await second.closed.get()
             assert (await caller.call("canje", f"{9:016x}")).code == 200
-            assert (two.count, moved.count) == (4, 1)
+            assert (second.count, moved.count) == (4, 1)
         await moved.stop()
 
     run(test())
 
 
-def test_watches_follow_one_another_and_garbage_keeps_the_last_list() -> None:
+def test_watches_follow_one_another_and_an_invalid_list_is_ignored() -> None:
     async def test() -> None:
         discovery = await Discovery().start()
         backend = Backend()
@@ -292,28 +293,31 @@
     run(test())
 
 
-def test_a_watch_that_discovery_forgot_is_given_up_when_its_own_wait_is_over() -> None:
-    """A silent watch looks like one with nothing to tell: the change is learned by the next call."""
+def test_a_watch_that_discovery_never_answers_times_out() -> None:
+    """An unanswered watch looks like one without a change; the next watch must bring the change."""
 
     async def test() -> None:
         discovery = await Discovery().start()
         discovery.silent = 1
-        one, two = Backend(), await Backend().start()
+        first, second = Backend(), await Backend().start()
         contract = {**SETTINGS["contract"], "must_ask_in": 2.0}
-        async with proxy({"s-1": one}, discovery, contract=contract) as node:
+        async with proxy({"s-1": first}, discovery, contract=contract) as node:
             async with asyncio.timeout(PATIENCE / 2):
                 assert await discovery.asked.get() == "/v1/servers?from=1&hold_ms=50"
-                discovery.put(2, endpoint("s-1", one.address, "Terminating"), endpoint("s-2", two.address))
+                discovery.put(
+                    2, endpoint("s-1", first.address, "Terminating"), endpoint("s-2", second.address)
+                )
                 assert await discovery.asked.get() == "/v1/servers?from=1&hold_ms=50"
-                assert await discovery.asked.get() == "/v1/servers?from=2&hold_ms=500"  # the list is taken
+                # The list has been applied.
+                assert await discovery.asked.get() == "/v1/servers?from=2&hold_ms=500"
             assert (await (await node.caller()).call("canje", "1" * 16)).code == 200
-        assert (one.count, two.count) == (0, 1)
-        await two.stop()
+        assert (first.count, second.count) == (0, 1)
+        await second.stop()
 
     run(test())
 
 
-def test_a_list_of_version_0_is_watched_and_not_asked_for_again_and_again() -> None:
+def test_a_list_of_version_0_is_watched_and_not_fetched_repeatedly() -> None:
     async def test() -> None:
         discovery = await Discovery().start()
         backend = Backend()
@@ -354,7 +358,7 @@
         ),
     ],
 )
-def test_bad_input_reaches_nobody_and_harms_no_other(code: int, data: bytes) -> None:
+def test_bad_input_reaches_no_backend_and_affects_no_other_client(code: int, data: bytes) -> None:
     async def test() -> None:
         backend = Backend()
         async with proxy({"s-1": backend}) as node:
@@ -366,7 +370,7 @@
     run(test())
 
 
-def test_requests_that_come_at_once_are_answered_in_turn() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
         async with proxy({"s-1": Backend()}) as node:
             caller = await node.caller()
@@ -378,11 +382,11 @@
     run(test())
 
 
-def test_an_id_that_is_still_out_gets_no_second_copy() -> None:
-    """Guards one attempt out at a time against a caller that sends the same request on two connections."""
+def test_a_duplicate_of_an_open_request_is_not_forwarded() -> None:
+    """A client sends the same request on two connections; only one attempt may be in flight at a time."""
 
     async def test() -> None:
-        backend = Backend(silent)
+        backend = Backend(never_answer)
         async with proxy({"s-1": backend}) as node:
             first, second = await node.caller(), await node.caller()
             first.send("canje", "e" * 16, budget="600m")
@@ -394,9 +398,9 @@
     run(test())
 
 
-def test_a_caller_that_leaves_takes_its_attempt_with_it() -> None:
+def test_a_client_that_disconnects_cancels_its_attempt() -> None:
     async def test() -> None:
-        backend = Backend(silent)
+        backend = Backend(never_answer)
         async with proxy({"s-1": backend}) as node:
             caller = await node.caller()
             caller.send("canje", "f" * 16, budget="5000m")
@@ -408,13 +412,13 @@
     run(test())
 
 
-def test_sigterm_serves_on_for_a_while_finishes_what_is_held_and_exits_0() -> None:
+def test_after_sigterm_the_proxy_serves_for_a_while_finishes_open_requests_and_exits_0() -> None:
     async def test() -> None:
-        free = asyncio.Event()
+        release = asyncio.Event()
 
         async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
             if seen.headers["x-call-id"] == "a" * 16:
-                await free.wait()
+                await release.wait()
             await serve_ok(seen, writer)
 
         backend = Backend(behave)
@@ -425,11 +429,11 @@
             await next_call(backend)
             await next_call(backend)
             node.terminate()
-            late = await node.caller()  # connections still come
+            late = await node.caller()  # new connections are still accepted
             assert (await late.call("stock", "2" * 16)).code == 200
-            assert await idle.ended()  # the kept ones end, unhurried
+            assert await idle.ended()  # idle connections are closed
             assert node.process.returncode is None
-            free.set()
+            release.set()
             reply = await held.answer()
             assert (reply.code, reply.headers["connection"]) == (200, "close")
             assert await node.code() == 0
@@ -437,7 +441,7 @@
     run(test())
 
 
-def test_sighup_moves_to_the_discovery_that_the_file_names_now() -> None:
+def test_sighup_switches_to_the_discovery_in_the_changed_config() -> None:
     async def test() -> None:
         old, new = await Discovery().start(), await Discovery().start()
         first, second = await Backend().start(), await Backend().start()
@@ -452,7 +456,7 @@
                 async with asyncio.timeout(PATIENCE):
                     assert await old.asked.get() == "/v1/servers?from=7&hold_ms=50"
                     file = Path(folder) / "config.json"
-                    file.write_text("{", encoding="utf-8")  # can't be used: nothing changes
+                    file.write_text("{", encoding="utf-8")  # invalid: nothing changes
                     process.send_signal(signal.SIGHUP)
                     assert (await (await node.caller()).call("stock", "1" * 16)).code == 200
                     file.write_text(json.dumps({**raw, "discovery": new.address}), encoding="utf-8")
@@ -465,24 +469,24 @@
             finally:
                 process.kill()
                 await process.wait()
-                for party in (old, new, first, second):
-                    assert party.server is not None
-                    party.server.close()
+                for peer in (old, new, first, second):
+                    assert peer.server is not None
+                    peer.server.close()
 
     run(test())
 
 
-def test_a_backend_that_fell_silent_loses_its_idle_connections() -> None:
-    """A machine that vanished leaves open, silent connections; each would cost a call to find out."""
+def test_idle_connections_of_an_unresponsive_backend_are_closed() -> None:
+    """Connections to a vanished machine stay open but silent; each would make another call time out."""
 
     async def test() -> None:
-        together = asyncio.Event()
-        mute = asyncio.Event()
+        all_arrived = asyncio.Event()
+        unresponsive = asyncio.Event()
 
         async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            if mute.is_set():
+            if unresponsive.is_set():
                 return
-            await together.wait()
+            await all_arrived.wait()
             await serve_ok(seen, writer)
 
         backend = Backend(behave)
@@ -492,9 +496,9 @@
             for number, caller in enumerate(callers):
                 caller.send("canje", f"{number:016x}", budget="5000m")
             used = {(await next_call(backend)).connection for _ in callers}
-            together.set()
+            all_arrived.set()
             assert [(await caller.answer()).code for caller in callers] == [200] * 3
-            mute.set()
+            unresponsive.set()
             assert (await callers[0].call("stock", "8" * 16, budget="900m")).code == 503
             async with asyncio.timeout(PATIENCE):
                 closed = {await backend.closed.get() for _ in used}
@@ -503,10 +507,10 @@
     run(test())
 
 
-def test_peers_that_send_no_whole_request_are_closed_and_callers_are_kept() -> None:
+def test_connections_without_a_complete_request_are_closed_and_others_kept() -> None:
     async def test() -> None:
         async with proxy({"s-1": Backend()}) as node:
-            caller, mute, slow = [await node.caller() for _ in range(3)]
+            caller, idle, slow = [await node.caller() for _ in range(3)]
             assert (await caller.call("stock", "1" * 16)).code == 200
             slow.writer.write(b"GET /stock HTTP/1.1\r\nX-Slow: ")
 
@@ -516,14 +520,14 @@
                     await asyncio.sleep(0.05)
 
             dripping = asyncio.create_task(drip())
-            assert await mute.ended() and await slow.ended()
+            assert await idle.ended() and await slow.ended()
             dripping.cancel()
             assert (await caller.call("stock", "2" * 16)).code == 200
 
     run(test())
 
 
-def test_a_header_without_end_is_an_error_before_it_fills_the_memory() -> None:
+def test_an_endless_header_is_rejected_before_it_fills_the_memory() -> None:
     async def test() -> None:
         async with proxy({"s-1": Backend()}) as node:
             peer = await node.caller()
@@ -533,8 +537,8 @@
     run(test())
 
 
-def test_the_answer_to_bad_input_arrives_though_more_is_on_its_way() -> None:
-    """Closing on unread bytes resets the connection, and a reset can overtake the answer."""
+def test_the_response_to_bad_input_arrives_while_the_client_still_sends() -> None:
+    """Closing with unread bytes resets the connection, and the reset can overtake the response."""
 
     async def test() -> None:
         async with proxy({"s-1": Backend()}) as node:
@@ -551,14 +555,14 @@
     run(test())
 
 
-def test_at_the_limit_of_descriptors_it_sheds_and_goes_on() -> None:
-    """Guards against EMFILE: beyond the bound a caller gets a refusal, and upstreams keep their share."""
+def test_at_the_descriptor_limit_requests_are_shed_and_serving_continues() -> None:
+    """Guards against EMFILE: beyond the limit requests are shed, and upstreams keep their descriptors."""
 
     async def test() -> None:
-        free = asyncio.Event()
+        release = asyncio.Event()
 
         async def behave(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            await free.wait()
+            await release.wait()
             await serve_ok(seen, writer)
 
         async with proxy({"s-1": Backend(behave)}, sockets=64) as node:
@@ -568,15 +572,15 @@
             for number in range(100, 150):
                 reply = await (await node.caller()).call("stock", f"{number:016x}")
                 assert reply.code == 503 and float(reply.headers["retry-after"]) > 0
-            free.set()
+            release.set()
             assert all([(await caller.answer()).code in (200, 503) for caller in callers])
             assert (await (await node.caller()).call("stock", "9" * 16)).code == 200
 
     run(test())
 
 
-def test_an_idle_connection_makes_room_for_a_new_caller() -> None:
-    """Kept connections that ask nothing must not shut others out."""
+def test_an_idle_connection_is_closed_in_favor_of_a_new_client() -> None:
+    """Idle keep-alive connections must not keep new clients out."""
 
     async def test() -> None:
         async with proxy({"s-1": Backend()}, sockets=64) as node:
@@ -592,8 +596,8 @@
     run(test())
 
 
-def test_an_answer_that_came_while_the_process_stood_still_is_served() -> None:
-    """After a stall timers run before sockets are read: a time-out must not throw away what has come."""
+def test_a_response_that_arrived_while_the_process_was_stopped_is_forwarded() -> None:
+    """After a stall, timers run before sockets are read: a timeout must not discard an unread response."""
 
     async def test() -> None:
         answered = asyncio.Event()
@@ -607,10 +611,11 @@
         backend = Backend(behave)
         async with proxy({"s-1": backend}) as node:
             caller = await node.caller()
-            caller.send("stock", "5" * 16, budget="1200m")  # an attempt has 500 ms, the aim
+            # An attempt has 500 ms, the class's latency objective.
+            caller.send("stock", "5" * 16, budget="1200m")
             async with asyncio.timeout(PATIENCE):
                 await answered.wait()
-            await asyncio.sleep(0.7)  # the stall itself
+            await asyncio.sleep(0.7)  # longer than an attempt's timeout
             node.process.send_signal(signal.SIGCONT)
             assert (await caller.answer()).code == 200
 
@@ -618,27 +623,27 @@
 
 
 @pytest.mark.parametrize(
-    "spoil", ["no file", "not json", "no settings", "bad setting", "bad address", "bad known"]
+    "defect", ["no file", "not json", "no settings", "bad setting", "bad address", "bad known"]
 )
-def test_a_bad_configuration_is_one_line_and_exit_2(spoil: str) -> None:
+def test_a_bad_configuration_gives_one_line_on_stderr_and_exit_2(defect: str) -> None:
     async def test() -> None:
         raw: Any = config("127.0.0.1:1", listing(1), "127.0.0.1:0")
-        if spoil == "not json":
+        if defect == "not json":
             raw = "{"
-        elif spoil == "no settings":
+        elif defect == "no settings":
             del raw["settings"]
-        elif spoil == "bad setting":
+        elif defect == "bad setting":
             raw["settings"]["contract"]["cold_from"] = 7
-        elif spoil == "bad address":
+        elif defect == "bad address":
             raw["listen"] = "nowhere"
-        elif spoil == "bad known":
+        elif defect == "bad known":
             raw["known"] = {"index": 1, "snapshot": True, "endpoints": [{"name": "s-1"}]}
-        elif spoil == "no file":
+        elif defect == "no file":
             raw = ""
         with tempfile.TemporaryDirectory() as folder:
             process = await start_program(raw, folder)
-            _, told = await process.communicate()
+            _, stderr = await process.communicate()
         assert process.returncode == 2
-        assert len(told.decode().strip().splitlines()) == 1
+        assert len(stderr.decode().strip().splitlines()) == 1
 
     run(test())
--- a/tests/net/test_streams.py
+++ b/tests/net/test_streams.py
@@ -1,4 +1,4 @@
-"""Large, slow and piecewise messages through the program itself, over loopback."""
+"""Large, slow and fragmented messages through the proxy program, over loopback."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 
 
 @given(st.integers(1 << 20, 1 << 30), st.integers(1, 2000))
-def test_all_streams_hold_their_share_of_the_memory_at_most(memory: int, streams: int) -> None:
-    found = chunk_bytes(memory, streams)
-    assert MIN_CHUNK_BYTES <= found <= MAX_CHUNK_BYTES
-    if found > MIN_CHUNK_BYTES:
-        assert found * CHUNKS_PER_STREAM * streams <= memory * STREAMS_MEMORY_FRACTION
+def test_all_streams_stay_within_their_fraction_of_the_memory(memory: int, streams: int) -> None:
+    size = chunk_bytes(memory, streams)
+    assert MIN_CHUNK_BYTES <= size <= MAX_CHUNK_BYTES
+    if size > MIN_CHUNK_BYTES:
+        assert size * CHUNKS_PER_STREAM * streams <= memory * STREAMS_MEMORY_FRACTION
 
 
 Act = Callable[[bytes, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-class Raw:
-    """A backend that reads a request's head, then does as `act` says; probes are answered."""
+class RawBackend:
+    """A backend that answers probes, and reads the head of any other request and passes it to `act`."""
 
     def __init__(self, act: Act) -> None:
         self.act = act
@@ -47,7 +47,7 @@
         self.address = ""
         self.server: asyncio.Server | None = None
 
-    async def start(self) -> Raw:
+    async def start(self) -> RawBackend:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname())
         return self
@@ -70,7 +70,7 @@
             self.server.close()
 
 
-async def body_of(head: bytes, reader: asyncio.StreamReader) -> bytes:
+async def read_body(head: bytes, reader: asyncio.StreamReader) -> bytes:
     fields = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:] if line)
     if b"content-length" in fields:
         return await reader.readexactly(int(fields[b"content-length"]))
@@ -85,7 +85,7 @@
         parts.append(part[:-2])
 
 
-def ask(cls: str, id: str, *fields: str, version: str = "1.1", budget: str = "3000m") -> bytes:
+def request_head(cls: str, id: str, *fields: str, version: str = "1.1", budget: str = "3000m") -> bytes:
     method = "GET" if cls == "stock" else "POST"
     lines = [f"{method} /{cls} HTTP/{version}", "Host: x", f"X-Call-Id: {id}", f"X-Budget: {budget}"]
     lines += [f"Idempotency-Key: k{id}"] if cls == "reserva" else []
@@ -98,15 +98,15 @@
         fields = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:] if line)
         code = int(head.split(b" ")[1])
         if b"content-length" in fields or b"transfer-encoding" in fields:
-            return code, fields, await body_of(head, reader)
+            return code, fields, await read_body(head, reader)
         return code, fields, await reader.read()
 
 
 @contextlib.asynccontextmanager
-async def before(act: Act, **changes: Any) -> AsyncIterator[tuple[Proxy, Raw]]:
-    raw = Raw(act)
-    async with proxy({"s-1": cast(Backend, raw)}, **changes) as node:
-        yield node, raw
+async def proxy_with_backend(act: Act, **changes: Any) -> AsyncIterator[tuple[Proxy, RawBackend]]:
+    backend = RawBackend(act)
+    async with proxy({"s-1": cast(Backend, backend)}, **changes) as node:
+        yield node, backend
 
 
 def pattern(size: int, seed: int = 1) -> bytes:
@@ -114,50 +114,52 @@
 
 
 async def echo(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    body = await body_of(head, reader)
+    body = await read_body(head, reader)
     writer.write(response(200, body))
     await writer.drain()
 
 
 @pytest.mark.parametrize("chunked", [False, True])
 @pytest.mark.parametrize("size", [0, 1, 65_536, 65_537, 3 * MB])
-def test_a_body_of_any_size_goes_through_unchanged(size: int, chunked: bool) -> None:
+def test_a_body_of_any_size_is_echoed_unchanged(size: int, chunked: bool) -> None:
     async def test() -> None:
-        async with before(echo) as (node, raw):
+        async with proxy_with_backend(echo) as (node, backend):
             caller = await node.caller()
             body = pattern(size)
-            for id in "ab":  # the connection is kept
+            for id in "ab":  # on the same connection
                 if chunked:
-                    caller.writer.write(ask("reserva", id * 16, "Transfer-Encoding: chunked", "Trailer: X-T"))
+                    caller.writer.write(
+                        request_head("reserva", id * 16, "Transfer-Encoding: chunked", "Trailer: X-T")
+                    )
                     for start in range(0, size, 70_001):
                         part = body[start : start + 70_001]
                         caller.writer.write(b"%x;ext=1\r\n%b\r\n" % (len(part), part))
                         await caller.writer.drain()
                     caller.writer.write(b"0\r\nX-Call-Id: forged\r\n\r\n")
                 else:
-                    caller.writer.write(ask("reserva", id * 16, f"Content-Length: {size}") + body)
-                code, _, came = await read_answer(caller.reader)
-                assert code == 200 and came == body
-            assert len(raw.heads) == 2 and not any(b"forged" in head for head in raw.heads)
-            found = await node.figures()
-            assert found["app.handled.reserva.passed"] == found["app.upstream_tries"] == 2
-            assert found["app.in_progress"] == 0
+                    caller.writer.write(request_head("reserva", id * 16, f"Content-Length: {size}") + body)
+                code, _, echoed = await read_answer(caller.reader)
+                assert code == 200 and echoed == body
+            assert len(backend.heads) == 2 and not any(b"forged" in head for head in backend.heads)
+            figures = await node.figures()
+            assert figures["app.handled.reserva.passed"] == figures["app.upstream_tries"] == 2
+            assert figures["app.in_progress"] == 0
 
     run(test())
 
 
-@pytest.mark.parametrize("way", ["length", "chunked", "close"])
+@pytest.mark.parametrize("framing", ["length", "chunked", "close"])
 @pytest.mark.parametrize("version", ["1.0", "1.1"])
-def test_an_answer_of_every_form_comes_whole(way: str, version: str) -> None:
+def test_a_response_with_any_framing_arrives_complete(framing: str, version: str) -> None:
     async def test() -> None:
         async def act(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await body_of(head, reader)
+            await read_body(head, reader)
             writer.write(b"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n")
             size = sizes.pop()
             body = pattern(size)
-            if way == "length":
+            if framing == "length":
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + body)
-            elif way == "chunked":
+            elif framing == "chunked":
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 for start in range(0, size, 50_000):
                     part = body[start : start + 50_000]
@@ -167,15 +169,15 @@
             else:
                 writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body)
             await writer.drain()
-            if way == "close":
+            if framing == "close":
                 writer.close()
 
         sizes = [2 * MB, 70_000, 10, 0]
-        for_whom = list(reversed(sizes))
-        async with before(act) as (node, _):
-            for number, size in enumerate(for_whom):
+        request_sizes = list(reversed(sizes))
+        async with proxy_with_backend(act) as (node, _):
+            for number, size in enumerate(request_sizes):
                 caller = await node.caller()
-                caller.writer.write(ask("stock", f"{number:016x}", version=version))
+                caller.writer.write(request_head("stock", f"{number:016x}", version=version))
                 code, fields, body = await read_answer(caller.reader)
                 assert code == 200 and body == pattern(size)
                 assert version == "1.1" or b"transfer-encoding" not in fields
@@ -184,37 +186,37 @@
     run(test())
 
 
-def test_the_first_bytes_of_an_answer_come_while_the_rest_is_held_back() -> None:
+def test_the_first_bytes_of_a_response_arrive_before_the_backend_sends_the_rest() -> None:
     async def test() -> None:
-        go_on_large, go_on_small = asyncio.Event(), asyncio.Event()
+        continue_large, continue_small = asyncio.Event(), asyncio.Event()
 
         async def act(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             if b"/stock" in head:
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"a" * 1000)
-                await go_on_large.wait()
+                await continue_large.wait()
                 writer.write(b"a" * 199_000)
             else:
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 writer.write(b"3e8\r\n" + b"a" * 1000 + b"\r\n")
-                await go_on_small.wait()
+                await continue_small.wait()
                 writer.write(b"0\r\n\r\n")
 
-        async with before(act) as (node, _):
+        async with proxy_with_backend(act) as (node, _):
             callers = [await node.caller(), await node.caller()]
-            callers[0].writer.write(ask("stock", "a" * 16, budget="1000m"))
-            callers[1].writer.write(ask("canje", "b" * 16, "Content-Length: 0", budget="1000m"))
+            callers[0].writer.write(request_head("stock", "a" * 16, budget="1000m"))
+            callers[1].writer.write(request_head("canje", "b" * 16, "Content-Length: 0", budget="1000m"))
             for caller in callers:
                 async with asyncio.timeout(PATIENCE):
                     assert b" 200 " in await caller.reader.readuntil(b"\r\n\r\n")
                     assert b"aaa" in await caller.reader.read(100)
-            found = await node.figures()
-            assert found["app.in_progress"] == 2
-            go_on_small.set()
+            figures = await node.figures()
+            assert figures["app.in_progress"] == 2
+            continue_small.set()
             async with asyncio.timeout(PATIENCE):
                 rest = await callers[1].reader.readuntil(b"0\r\n\r\n")
                 assert rest.endswith(b"0\r\n\r\n")
-            await asyncio.sleep(1.1)  # the budget is over, and what is large goes on
-            go_on_large.set()
+            await asyncio.sleep(1.1)  # the budget has expired; a large response continues
+            continue_large.set()
             async with asyncio.timeout(PATIENCE):
                 size = 0
                 while size < 199_900:
@@ -224,8 +226,8 @@
     run(test())
 
 
-def test_an_answer_that_tells_no_length_and_still_comes_is_not_cut_off() -> None:
-    """At its deadline it is small; that it will be large shows only later."""
+def test_a_response_without_a_length_that_still_progresses_is_not_cut_off() -> None:
+    """At the deadline only a few bytes have arrived; the proxy cannot know yet that the response is large."""
 
     async def test() -> None:
         async def act(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -235,22 +237,22 @@
                 await asyncio.sleep(0.1)
             writer.write(b"186a0\r\n" + b"a" * 100_000 + b"\r\n0\r\n\r\n")
 
-        async with before(act) as (node, _), asyncio.timeout(PATIENCE):
+        async with proxy_with_backend(act) as (node, _), asyncio.timeout(PATIENCE):
             caller = await node.caller()
-            caller.writer.write(ask("canje", "b" * 16, "Content-Length: 0", budget="1000m"))
-            got = b""
-            while not got.endswith(b"\r\n0\r\n\r\n"):
+            caller.writer.write(request_head("canje", "b" * 16, "Content-Length: 0", budget="1000m"))
+            received = b""
+            while not received.endswith(b"\r\n0\r\n\r\n"):
                 chunk = await caller.reader.read(1 << 16)
-                assert chunk, "the answer was cut off"
-                got += chunk
-            assert got.count(b"a") >= 120_000
+                assert chunk, "the response was cut off"
+                received += chunk
+            assert received.count(b"a") >= 120_000
 
     run(test())
 
 
 @pytest.mark.parametrize("large", [False, True])
-def test_an_answer_that_never_ends_is_ended_visibly_when_its_caller_s_time_is_over(large: bool) -> None:
-    """Of a small answer the last byte is timed, so its deadline is its end; a large one may pause for 2 s."""
+def test_a_response_that_never_ends_is_broken_off_detectably(large: bool) -> None:
+    """A small response has to be complete by its deadline; a large one may pause for 2 s."""
 
     async def test() -> None:
         async def act(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -259,16 +261,16 @@
             writer.write(b"%x\r\n%b\r\n" % (size, b"a" * size))
             await reader.read()
 
-        async with before(act) as (node, _), asyncio.timeout(PATIENCE):
+        async with proxy_with_backend(act) as (node, _), asyncio.timeout(PATIENCE):
             caller = await node.caller()
-            began = asyncio.get_running_loop().time()
-            caller.writer.write(ask("canje", "b" * 16, "Content-Length: 0", budget="1000m"))
+            started_at = asyncio.get_running_loop().time()
+            caller.writer.write(request_head("canje", "b" * 16, "Content-Length: 0", budget="1000m"))
             assert b" 200 " in await caller.reader.readuntil(b"\r\n\r\n")
             rest = b""
             with contextlib.suppress(ConnectionError):
                 while chunk := await caller.reader.read(1 << 16):
                     rest += chunk
-            took = asyncio.get_running_loop().time() - began
+            took = asyncio.get_running_loop().time() - started_at
             assert b"aaa" in rest and not rest.endswith(b"0\r\n\r\n")
             assert took < (3.5 if large else 1.5)
             assert (await node.figures())["app.in_progress"] == 0
@@ -276,40 +278,40 @@
     run(test())
 
 
-@pytest.mark.parametrize("way", ["length", "chunked", "close"])
-def test_an_answer_that_breaks_off_is_passed_on_as_visibly_not_whole(way: str) -> None:
+@pytest.mark.parametrize("framing", ["length", "chunked", "close"])
+def test_a_response_that_breaks_off_reaches_the_client_detectably_incomplete(framing: str) -> None:
     async def test() -> None:
         async def act(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             start = {
                 "length": b"Content-Length: 300000\r\n\r\n",
                 "close": b"\r\n",
                 "chunked": b"Transfer-Encoding: chunked\r\n\r\n%x\r\n" % 300_000,
-            }[way]
+            }[framing]
             writer.write(b"HTTP/1.1 200 OK\r\n" + start + b"a" * 100_000)
             await writer.drain()
             await asyncio.sleep(0.2)
-            hard(writer)
+            reset_connection(writer)
 
-        async with before(act) as (node, raw):
+        async with proxy_with_backend(act) as (node, backend):
             caller = await node.caller()
-            caller.writer.write(ask("stock", "a" * 16))
+            caller.writer.write(request_head("stock", "a" * 16))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await read_answer(caller.reader)
-            found = await node.figures()
-            assert found["app.handled.stock.bad_gateway"] == 1 and found["app.in_progress"] == 0
-            assert len(raw.heads) == 1
+            figures = await node.figures()
+            assert figures["app.handled.stock.bad_gateway"] == 1 and figures["app.in_progress"] == 0
+            assert len(backend.heads) == 1
 
     run(test())
 
 
-def hard(writer: asyncio.StreamWriter) -> None:
-    """Ends the connection by a reset."""
+def reset_connection(writer: asyncio.StreamWriter) -> None:
+    """Reset the connection."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
-async def refuse_early(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def reject_early(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     await reader.readexactly(100_000)
     writer.write(b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
     await writer.drain()
@@ -328,15 +330,15 @@
     writer.transport.abort()
 
 
-@pytest.mark.parametrize(("act", "code"), [(refuse_early, 503), (serve_early, 200), (break_off, 503)])
-def test_an_answer_before_the_end_of_the_body_arrives(act: Act, code: int) -> None:
-    """The rest is read and dropped, since closing on unread bytes takes the answer with it."""
+@pytest.mark.parametrize(("act", "code"), [(reject_early, 503), (serve_early, 200), (break_off, 503)])
+def test_a_response_sent_before_the_end_of_the_request_body_arrives(act: Act, code: int) -> None:
+    """The rest of the body must be read and discarded: closing with unread bytes would lose the response."""
 
     async def test() -> None:
-        async with before(act) as (node, raw):
+        async with proxy_with_backend(act) as (node, backend):
             caller = await node.caller()
             size = 8 * MB
-            caller.writer.write(ask("canje", "a" * 16, f"Content-Length: {size}"))
+            caller.writer.write(request_head("canje", "a" * 16, f"Content-Length: {size}"))
 
             async def send() -> None:
                 for _ in range(size // 65_536):
@@ -344,12 +346,12 @@
                     await caller.writer.drain()
 
             sending = asyncio.create_task(send())
-            found, fields, _ = await read_answer(caller.reader)
-            assert found == code and fields[b"connection"] == b"close"
+            actual_code, fields, _ = await read_answer(caller.reader)
+            assert actual_code == code and fields[b"connection"] == b"close"
             async with asyncio.timeout(PATIENCE):
                 await sending
             assert await caller.ended()
-            assert len(raw.heads) == 1  # body bytes that are no longer held have gone out
+            assert len(backend.heads) == 1  # no retry, since body bytes were sent and no longer retained
             figures = await node.figures()
             ends = {name: n for name, n in figures.items() if "canje" in name and n}
             assert list(ends.values()) == [1] and figures["app.in_progress"] == 0
@@ -357,63 +359,65 @@
     run(test())
 
 
-def test_a_body_that_no_backend_has_taken_can_go_to_another() -> None:
+def test_a_body_that_no_backend_has_taken_can_be_sent_to_another() -> None:
     async def test() -> None:
-        raw = await Raw(echo).start()
+        backend = await RawBackend(echo).start()
         dead = Backend()
         await dead.start()
         assert dead.server is not None
         dead.server.close()
-        async with proxy({"s-1": dead, "s-2": cast(Backend, raw)}) as node:
+        async with proxy({"s-1": dead, "s-2": cast(Backend, backend)}) as node:
             for number in range(6):
                 caller = await node.caller()
                 body = pattern(MB, number)
-                caller.writer.write(ask("canje", f"{number:016x}", f"Content-Length: {MB}") + body)
-                code, _, came = await read_answer(caller.reader)
-                assert code == 200 and came == body
+                caller.writer.write(request_head("canje", f"{number:016x}", f"Content-Length: {MB}") + body)
+                code, _, echoed = await read_answer(caller.reader)
+                assert code == 200 and echoed == body
                 caller.writer.close()
 
     run(test())
 
 
-def test_a_body_at_64_kb_a_second_is_sound_and_its_time_begins_with_its_end() -> None:
+def test_a_body_at_64_kb_per_s_is_accepted_and_its_budget_runs_from_its_end() -> None:
     async def test() -> None:
-        async with before(echo) as (node, _):
+        async with proxy_with_backend(echo) as (node, _):
             caller = await node.caller()
             body = pattern(160_000)
-            caller.writer.write(ask("reserva", "a" * 16, f"Content-Length: {len(body)}", budget="1000m"))
+            caller.writer.write(
+                request_head("reserva", "a" * 16, f"Content-Length: {len(body)}", budget="1000m")
+            )
             for start in range(0, len(body), 8_000):
                 await asyncio.sleep(0.125)
                 caller.writer.write(body[start : start + 8_000])
-            code, _, came = await read_answer(caller.reader)
-            assert code == 200 and came == body
+            code, _, echoed = await read_answer(caller.reader)
+            assert code == 200 and echoed == body
 
     run(test())
 
 
 @pytest.mark.parametrize("sent", [0, 1000, 100_000])
-def test_a_body_that_stops_is_ended_within_three_seconds(sent: int) -> None:
+def test_a_connection_whose_body_stalls_is_closed_within_three_seconds(sent: int) -> None:
     async def test() -> None:
-        async with before(echo) as (node, _):
-            begun = time.monotonic()
+        async with proxy_with_backend(echo) as (node, _):
+            started_at = time.monotonic()
             caller = await node.caller()
-            caller.writer.write(ask("canje", "a" * 16, "Content-Length: 1000000") + bytes(sent))
+            caller.writer.write(request_head("canje", "a" * 16, "Content-Length: 1000000") + bytes(sent))
             assert await caller.ended()
-            assert time.monotonic() - begun < 3.0
+            assert time.monotonic() - started_at < 3.0
             assert (await node.figures())["app.in_progress"] == 0
 
     run(test())
 
 
 @pytest.mark.parametrize("when", ["sending", "reading"])
-def test_a_client_that_leaves_midway_ends_its_exchange(when: str) -> None:
+def test_a_client_that_disconnects_midway_ends_the_exchange_with_the_backend(when: str) -> None:
     async def test() -> None:
         ended = asyncio.Event()
 
         async def act(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
                 if when == "sending":
-                    await body_of(head, reader)
+                    await read_body(head, reader)
                 else:
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (64 * MB))
                     for _ in range(1024):
@@ -423,13 +427,13 @@
                 ended.set()
                 raise
 
-        async with before(act) as (node, _):
+        async with proxy_with_backend(act) as (node, _):
             caller = await node.caller()
             if when == "sending":
-                caller.writer.write(ask("canje", "a" * 16, f"Content-Length: {8 * MB}") + bytes(MB))
+                caller.writer.write(request_head("canje", "a" * 16, f"Content-Length: {8 * MB}") + bytes(MB))
                 await caller.writer.drain()
             else:
-                caller.writer.write(ask("stock", "a" * 16))
+                caller.writer.write(request_head("stock", "a" * 16))
                 await caller.reader.readexactly(MB)
             caller.writer.transport.abort()
             async with asyncio.timeout(PATIENCE):
@@ -440,13 +444,13 @@
     run(test())
 
 
-def memory(node: Proxy) -> int:
+def peak_memory(node: Proxy) -> int:
     with open(f"/proc/{node.process.pid}/status") as status:
         return next(int(line.split()[1]) * 1024 for line in status if line.startswith("VmHWM"))
 
 
-def test_thirty_bodies_of_32_mb_each_way_within_the_memory() -> None:
-    """Neither readers nor writers keep pace, so all that could pile up does."""
+def test_thirty_bodies_of_32_mb_stay_within_the_memory_budget() -> None:
+    """All streams run at once and neither readers nor writers keep pace, so that every buffer fills up."""
 
     async def test() -> None:
         size, streams = 32 * MB, 30
@@ -463,9 +467,11 @@
                     writer.write(bytes(1 << 18))
                     await writer.drain()
 
-        async def up(node: Proxy, number: int) -> int:
+        async def upload(node: Proxy, number: int) -> int:
             caller = await node.caller()
-            caller.writer.write(ask("canje", f"{number:016x}", f"Content-Length: {size}", budget="5900m"))
+            caller.writer.write(
+                request_head("canje", f"{number:016x}", f"Content-Length: {size}", budget="5900m")
+            )
             for _ in range(size >> 18):
                 caller.writer.write(bytes(1 << 18))
                 await caller.writer.drain()
@@ -473,9 +479,9 @@
             caller.writer.close()
             return code if body == b"%d" % size else 0
 
-        async def down(node: Proxy, number: int) -> int:
+        async def download(node: Proxy, number: int) -> int:
             caller = await node.caller()
-            caller.writer.write(ask("stock", f"{number:016x}", budget="5900m"))
+            caller.writer.write(request_head("stock", f"{number:016x}", budget="5900m"))
             head = await caller.reader.readuntil(b"\r\n\r\n")
             code = int(head.split(b" ")[1])
             left = size if code == 200 else 0
@@ -487,17 +493,17 @@
             caller.writer.close()
             return code
 
-        async with before(act, memory_mb=64) as (node, _):
-            before_it = memory(node)
-            ways = [up(node, n) if n % 2 else down(node, n) for n in range(streams)]
-            codes = await asyncio.gather(*ways)
+        async with proxy_with_backend(act, memory_mb=64) as (node, _):
+            initial_peak = peak_memory(node)
+            transfers = [upload(node, n) if n % 2 else download(node, n) for n in range(streams)]
+            codes = await asyncio.gather(*transfers)
             assert codes.count(200) + codes.count(503) == streams and codes.count(200) >= streams // 2
-            assert memory(node) - before_it < 16 * MB
+            assert peak_memory(node) - initial_peak < 16 * MB
 
     run(test())
 
 
-def test_a_slow_reader_holds_up_its_own_backend_alone() -> None:
+def test_a_slow_reader_pauses_only_its_own_response() -> None:
     async def test() -> None:
         written = 0
 
@@ -512,17 +518,17 @@
                 await writer.drain()
                 written += 1 << 18
 
-        async with before(act) as (node, _):
+        async with proxy_with_backend(act) as (node, _):
             slow, quick = await node.caller(), await node.caller()
-            slow.writer.write(ask("stock", "a" * 16))
+            slow.writer.write(request_head("stock", "a" * 16))
             await slow.reader.readexactly(1000)
-            seen = -1
-            while seen != written:
-                seen = written
+            last_written = -1
+            while last_written != written:
+                last_written = written
                 await asyncio.sleep(0.3)
             assert written < 48 * MB
             for number in range(5):
-                quick.writer.write(ask("canje", f"{number:016x}", "Content-Length: 0"))
+                quick.writer.write(request_head("canje", f"{number:016x}", "Content-Length: 0"))
                 assert (await read_answer(quick.reader))[0] == 200
             left = 64 * MB - 1000
             async with asyncio.timeout(PATIENCE):
@@ -536,30 +542,32 @@
 
 def test_a_head_split_at_every_byte_and_requests_in_a_row() -> None:
     async def test() -> None:
-        async with before(echo) as (node, raw):
+        async with proxy_with_backend(echo) as (node, backend):
             caller = await node.caller()
-            whole = ask("canje", "a" * 16, "Content-Length: 5") + b"hello"
-            for byte in whole:
+            request = request_head("canje", "a" * 16, "Content-Length: 5") + b"hello"
+            for byte in request:
                 caller.writer.write(bytes([byte]))
                 await caller.writer.drain()
             assert (await read_answer(caller.reader))[2] == b"hello"
-            row = b"".join(
-                ask("canje", f"{n:016x}", f"Content-Length: {n * 50_000}") + pattern(n * 50_000)
+            pipelined = b"".join(
+                request_head("canje", f"{n:016x}", f"Content-Length: {n * 50_000}") + pattern(n * 50_000)
                 for n in range(5)
             )
-            caller.writer.write(row)
+            caller.writer.write(pipelined)
             for n in range(5):
                 assert (await read_answer(caller.reader))[2] == pattern(n * 50_000)
-            assert len(raw.heads) == 6
+            assert len(backend.heads) == 6
 
     run(test())
 
 
-def test_continue_is_said_before_the_body_and_head_has_no_body() -> None:
+def test_100_continue_precedes_the_body_and_a_head_response_has_no_body() -> None:
     async def test() -> None:
-        async with before(echo) as (node, _):
+        async with proxy_with_backend(echo) as (node, _):
             caller = await node.caller()
-            caller.writer.write(ask("canje", "a" * 16, "Content-Length: 200000", "Expect: 100-continue"))
+            caller.writer.write(
+                request_head("canje", "a" * 16, "Content-Length: 200000", "Expect: 100-continue")
+            )
             async with asyncio.timeout(PATIENCE):
                 assert b" 100 " in await caller.reader.readuntil(b"\r\n\r\n")
             caller.writer.write(bytes(200_000))
@@ -571,41 +579,41 @@
             code, _, body = await read_answer(caller.reader)
             assert (code, body) == (200, b"ok\n")
             caller.writer.write(
-                ask("stock", "b" * 16).replace(b"/stock", b"http://service.internal/stock?q=1")
+                request_head("stock", "b" * 16).replace(b"/stock", b"http://service.internal/stock?q=1")
             )
             assert (await read_answer(caller.reader))[0] == 200
 
     run(test())
 
 
-def test_spaces_around_a_header_s_value_are_none_of_it() -> None:
-    """A length that is not read leads to a body cut short at the backend."""
+def test_whitespace_around_a_header_value_is_ignored() -> None:
+    """If the length were not recognized, the backend would get a truncated body."""
 
     async def test() -> None:
         async def act(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            body = await body_of(head, reader)
+            body = await read_body(head, reader)
             spaced = b"HTTP/1.1 200 OK\r\nContent-Length:  %d \t\r\n\r\n" % len(body)
             writer.write(spaced + body)
 
-        async with before(act) as (node, raw):
+        async with proxy_with_backend(act) as (node, backend):
             caller = await node.caller()
             for size in (10, 100_000):
-                asked = ask("canje", f"{size:016x}", f"Content-Length: \t{size} ")
-                caller.writer.write(asked.replace(b"3000m\r\n", b"3000m \t\r\n") + pattern(size))
+                head = request_head("canje", f"{size:016x}", f"Content-Length: \t{size} ")
+                caller.writer.write(head.replace(b"3000m\r\n", b"3000m \t\r\n") + pattern(size))
                 code, _, body = await read_answer(caller.reader)
                 assert code == 200 and body == pattern(size)
-            assert b"content-length: 100000\r\n" in raw.heads[1]
+            assert b"content-length: 100000\r\n" in backend.heads[1]
 
     run(test())
 
 
-BOTH = "Content-Length: 5\r\nTransfer-Encoding: chunked"
+LENGTH_AND_CHUNKED = "Content-Length: 5\r\nTransfer-Encoding: chunked"
 
 
 @pytest.mark.parametrize(
     "fields",
     [
-        BOTH,
+        LENGTH_AND_CHUNKED,
         "Content-Length: 5\r\nContent-Length: 6",
         "Content-Length: 5, 5",
         "Content-Length: +5",
@@ -614,25 +622,25 @@
         "Content-Length: 99999999999",
     ],
 )
-def test_lengths_that_contradict_reach_nobody(fields: str) -> None:
+def test_requests_with_ambiguous_or_invalid_framing_reach_no_backend(fields: str) -> None:
     async def test() -> None:
-        async with before(echo) as (node, raw):
+        async with proxy_with_backend(echo) as (node, backend):
             caller = await node.caller()
-            smuggled = ask("canje", "b" * 16, "Content-Length: 0")
-            caller.writer.write(ask("canje", "a" * 16, fields) + b"0\r\n\r\n" + smuggled)
+            smuggled = request_head("canje", "b" * 16, "Content-Length: 0")
+            caller.writer.write(request_head("canje", "a" * 16, fields) + b"0\r\n\r\n" + smuggled)
             code, _, _ = await read_answer(caller.reader)
             assert 400 <= code < 500
-            assert await caller.ended() and raw.heads == []
+            assert await caller.ended() and backend.heads == []
 
     run(test())
 
 
-def test_headers_that_the_connection_names_are_not_passed_on() -> None:
+def test_headers_named_by_connection_are_not_forwarded() -> None:
     async def test() -> None:
-        async with before(echo) as (node, raw):
+        async with proxy_with_backend(echo) as (node, backend):
             caller = await node.caller()
             caller.writer.write(
-                ask(
+                request_head(
                     "canje",
                     "a" * 16,
                     "Connection: X-Hop, X-Call-Id",
@@ -642,7 +650,7 @@
                 )
             )
             assert (await read_answer(caller.reader))[0] == 200
-            assert b"x-hop" not in raw.heads[0] and b"x-far: 2" in raw.heads[0]
-            assert b"x-call-id: " + b"a" * 16 in raw.heads[0]
+            assert b"x-hop" not in backend.heads[0] and b"x-far: 2" in backend.heads[0]
+            assert b"x-call-id: " + b"a" * 16 in backend.heads[0]
 
     run(test())
