--- a/gladegw/net/driver.py
+++ b/gladegw/net/driver.py
@@ -1,8 +1,8 @@
 """Drives one Balancer: passes events in and executes the actions it returns.
 
-This is the only place that knows both the balancer and the sockets. It takes no decision on retries, server
-selection or queueing. It guarantees each request a response before the client's deadline, whatever the
-balancer does.
+This is the only module that knows both the balancer and the sockets. It makes no decision about retries,
+server selection or queueing. It guarantees that each request is answered before the client's deadline,
+whatever the balancer does.
 """
 
 from __future__ import annotations
@@ -31,22 +31,23 @@
 
 log = logging.getLogger(__name__)
 
-MIN_MARGIN_S = 0.02  # before the client's deadline
-MAX_MARGIN_S = 0.15  # s
-BALANCER_MARGIN_S = 0.02  # of the balancer's deadline before the proxy's own
-LAG_RETENTION = 0.995  # of the measured event loop lag, at each timer
-STALL_S = 0.003  # of a batch, or of a loop turn without one: the process stood still
-MAX_TURNS = 3  # that a timer waits for the sockets
-MAX_PROBES = 32  # at once
-PROBE_TIMEOUT_S = 0.2  # a later report is of no use
-LARGE_ANSWER_STALL_S = 2.0  # of a large response whose deadline has passed
-UNKNOWN_LENGTH_STALL_S = 1.0  # of a response of unknown length that is not large yet
-STREAM_CHECK_INTERVAL_S = 0.05  # between checks for progress
+MIN_MARGIN_S = 0.02  # the response is sent at least this long before the client's deadline
+MAX_MARGIN_S = 0.15  # limit of that margin when the event loop lags
+BALANCER_MARGIN_S = 0.02  # the balancer's deadline is this long before the proxy's own
+LAG_RETENTION = 0.995  # fraction of the measured event loop lag that is kept at each timer
+STALL_S = 0.003  # a batch, or a loop turn without one, that takes longer means that the process stalled
+MAX_TIMER_TURNS = 3  # loop turns by which a timer is delayed at most so that sockets are read first
+MAX_PROBES = 32  # in flight at once
+PROBE_TIMEOUT_S = 0.2  # a later load report is of no use
+# After its deadline, a streamed response is aborted once it has made no progress for this long.
+LARGE_RESPONSE_STALL_S = 2.0
+UNKNOWN_LENGTH_STALL_S = 1.0  # while a response of unknown length is not large yet
+STREAM_CHECK_INTERVAL_S = 0.05  # between checks for progress after the deadline
 DROPPED_HEADERS = HOP_BY_HOP | {b"x-load-report", b"x-rejected"}
 
 
 class EndpointSource(Protocol):
-    """Source of a pool's endpoint lists that replaces a discovery client of its own."""
+    """Source of a pool's endpoint lists, used in place of the pool's own discovery client."""
 
     def watch(self, on: bool) -> None:
         """Start or stop watching for changes."""
@@ -73,16 +74,16 @@
         self.balancer = Balancer(self.settings, config.seed ^ zlib.crc32(pool.encode()))
         self.shared = shared or SharedResources(config)
         self.upstreams, self.ids = self.shared.upstreams, self.shared.ids
-        self.retired = False  # replaced by a newer one, idle once nothing of it is open
-        self.deferred_timers: list[int] = []  # timers that expired meanwhile
+        self.retired = False  # replaced by a newer driver; idle once its last request has ended
+        self.deferred_timers: list[int] = []  # tokens of timers that expired while it was retired and idle
         self.calls: dict[int, PendingRequest] = {}
-        self.in_flight: dict[int, Exchange] = {}  # attempts by request, also of disconnected clients
-        self.ended: dict[int, int] = {}  # attempts of requests that ended since the balancer was last called
+        self.in_flight: dict[int, Exchange] = {}  # attempts by request number, even if the client has left
+        self.ended: dict[int, int] = {}  # attempt counts of requests whose end the balancer has not seen yet
         self.probes = 0
         self.events: list[api.Event] = []
-        self.flush_at: asyncio.Handle | None = None
-        self.flushed = 0.0
-        self.lag = 0.0  # s, recent delay of this event loop
+        self.flush_handle: asyncio.Handle | None = None
+        self.flushed_at = 0.0
+        self.lag = 0.0  # s, recent maximum delay of this event loop's timers
         self.on_empty: Callable[[], None] | None = None
         self.action_handlers: dict[type, Callable[[Any], None]] = {
             api.Send: self._send,
@@ -94,21 +95,21 @@
             api.CloseIdle: self._close_idle,
             api.Watch: lambda action: self.endpoint_source.watch(action.on),
             api.Fetch: lambda action: self.endpoint_source.fetch(),
-            api.Log: lambda action: log.info("module: %s", action.text),
+            api.Log: lambda action: log.info("balancer: %s", action.text),
             api.SendToPeer: lambda action: None,  # proxies do not communicate
         }
-        self.endpoint_source: EndpointSource = endpoint_source or self._own_feed()
+        self.endpoint_source: EndpointSource = endpoint_source or self._create_discovery()
         if capture is not None:
             self.balancer.observer = capture.on_decision
 
-    def _own_feed(self) -> Discovery:
-        """Create the discovery client and apply the list that the configuration holds."""
+    def _create_discovery(self) -> Discovery:
+        """Create the discovery client and apply the endpoint list of the configuration."""
         config, inventory = self.config, EndpointInventory()
         known = self.known_list(config, inventory)
         version = known.version if config.known else None
-        within = config.settings.max_poll_gap
+        max_poll_gap = config.settings.max_poll_gap
         self.discovery = Discovery(
-            config.discovery, version, within, self._on_list, self.list_failed, inventory
+            config.discovery, version, max_poll_gap, self._on_list, self.list_failed, inventory
         )
         self.upstreams.apply(known)
         if self.capture is not None:
@@ -118,7 +119,7 @@
 
     @staticmethod
     def known_list(config: Config, inventory: EndpointInventory) -> Listing:
-        """The list that the configuration holds.
+        """The endpoint list of the configuration.
 
         Raises ConfigError.
         """
@@ -130,9 +131,8 @@
     def start(self) -> None:
         """Start to process events."""
         if not self.settings.polls_endpoints:
-            self.endpoint_source.watch(
-                True
-            )  # lists count as pushed from the first moment, and the module asks for none
+            # Lists count as pushed from the start, and the balancer requests none.
+            self.endpoint_source.watch(True)
         self._flush()
 
     def stop(self) -> None:
@@ -141,21 +141,21 @@
 
     # events
     def _push(self, event: api.Event) -> None:
-        """Queue an event; the balancer is called at most once in a quantum."""
+        """Queue an event; the balancer is called at most once per quantum."""
         self.events.append(event)
-        if self.flush_at is None:
-            wait = self.flushed + self.settings.quantum - time.monotonic()
+        if self.flush_handle is None:
+            wait = self.flushed_at + self.settings.quantum - time.monotonic()
             if wait > 0:
-                self.flush_at = self.loop.call_later(wait, self._flush)
+                self.flush_handle = self.loop.call_later(wait, self._flush)
             else:
-                self.flush_at = self.loop.call_soon(self._flush)
+                self.flush_handle = self.loop.call_soon(self._flush)
 
     def _flush(self) -> None:
         """Pass the queued events to the balancer and execute its actions."""
-        self.flush_at = None
-        now = self.flushed = time.monotonic()
+        self.flush_handle = None
+        now = self.flushed_at = time.monotonic()
         events, self.events = self.events, []
-        ended = list(self.ended)  # unknown to the balancer before this batch
+        ended = list(self.ended)  # their end is reported to the balancer by this batch
         try:
             actions = self.balancer.handle(now, events)
         except Exception:
@@ -165,10 +165,10 @@
             try:
                 self.action_handlers[type(action)](action)
             except Exception:
-                log.exception("an action failed: %s", action)
+                log.exception("could not execute a balancer action: %s", action)
                 number = getattr(action, "call", None)
                 if number is not None:
-                    self._give_up(number)
+                    self._fail_internally(number)
         for number in ended:
             del self.ended[number]
         stalled = time.monotonic() - now
@@ -176,19 +176,19 @@
             self._push(api.Stalled(stalled))
 
     def _recover(self, events: list[api.Event]) -> None:
-        """Handle an exception of the balancer: fail the requests of the batch and repeat its timers."""
-        log.exception("the module failed on %d events", len(events))
+        """Handle an exception of the balancer: fail the requests of the batch and restart its timers."""
+        log.exception("the balancer failed on a batch of %d events", len(events))
         for event in events:
             if isinstance(event, api.Arrival | api.Outcome):
-                self._give_up(event.call)
+                self._fail_internally(event.call)
             elif isinstance(event, api.Timer):
                 self._set_timer(api.SetTimer(0.05, event.token))
 
-    def _give_up(self, number: int) -> None:
+    def _fail_internally(self, number: int) -> None:
         """Fail one request with an internal error."""
         call = self.calls.get(number)
         if call is not None:
-            self._close(call, 502, (), b"internal error\n")
+            self._respond(call, 502, (), b"internal error\n")
             self._push(api.ClientDisconnected(number))
 
     @staticmethod
@@ -206,15 +206,15 @@
         self._push(self._server_list(listing, kind))
 
     def list_failed(self, failure: api.DiscoveryFailure) -> None:
-        """A discovery call failed."""
+        """Report a failed discovery call to the balancer."""
         self._push(api.ServerList(api.ListKind.FAILED, failure=failure))
 
     def on_discovery_address_change(self) -> None:
-        """A new configuration may contain another address of discovery."""
+        """Tell the balancer that a new configuration may contain another discovery address."""
         self._push(api.ServerList(api.ListKind.ADDRESS_CHANGED))
 
     def inherit_freshness(self, other: Driver) -> None:
-        """Take over the age of the endpoint list from the driver that served before."""
+        """Take over the age of the endpoint list from the previous driver."""
         self.balancer.freshness.inherit(other.balancer.freshness)
 
     def on_pool_members(
@@ -225,9 +225,9 @@
         current: bool,
         age: float = 0.0,
     ) -> None:
-        """Update the members of this pool, where another object calls discovery.
+        """Update the backends of this pool, whose endpoint source is shared.
 
-        `current`: the list was just received from discovery, which began to answer `age` seconds ago.
+        `current`: the list was just received from discovery, whose response began `age` seconds ago.
         """
         self._push(api.ServerList(kind, entries, version, current=current, age=age))
 
@@ -241,7 +241,7 @@
         return self.shared.backends({server.id for server in self.balancer.servers.avoided()})
 
     def on_request(self, request: Request, reply: ResponseSink) -> PendingRequest | None:
-        """Start handling a request; None if it was answered immediately."""
+        """Start to handle a request; returns None if it was answered immediately."""
         if request.id and request.id in self.ids:
             # An earlier request with this identifier is in flight, and both could run.
             reply.answer(409, (), b"this X-Call-Id is in use\n")
@@ -251,23 +251,23 @@
             return None
         while self.deferred_timers:
             self._push(api.Timer(self.deferred_timers.pop()))
-        self.shared.last_call += 1
-        number = self.shared.last_call
-        margin, limit = self._margin(), self._limit(request)
-        coming = request.upload is not None and not request.upload.complete
-        deadline = math.inf if coming else request.received_at + limit - margin
+        self.shared.last_call_number += 1
+        number = self.shared.last_call_number
+        margin, limit = self._margin(), self._allowed_time(request)
+        body_incomplete = request.upload is not None and not request.upload.complete
+        deadline = math.inf if body_incomplete else request.received_at + limit - margin
         call = PendingRequest(self, number, request, reply, deadline)
         self.calls[number] = call
         if request.id:  # a mirrored copy has none
             self.ids.add(request.id)
         now = time.monotonic()
         left = request.budget - margin - BALANCER_MARGIN_S
-        waited = margin - MIN_MARGIN_S  # kept back for this process's own lag
-        if not coming:  # its deadline starts with its last byte
+        waited = margin - MIN_MARGIN_S  # the part of the margin that compensates for this process's lag
+        if not body_incomplete:  # otherwise the deadline starts with the last byte of the body
             call.timer = self.loop.call_later(max(0.0, deadline - now), self._on_deadline, call)
-            unread = max(0.0, now - request.received_at)
-            waited += unread
-            left -= unread
+            time_unread = max(0.0, now - request.received_at)
+            waited += time_unread
+            left -= time_unread
         arrival = api.Arrival(
             call=number,
             cls=request.cls,
@@ -290,13 +290,13 @@
     def _margin(self) -> float:
         """Seconds before the client's deadline by which the response is sent.
 
-        Time that the budget lost before the request was read is only visible as lag of the event loop.
+        The budget may have lost time before the request was read, which is only visible as event loop lag.
         """
         return min(MAX_MARGIN_S, MIN_MARGIN_S + 2 * self.lag)
 
     @staticmethod
-    def _limit(request: Request) -> float:
-        """Seconds that the client, or the request's route, allows from its last byte on."""
+    def _allowed_time(request: Request) -> float:
+        """Seconds that the client or the request's route allows, counted from the request's last byte."""
         routed = request.routed
         allowed = routed.timeout if routed is not None and routed.timeout else request.budget
         return min(request.budget, allowed)
@@ -305,7 +305,7 @@
         """Start the deadline of a request whose streamed body is complete."""
         if not call.open:
             return
-        call.deadline = call.request.received_at + self._limit(call.request) - self._margin()
+        call.deadline = call.request.received_at + self._allowed_time(call.request) - self._margin()
         if call.streaming:
             if call.exchange is not None:
                 self._watch_stream(call, call.exchange)
@@ -317,35 +317,36 @@
         """Cancel the request of a client that disconnected."""
         if call.open:
             exchange = call.exchange
-            self._settle(call, None)
+            self._remove(call, None)
             self._push(api.ClientDisconnected(call.number))
             if exchange is not None and (call.streaming or exchange.uploading):
                 exchange.cancel()  # the balancer does not cancel once streaming has begun
 
-    def _on_deadline(self, call: PendingRequest, late: bool = False) -> None:
+    def _on_deadline(self, call: PendingRequest, sockets_read: bool = False) -> None:
         """Answer a request that the balancer did not answer in time.
 
-        503 if it provably never ran, else 504.
+        Status 503 if it certainly never ran, else 504. `sockets_read`: the sockets were read after the
+        deadline.
         """
         if not call.open:
             return
-        if not late and time.monotonic() > call.deadline + TIMER_LAG_S:
+        if not sockets_read and time.monotonic() > call.deadline + TIMER_LAG_S:
             # The process was stalled and timers run before sockets: the response may have arrived meanwhile.
             call.timer = self.loop.call_later(ONE_LOOP_TURN_S, self._on_deadline, call, True)
             return
-        harmless = not call.ran and (call.exchange is None or not call.exchange.sent)
+        never_ran = not call.ran and (call.exchange is None or not call.exchange.sent)
         exchange = call.exchange
-        self._close(call, 503 if harmless else 504, (), b"out of time\n")
+        self._respond(call, 503 if never_ran else 504, (), b"out of time\n")
         self._push(api.ClientDisconnected(call.number))
         if exchange is not None:
             exchange.end(api.Status.TIMEOUT if exchange.sent else api.Status.NOT_SENT)
 
-    def _close(self, call: PendingRequest, code: int, headers: Any, body: bytes) -> None:
-        """Send the final response and remove the request, so that there is no second one."""
-        self._settle(call, code)
+    def _respond(self, call: PendingRequest, code: int, headers: Any, body: bytes) -> None:
+        """Send the final response and remove the request, so that it gets no second response."""
+        self._remove(call, code)
         call.reply.answer(code, headers, body)
 
-    def _settle(self, call: PendingRequest, code: int | None) -> None:
+    def _remove(self, call: PendingRequest, code: int | None) -> None:
         """Remove the request; `code` is None if the client disconnected."""
         call.open = False
         if self.capture is not None:
@@ -364,7 +365,8 @@
         """Start an attempt."""
         call = self.calls.get(action.call)
         if call is None:
-            # It ended before the balancer was notified; every send needs an outcome, with its number.
+            # The request ended before the balancer was notified. Each Send action still needs an Outcome with
+            # the attempt's number.
             number = self.ended.get(action.call, 0)
             self.ended[action.call] = number + 1
             self._push(api.Outcome(action.call, number, action.server, api.Status.NOT_SENT, 0.0, True))
@@ -374,7 +376,7 @@
         upstream = self.upstreams.by_id.get(action.server)
         if upstream is None or not upstream.serving or call.exchange is not None:
             if call.exchange is not None:
-                log.error("call %d: a second attempt while one is out", call.number)
+                log.error("call %d: the balancer sent a second attempt while one is in flight", call.number)
             self._push(api.Outcome(call.number, number, action.server, api.Status.NOT_SENT, 0.0, False))
             return
         timeout = min(action.timeout, call.deadline - time.monotonic())
@@ -382,24 +384,33 @@
         start_before = time.monotonic() + action.start_within
 
         def may_start() -> bool:
-            """A slow connect may end when the repeat's window has passed, or its caller has left."""
+            """Whether the request may still be sent.
+
+            By the end of a slow connect, the retry's window may have passed or the client disconnected.
+            """
             in_time = time.monotonic() <= start_before
             return call.open and upstream.serving and in_time and not call.reply.hung_up()
 
-        def message() -> bytes:
-            """With the time that is left now: a connect has taken some of it."""
-            left = timeout if exchange.uploading else exchange.due - time.monotonic()
+        def request_bytes() -> bytes:
+            """The request with the time that remains now, after the connect."""
+            left = timeout if exchange.uploading else exchange.due_at - time.monotonic()
             budget = b"x-budget: %du\r\n\r\n" % max(1, int(left * 1e6))
             return request.head + request.framing() + budget + request.body
 
-        def done(exchange: Exchange) -> None:
+        def on_end(exchange: Exchange) -> None:
             self._on_attempt_end(call, number, action.server, exchange)
 
-        def begun(exchange: Exchange, length: int | None) -> bool:
-            return self._on_answer_start(call, number, action.server, exchange, length)
+        def on_streaming(exchange: Exchange, length: int | None) -> bool:
+            return self._on_response_start(call, number, action.server, exchange, length)
 
         exchange = Exchange(
-            upstream, message, max(0.0, timeout), may_start, done, self.shared.counters.on_attempt, begun
+            upstream,
+            request_bytes,
+            max(0.0, timeout),
+            may_start,
+            on_end,
+            self.shared.counters.on_attempt,
+            on_streaming,
         )
         if request.upload is not None:
             exchange.upload = request.upload
@@ -409,10 +420,10 @@
         call.exchange = self.in_flight[call.number] = exchange
         self.upstreams.start(exchange)
 
-    def _on_answer_start(
+    def _on_response_start(
         self, call: PendingRequest, number: int, server: int, exchange: Exchange, length: int | None
     ) -> bool:
-        """Start to stream a large response; False if nobody wants it."""
+        """Start to stream a response; False if its request has ended."""
         if not call.open:
             return False
         call.streaming = True
@@ -426,9 +437,9 @@
     def _watch_stream(self, call: PendingRequest, exchange: Exchange) -> None:
         """Enforce the deadline on a streamed response.
 
-        At its deadline the response must be complete or still moving: only the first bytes of a large
-        response have a time limit, and one of unknown length may become large. If it stalls, closing the
-        connection informs the client.
+        At its deadline the response must be complete or making progress: for a large response the deadline
+        applies only to its first bytes, and a response of unknown length may become large. If it stalls, the
+        connection is closed, which informs the client.
         """
         if call.timer is not None:
             call.timer.cancel()
@@ -436,9 +447,9 @@
             return
         now = time.monotonic()
         left = call.deadline - now
-        pause = LARGE_ANSWER_STALL_S if exchange.large else UNKNOWN_LENGTH_STALL_S
-        moves = exchange.paused or now < exchange.progressed_at + pause
-        if left <= 0 and not moves:
+        max_stall = LARGE_RESPONSE_STALL_S if exchange.large else UNKNOWN_LENGTH_STALL_S
+        progressing = exchange.paused or now < exchange.progressed_at + max_stall
+        if left <= 0 and not progressing:
             exchange.end(api.Status.TIMEOUT)
         else:
             call.timer = self.loop.call_later(
@@ -456,14 +467,14 @@
         if not call.open:
             self.ids.discard(call.request.id)
         elif call.streaming:
-            self._settle(call, 200 if status is api.Status.OK else 502)
+            self._remove(call, 200 if status is api.Status.OK else 502)
             if status is api.Status.OK:
                 call.reply.finish()
             else:
                 call.reply.abort()
         elif status is api.Status.OK:
             headers = [pair for pair in exchange.headers if pair[0] not in DROPPED_HEADERS]
-            self._close(call, 200, headers, exchange.body)
+            self._respond(call, 200, headers, exchange.body)
         report = None
         if self.settings.reports == "answer":
             for name, value in exchange.headers:
@@ -477,14 +488,14 @@
         """Answer a request that the balancer sheds."""
         call = self.calls.get(action.call)
         if call is not None:
-            advice = ((b"retry-after", b"%.3f" % action.retry_after),) if action.retry_after > 0 else ()
-            self._close(call, 503, advice, b"refused\n")
+            headers = ((b"retry-after", b"%.3f" % action.retry_after),) if action.retry_after > 0 else ()
+            self._respond(call, 503, headers, b"refused\n")
 
     def _fail(self, action: api.Fail) -> None:
-        """Answer a request that the balancer gives up."""
+        """Answer a request that the balancer has given up."""
         call = self.calls.get(action.call)
         if call is not None:
-            self._close(call, 502, (), b"failed\n")
+            self._respond(call, 502, (), b"failed\n")
 
     def _cancel(self, action: api.Cancel) -> None:
         """Cancel the attempt in flight."""
@@ -496,14 +507,15 @@
         """Send a probe to a backend."""
         upstream = self.upstreams.by_id.get(action.server)
         if upstream is None or not upstream.serving or self.probes >= MAX_PROBES:
-            self._push(api.ProbeResult(action.server, api.Status.REJECTED, 0.0))  # not the backend's fault
+            # Not sent, which is not the backend's fault.
+            self._push(api.ProbeResult(action.server, api.Status.REJECTED, 0.0))
             return
         self.probes += 1
         target = "/healthz" if self.settings.reports == "none" else "/load"
         host, port = upstream.address
         request = f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode()
 
-        def done(exchange: Exchange) -> None:
+        def on_end(exchange: Exchange) -> None:
             self.probes -= 1
             status = exchange.status
             assert status is not None
@@ -511,33 +523,36 @@
             if report is not None and self.capture is not None:
                 self.capture.on_load_report(action.server, exchange.body)
             if status is api.Status.NOT_SENT:
-                status = api.Status.REJECTED  # not probed, so nothing is known about its health
+                status = api.Status.REJECTED  # not probed, which says nothing about its health
             self._push(api.ProbeResult(action.server, status, exchange.elapsed, report))
 
-        probe = Exchange(upstream, lambda: request, PROBE_TIMEOUT_S, lambda: upstream.serving, done)
+        probe = Exchange(upstream, lambda: request, PROBE_TIMEOUT_S, lambda: upstream.serving, on_end)
         self.upstreams.start(probe)
 
     def _set_timer(self, action: api.SetTimer) -> None:
-        """Start a timer of the balancer; the last loop turn before it is for the sockets."""
+        """Start a timer of the balancer, early by one loop turn in which the sockets are read."""
         wait = max(0.0, action.delay - ONE_LOOP_TURN_S)
-        self.loop.call_later(wait, self._timer, time.monotonic() + wait, action.token)
+        self.loop.call_later(wait, self._on_timer, time.monotonic() + wait, action.token)
 
-    def _timer(self, due: float, token: int) -> None:
-        """Measure the event loop's lag and let the sockets be read before the timer is passed on.
+    def _on_timer(self, due: float, token: int) -> None:
+        """Measure the event loop's lag and have the sockets read before the timer is passed on.
 
-        Timers run before sockets. If the process stood still, answers that arrived meanwhile are unread, and
-        the balancer would take their waiting for the servers'.
+        Timers run before sockets. After a stall of the process, responses that arrived during it are still
+        unread, and the balancer would count the stall as latency of the servers.
         """
         self.lag = max(self.lag * LAG_RETENTION, time.monotonic() - due)
-        self._read_sockets(token, MAX_TURNS)
+        self._read_sockets(token, MAX_TIMER_TURNS)
 
     def _read_sockets(self, token: int, turns: int) -> None:
-        """Pass on a timer after a loop turn without a stall, at the latest after `turns` of them."""
+        """Pass on a timer after a loop turn without a stall, or after `turns` loop turns at the latest."""
         self.loop.call_later(ONE_LOOP_TURN_S, self._on_turn, time.monotonic(), token, turns)
 
-    def _on_turn(self, begun: float, token: int, turns: int) -> None:
-        """Pass on a timer unless the process stood still in the last turn; deferred while unused."""
-        if turns > 1 and time.monotonic() - begun > STALL_S:
+    def _on_turn(self, began_at: float, token: int, turns: int) -> None:
+        """Pass on a timer unless the process stalled in the last turn.
+
+        While the driver is retired and has no open requests, the timer is deferred.
+        """
+        if turns > 1 and time.monotonic() - began_at > STALL_S:
             self._read_sockets(token, turns - 1)
         elif self.retired and not (self.calls or self.in_flight):
             self.deferred_timers.append(token)
--- a/gladegw/net/load_reports.py
+++ b/gladegw/net/load_reports.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+# The balancer's names of the fields that backends report.
 REPORT_FIELDS = {
     "inflight": "busy_reqs",
     "queue": "pending",
@@ -22,9 +23,9 @@
         for pair in text.decode("ascii").strip().split(","):
             name, _, value = pair.partition("=")
             name = REPORT_FIELDS.get(name.strip(), name.strip())
-            figure = float(value)
-            if figure - figure == 0.0:
-                report[name] = figure
+            number = float(value)
+            if number - number == 0.0:  # finite
+                report[name] = number
     except ValueError:
         return None
     return report or None
--- a/gladegw/net/serve.py
+++ b/gladegw/net/serve.py
@@ -129,7 +129,7 @@
 
     async def both_responded() -> None:
         await driver.discovery.list_received.wait()
-        while not driver.shared.upstreams.list_received:
+        while not driver.shared.upstreams.any_received:
             await asyncio.sleep(POLL_INTERVAL_S)
 
     driver.discovery.fetch()
--- a/gladegw/net/shared_resources.py
+++ b/gladegw/net/shared_resources.py
@@ -22,7 +22,7 @@
 
 
 class PendingRequest:
-    """An accepted request whose response is pending."""
+    """An accepted request that has not been answered completely."""
 
     __slots__ = (
         "attempts",
@@ -45,7 +45,7 @@
         self.number, self.request, self.reply, self.deadline = number, request, reply, deadline
         self.open = True
         self.attempts = 0
-        self.ran = False  # some attempt may have run
+        self.ran = False  # a backend may have run it
         self.streaming = False  # a part of the response was sent
         self.exchange: Exchange | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -69,11 +69,11 @@
         self.counters = RequestCounters(cls.name for cls in settings.classes)
         self.scratch = memoryview(bytearray(chunk_bytes(config.memory, self.budget.clients)))
         self.upstreams.scratch = self.scratch
-        self.ids: set[bytes] = set()  # of open requests, and of attempts in flight
-        self.last_call = 0
+        self.ids: set[bytes] = set()  # identifiers of open requests and of attempts in flight
+        self.last_call_number = 0
 
     def listed(self) -> list[tuple[int, bool]]:
-        """Backends by number, and whether each receives requests; called from the fleet member's thread."""
+        """Each backend's number and whether it receives requests; called from the fleet member's thread."""
         return [(server, upstream.serving) for server, upstream in list(self.upstreams.by_id.items())]
 
     def backends(self, avoided: AbstractSet[int]) -> BackendCounts:
--- a/gladegw/net/upstream/connections.py
+++ b/gladegw/net/upstream/connections.py
@@ -22,15 +22,22 @@
 
 log = logging.getLogger(__name__)
 
-MAX_HEAD_BYTES = 32 * 1024  # of a response's headers
-IDLE_FRACTION = 0.9  # of the settings' idle time after which this side closes first
-SWEEP_INTERVAL_S = 1.0  # s between looks for idle connections
-MIN_REST_S = 0.01  # no reuse so soon after a response: a faulty backend may send a second one
-REFUSED_FOR_S = 5.0  # s after a refused connection in which connections are used without a rest
-FLUSH_TIMEOUT_S = 0.05  # while a response of unknown length is buffered, so that it can be retried
+MAX_HEAD_BYTES = 32 * 1024  # limit of the header fields of one response
+# Fraction of the configured idle time after which the proxy closes an idle connection, so that it closes
+# before the backend does.
+IDLE_FRACTION = 0.9
+SWEEP_INTERVAL_S = 1.0  # between searches for connections that have been idle too long
+# Time after a response before its connection is reused. A faulty backend may send a second response, which
+# would be taken for the response to the next request.
+MIN_REUSE_DELAY_S = 0.01
+# Time after a failed connect during which idle connections are reused without that delay.
+REFUSAL_MEMORY_S = 5.0
+# A response of unknown length is buffered this long before it is streamed; until then the request can still
+# be retried.
+FLUSH_TIMEOUT_S = 0.05
 IDLE_SINCE = attrgetter("idle_since")
-# A connect that fails so has not left this machine: the backend is not at fault, and the next try may
-# succeed.
+# Connect errors raised by the local machine: no packet was sent, so the backend is not at fault and a retry
+# may succeed.
 LOCAL_FAULTS = frozenset(
     (
         errno.EADDRNOTAVAIL,
@@ -41,33 +48,33 @@
         errno.ENOMEM,
     )
 )
-CONNECT_RETRY_INTERVAL_S = 0.01  # s until it is tried again, within the time of a connect
-CHUNKED_BEGUN = -1  # the length of a response that declares none
+CONNECT_RETRY_INTERVAL_S = 0.01  # between retries after a local fault, within the connect timeout
+UNDECLARED_LENGTH = -1  # body length of a response without Content-Length
 
 
 class LocalFaultError(Exception):
-    """No connection was possible in time because of a fault of this machine."""
+    """Faults of the local machine prevented a connection until the connect timeout."""
 
 
 class UpstreamConnection(asyncio.BufferedProtocol):
     """One connection to a backend, which carries one exchange at a time."""
 
     __slots__ = (
-        "answer",
         "body",
+        "body_size",
         "broken",
         "exchange",
-        "flush_at",
+        "flush_timer",
         "head_size",
         "headers",
         "idle_since",
         "length",
         "parser",
-        "size",
-        "stopped",
+        "response",
         "transport",
         "until_close",
         "upstream",
+        "write_paused",
     )
 
     def __init__(self, upstream: Upstream) -> None:
@@ -77,29 +84,29 @@
         self.parser: Any = httptools.HttpResponseParser(self)
         self.headers: list[tuple[bytes, bytes]] = []
         self.body: list[bytes] = []
-        self.size = self.head_size = 0
-        self.length: int | None = None  # of the response body; None: unknown until its end
+        self.body_size = self.head_size = 0
+        self.length: int | None = None  # of the response body; None: not known
         self.until_close = False  # the response body ends with the connection
-        self.flush_at: asyncio.TimerHandle | None = None  # when a slow response is streamed
-        self.answer: tuple[Exchange, int, bytes, bool] | None = None  # complete, not delivered yet
+        self.flush_timer: asyncio.TimerHandle | None = None  # starts streaming a slow response
+        self.response: tuple[Exchange, int, bytes, bool] | None = None  # complete but not delivered yet
         self.broken = False
-        self.stopped = False  # the backend does not read at present
+        self.write_paused = False  # the write buffer is full
         self.idle_since = 0.0
 
     # transport callbacks
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Count the connection (called by the event loop)."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is another class
         self.transport.set_write_buffer_limits(high=len(self.upstream.owner.scratch))
-        self.upstream.owner.made += 1
+        self.upstream.owner.open_connections += 1
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Unregister the connection and end its exchange (called by the event loop)."""
         self.transport = None
-        self.upstream.lost(self)
-        self._no_flush()
+        self.upstream.unregister(self)
+        self._cancel_flush()
         if self.exchange is not None:
-            # The whole request may have left this process, so the backend may have run it: never a resend.
+            # The whole request may have been sent, so the backend may have run it: never resend it here.
             exchange, self.exchange = self.exchange, None
             exchange.connection = None
             exchange.end(Status.RESET)
@@ -113,14 +120,14 @@
 
     def pause_writing(self) -> None:
         """The write buffer is full: stop sending the request body."""
-        self.stopped = True
+        self.write_paused = True
 
     def resume_writing(self) -> None:
         """The write buffer has drained: continue to send the request body."""
-        self.stopped = False
+        self.write_paused = False
         if self.exchange is not None and self.exchange.uploading:
             self.exchange.progressed_at = time.monotonic()
-            self.more()
+            self.send_body()
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """The buffer that all upstream connections share."""
@@ -134,41 +141,41 @@
             return
         try:
             self.parser.feed_data(self.upstream.owner.scratch[:size])
-        except Exception as fault:  # garbage; it may still have run
+        except Exception as fault:  # malformed response; the request may still have run
             if self.exchange is not None:
-                log.warning("backend %s: malformed answer: %s", self.upstream.address, fault)
+                log.warning("backend %s: malformed response: %s", self.upstream.address, fault)
             self.broken = True
         self._deliver()
 
     def _deliver(self) -> None:
         """Pass a complete response to its exchange; after any irregularity the connection is not reused."""
-        if self.answer is not None:
-            (exchange, code, body, keep), self.answer = self.answer, None
+        if self.response is not None:
+            (exchange, code, body, keep), self.response = self.response, None
             headers, self.headers = self.headers, []
-            self._no_flush()
+            self._cancel_flush()
             if keep and not self.broken and exchange.request_complete:
                 self.exchange = None
-                self.hold(False)
+                self.set_read_paused(False)
                 self.upstream.return_idle(self)
             else:
                 self.abandon()
-            exchange.on_answer(code, headers, body)
+            exchange.on_response(code, headers, body)
         elif self.broken:
-            self._break()
+            self._fail_exchange()
 
     # parser callbacks
     def on_message_begin(self) -> None:
         """Check that this is the only response to the request (called by the parser)."""
-        if self.answer is not None:
-            raise ValueError("more than one answer to one request")
+        if self.response is not None:
+            raise ValueError("the backend sent more than one response to one request")
         self.until_close = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Append a header field (called by the parser)."""
         self.head_size += len(name) + len(value)
         if self.head_size > MAX_HEAD_BYTES:
-            raise ValueError("headers too large")
-        if not self.until_close and self.length != CHUNKED_BEGUN:
+            raise ValueError("response headers too large")
+        if not self.until_close and self.length != UNDECLARED_LENGTH:
             self.headers.append((name.lower(), value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:
@@ -180,10 +187,12 @@
         if code >= 200 and code not in (204, 304):
             self.until_close = self.length is None and b"transfer-encoding" not in headers
             if self.length is None:
-                self.length = CHUNKED_BEGUN
-                self.flush_at = self.upstream.owner.loop.call_later(FLUSH_TIMEOUT_S, self._pass_on, code)
+                self.length = UNDECLARED_LENGTH
+                self.flush_timer = self.upstream.owner.loop.call_later(
+                    FLUSH_TIMEOUT_S, self._start_streaming, code
+                )
             elif self.length > MAX_BUFFERED_BYTES:
-                self._pass_on(code)
+                self._start_streaming(code)
 
     def on_body(self, chunk: bytes) -> None:
         """Buffer or forward a part of the body (called by the parser)."""
@@ -194,45 +203,45 @@
             exchange.progressed_at = self.upstream.last_received_at
             exchange.forward(chunk)
             return
-        self.size += len(chunk)
+        self.body_size += len(chunk)
         self.body.append(chunk)
-        if self.size > MAX_BUFFERED_BYTES:
+        if self.body_size > MAX_BUFFERED_BYTES:
             code = self.parser.get_status_code()
-            self._pass_on(code)
+            self._start_streaming(code)
             if exchange.sink is None:
-                raise ValueError("nobody wants it" if code == 200 else "body too large")
+                raise ValueError("no receiver for a large body" if code == 200 else "response body too large")
 
-    def _pass_on(self, code: int) -> None:
-        """Stream the response from here on."""
+    def _start_streaming(self, code: int) -> None:
+        """Stream the response from now on, starting with its buffered bytes."""
         exchange = self.exchange
-        self._no_flush()
-        if exchange is None or exchange.sink is not None or self.answer is not None:
+        self._cancel_flush()
+        if exchange is None or exchange.sink is not None or self.response is not None:
             return
-        length = None if self.length == CHUNKED_BEGUN else self.length
-        if exchange.begin_answer(code, self.headers, length) and exchange.sink is not None:
+        length = None if self.length == UNDECLARED_LENGTH else self.length
+        if exchange.begin_response(code, self.headers, length) and exchange.sink is not None:
             body, self.body = self.body, []
             for chunk in body:
                 exchange.forward(chunk)
 
-    def _no_flush(self) -> None:
+    def _cancel_flush(self) -> None:
         """Cancel the timer that starts streaming."""
-        if self.flush_at is not None:
-            self.flush_at.cancel()
-            self.flush_at = None
+        if self.flush_timer is not None:
+            self.flush_timer.cancel()
+            self.flush_timer = None
 
     def on_message_complete(self) -> None:
         """Complete the response (called by the parser)."""
-        self._complete(self.parser.should_keep_alive())  # known only here
+        self._complete(self.parser.should_keep_alive())  # only known at the end of the response
 
     def _complete(self, keep_alive: bool) -> None:
         """Retain the complete response until `_deliver`; interim responses are ignored."""
         code = self.parser.get_status_code()
         body, self.body = b"".join(self.body), []
-        self.size, self.head_size, self.length = 0, 0, None
+        self.body_size, self.head_size, self.length = 0, 0, None
         if 100 <= code < 200 and code != 101:
             self.headers = []  # an interim response
         elif self.exchange is not None:
-            self.answer = self.exchange, code, body, keep_alive and code != 101
+            self.response = self.exchange, code, body, keep_alive and code != 101
 
     def begin(self, exchange: Exchange) -> None:
         """Write the exchange's request."""
@@ -242,17 +251,17 @@
         if exchange.upload is None:
             exchange.on_request_sent()
         else:
-            exchange.upload.reader = self.more
-            self.more()
+            exchange.upload.reader = self.send_body
+            self.send_body()
 
-    def more(self) -> None:
-        """Send buffered bytes of the request body as far as the backend takes them."""
+    def send_body(self) -> None:
+        """Send buffered bytes of the request body until the write buffer is full."""
         exchange = self.exchange
         if exchange is None or exchange.upload is None or exchange.request_complete:
             return
         upload = exchange.upload
         chunked = upload.length is None
-        while not self.stopped and self.transport is not None:
+        while not self.write_paused and self.transport is not None:
             chunk = upload.take()
             if chunk is None:
                 break
@@ -264,19 +273,20 @@
             exchange.on_request_sent()
 
     @property
-    def silent(self) -> bool:
-        """Whether the connection is open and nothing can be read from it.
+    def reusable(self) -> bool:
+        """Whether the connection is open and its socket has nothing to read.
 
-        Unsolicited bytes would be taken for the next response; otherwise it is the backend's close.
+        Unread bytes would be taken for the next response; a readable end of stream means that the backend
+        has closed.
         """
         if self.transport is None or self.transport.is_closing():
             return False
         return not has_unread(self.transport.get_extra_info("socket").fileno())
 
-    def hold(self, on: bool) -> None:
-        """Pause or resume reading, as the client does not read."""
+    def set_read_paused(self, paused: bool) -> None:
+        """Pause reading while the client does not read, or resume it."""
         if self.transport is not None and not self.transport.is_closing():
-            if on:
+            if paused:
                 self.transport.pause_reading()
             else:
                 self.transport.resume_reading()
@@ -284,17 +294,17 @@
     def abandon(self) -> None:
         """Abort the connection and detach its exchange."""
         self.exchange = None
-        self._no_flush()
-        self.upstream.forget(self)
+        self._cancel_flush()
+        self.upstream.remove_idle(self)
         if self.transport is not None:
             self.transport.abort()
 
-    def _break(self) -> None:
+    def _fail_exchange(self) -> None:
         """Abort the connection and fail its exchange after a malformed response."""
         exchange = self.exchange
         self.abandon()
         if exchange is not None:
-            # The backend did respond, so it is up: a reset would indicate a process that has died.
+            # The backend did respond, so it is up: a reset would mean that its process has died.
             exchange.connection = None
             exchange.end(Status.ERROR)
 
@@ -316,35 +326,36 @@
     def __init__(self, owner: UpstreamPool, address: Address, started_at: float, state: ServerState) -> None:
         self.owner, self.address, self.started_at, self.state = owner, address, started_at, state
         self.connections: set[UpstreamConnection] = set()
-        self.last_received_at = 0.0  # when it last sent anything
-        self.refused_at = -math.inf  # when a connection to it last did not come up
+        self.last_received_at = 0.0  # monotonic time of the last received bytes
+        self.refused_at = -math.inf  # monotonic time of the last failed connect
         self.idle: list[UpstreamConnection] = []
 
     @property
-    def refuses(self) -> bool:
-        """Whether it has recently refused a connection."""
-        return time.monotonic() < self.refused_at + REFUSED_FOR_S
+    def recently_refused(self) -> bool:
+        """Whether a connect to the backend has recently failed."""
+        return time.monotonic() < self.refused_at + REFUSAL_MEMORY_S
 
     @property
     def serving(self) -> bool:
-        """Whether it receives requests."""
+        """Whether the backend receives requests."""
         return self.state is ServerState.SERVING
 
-    def take_idle(self, rested: bool = True) -> UpstreamConnection | None:
+    def take_idle(self, after_delay: bool = True) -> UpstreamConnection | None:
         """Remove and return the most recently used idle connection, or None.
 
-        With `rested`, only those unused for MIN_REST_S. The others age and are closed.
+        With `after_delay`, only connections idle for at least MIN_REUSE_DELAY_S are considered. Those found
+        to be idle too long or not reusable are closed.
         """
         now = time.monotonic()
-        latest = now - MIN_REST_S if rested else now
-        place = bisect_right(self.idle, latest, key=IDLE_SINCE)  # they were put there one after another
-        while place:
-            place -= 1
-            connection = self.idle[place]
-            if connection.idle_since > now - self.owner.idle_for and connection.silent:
-                self.forget(connection)
+        latest = now - MIN_REUSE_DELAY_S if after_delay else now
+        position = bisect_right(self.idle, latest, key=IDLE_SINCE)  # sorted, since appended in order of time
+        while position:
+            position -= 1
+            connection = self.idle[position]
+            if connection.idle_since > now - self.owner.max_idle_s and connection.reusable:
+                self.remove_idle(connection)
                 return connection
-            connection.abandon()  # and is no longer at that place
+            connection.abandon()  # which also removes it from the list
         return None
 
     def return_idle(self, connection: UpstreamConnection) -> None:
@@ -354,20 +365,20 @@
             return
         connection.idle_since = time.monotonic()
         self.idle.append(connection)
-        self.owner.with_idle.add(self)
+        self.owner.upstreams_with_idle.add(self)
 
-    def forget(self, connection: UpstreamConnection) -> None:
+    def remove_idle(self, connection: UpstreamConnection) -> None:
         """Remove a connection from the idle ones."""
         if connection in self.idle:
             self.idle.remove(connection)
             if not self.idle:
-                self.owner.with_idle.discard(self)
+                self.owner.upstreams_with_idle.discard(self)
 
-    def lost(self, connection: UpstreamConnection) -> None:
+    def unregister(self, connection: UpstreamConnection) -> None:
         """Unregister a lost connection."""
-        self.forget(connection)
+        self.remove_idle(connection)
         self.connections.discard(connection)
-        self.owner.made -= 1
+        self.owner.open_connections -= 1
 
     def close_idle(self, unused_since: float = float("inf")) -> None:
         """Close connections that have been idle since `unused_since`, in seconds of the monotonic clock."""
@@ -377,31 +388,31 @@
     def renew(self) -> None:
         """Discard all connections, since another process has taken over the address."""
         self.close_idle()
-        self.connections.clear()  # those in use end with their exchange, in keep()
+        self.connections.clear()  # those in use are closed by return_idle() when their exchange ends
 
 
 class UpstreamPool:
-    """All backends, and the limit of connections to them."""
+    """All backends, and the limit on the number of connections to them."""
 
     def __init__(self, connect_timeout: float, conn_idle: float, max_connections: int) -> None:
         self.loop = asyncio.get_running_loop()
         self.connect_timeout = connect_timeout
-        self.idle_for = IDLE_FRACTION * conn_idle
+        self.max_idle_s = IDLE_FRACTION * conn_idle
         self.max_connections = max_connections
-        self.made = 0  # open connections
-        self.scratch = memoryview(bytearray(MAX_BUFFERED_BYTES))  # into which all connections read
+        self.open_connections = 0
+        self.scratch = memoryview(bytearray(MAX_BUFFERED_BYTES))  # read buffer that all connections share
         self.by_id: dict[int, Upstream] = {}
-        self.with_idle: set[Upstream] = set()  # a few of thousands
+        self.upstreams_with_idle: set[Upstream] = set()  # usually few of the thousands of backends
         self._connects: set[asyncio.Task[None]] = set()
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     @property
     def open(self) -> int:
-        """The number of descriptors in use or about to be."""
-        return self.made + len(self._connects)
+        """The number of descriptors in use by connections or connects in progress."""
+        return self.open_connections + len(self._connects)
 
     @property
-    def list_received(self) -> bool:
+    def any_received(self) -> bool:
         """Whether any backend has sent anything."""
         return any(upstream.last_received_at for upstream in self.by_id.values())
 
@@ -411,13 +422,13 @@
         return any(upstream.serving for upstream in list(self.by_id.values()))
 
     def apply(self, listing: Listing) -> None:
-        """Apply the updates of a list; only a complete list removes backends that it does not name."""
-        named = set()
+        """Apply an endpoint list; only a complete list removes the backends that are missing from it."""
+        listed_servers = set()
         for listed in listing.backends:
-            named.add(listed.entry.server)
+            listed_servers.add(listed.entry.server)
             self._add_backend(listed)
         if listing.complete:
-            for server in [server for server in self.by_id if server not in named]:
+            for server in [server for server in self.by_id if server not in listed_servers]:
                 self._drain_backend(server, ServerState.REMOVED)
 
     def _add_backend(self, listed: ListedBackend) -> None:
@@ -436,7 +447,7 @@
             self._drain_backend(entry.server, entry.state)
 
     def _drain_backend(self, server: int, state: ServerState) -> None:
-        """Send nothing more to a backend; open exchanges continue."""
+        """Stop sending requests to a backend; exchanges in flight continue."""
         upstream = self.by_id[server]
         upstream.state = state
         upstream.close_idle()
@@ -447,12 +458,13 @@
         """Start an exchange on an idle or a new connection."""
         upstream = exchange.upstream
         connection = upstream.take_idle()
-        if connection is None and (self.open >= self.max_connections or upstream.refuses):
-            connection = upstream.take_idle(rested=False)  # there will be no other
+        if connection is None and (self.open >= self.max_connections or upstream.recently_refused):
+            # A new connection is impossible or would probably fail.
+            connection = upstream.take_idle(after_delay=False)
         if connection is not None:
             exchange.start_on(connection)
-        elif self.open >= self.max_connections and not self._close_idlest():
-            exchange.end(Status.NOT_SENT)  # this proxy's own limit: no fault of the backend
+        elif self.open >= self.max_connections and not self._close_longest_idle():
+            exchange.end(Status.NOT_SENT)  # the proxy's own connection limit: not the backend's fault
         else:
             task = self.loop.create_task(self._connect(exchange, upstream))
             self._connects.add(task)
@@ -461,18 +473,18 @@
     async def _connect(self, exchange: Exchange, upstream: Upstream) -> None:
         """Open a connection and start the exchange on it."""
         connection = UpstreamConnection(upstream)
-        at, since = upstream.address, upstream.started_at
+        address, started_at = upstream.address, upstream.started_at
         try:
             async with asyncio.timeout(self.connect_timeout):
-                await self._connected(connection, at)
-            if (at, since) != (upstream.address, upstream.started_at):
-                raise ConnectionError("the backend is another one by now")
+                await self._open_connection(connection, address)
+            if (address, started_at) != (upstream.address, upstream.started_at):
+                raise ConnectionError("the backend was replaced during the connect")
             if connection.transport is None:
-                raise ConnectionError("lost as soon as made")
+                raise ConnectionError("the connection was closed immediately after it was established")
             upstream.connections.add(connection)
             exchange.start_on(connection)
         except LocalFaultError as fault:
-            log.warning("backend %s: no connection could be made here: %s", at, fault)
+            log.warning("backend %s: connect failed because of a local fault: %s", address, fault)
             connection.abandon()
             exchange.end(Status.NOT_SENT)
         except (OSError, TimeoutError):
@@ -480,34 +492,35 @@
             connection.abandon()
             exchange.end(Status.CONNECT_FAILED)
         except Exception:
-            log.exception("backend %s: an attempt failed", at)
+            log.exception("backend %s: unexpected error when starting an exchange", address)
             connection.abandon()
             exchange.end(Status.RESET)
 
-    async def _connected(self, connection: UpstreamConnection, at: Address) -> None:
+    async def _open_connection(self, connection: UpstreamConnection, address: Address) -> None:
         """Establish the connection, retrying after local faults.
 
         Raises OSError, or LocalFaultError if local faults persist until the timeout.
         """
-        local: OSError | None = None
+        local_fault: OSError | None = None
         try:
             while True:
                 try:
-                    await self.loop.create_connection(lambda: connection, *at)
+                    await self.loop.create_connection(lambda: connection, *address)
                     return
                 except OSError as fault:
                     if fault.errno not in LOCAL_FAULTS:
                         raise
-                    local = fault
+                    local_fault = fault
                     await asyncio.sleep(CONNECT_RETRY_INTERVAL_S)
         except asyncio.CancelledError:
-            if local is not None and local.errno != errno.ENETUNREACH:  # which may tell of the backend, too
-                raise LocalFaultError(str(local)) from None
+            # ENETUNREACH may also be caused by the backend's network.
+            if local_fault is not None and local_fault.errno != errno.ENETUNREACH:
+                raise LocalFaultError(str(local_fault)) from None
             raise
 
-    def _close_idlest(self) -> bool:
+    def _close_longest_idle(self) -> bool:
         """Close the connection that has been idle longest; False if there is none."""
-        idle = [connection for upstream in self.with_idle for connection in upstream.idle[:1]]
+        idle = [connection for upstream in self.upstreams_with_idle for connection in upstream.idle[:1]]
         if not idle:
             return False
         min(idle, key=lambda c: c.idle_since).abandon()
@@ -515,7 +528,7 @@
 
     def _sweep(self) -> None:
         """Close connections that have been idle too long."""
-        oldest = time.monotonic() - self.idle_for
-        for upstream in list(self.with_idle):
+        oldest = time.monotonic() - self.max_idle_s
+        for upstream in list(self.upstreams_with_idle):
             upstream.close_idle(oldest)
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
--- a/gladegw/net/upstream/exchange.py
+++ b/gladegw/net/upstream/exchange.py
@@ -17,48 +17,49 @@
 
 log = logging.getLogger(__name__)
 
-TIMER_LAG_S = 0.01  # s of delay of a timer after which the sockets are looked at first
-ONE_LOOP_TURN_S = 0.001  # s; the loop reads its sockets before such a timer
-STREAM_STALL_S = 20.0  # s in which some bytes of a streamed message must move
+TIMER_LAG_S = 0.01  # a timer delayed by more lets the event loop read its sockets before it acts
+ONE_LOOP_TURN_S = 0.001  # delay of a timer that runs only after the loop has read its sockets
+STREAM_STALL_S = 20.0  # a streamed message that makes no progress for this long is aborted
 
 
-def _no_request() -> bytes:
-    """The request of an ended exchange."""
+def _empty_request() -> bytes:
+    """Replaces `request` once the exchange has ended."""
     return b""
 
 
-def _may_not_start() -> bool:
-    """Whether an ended exchange may start."""
+def _never_start() -> bool:
+    """Replaces `may_start` once the exchange has ended."""
     return False
 
 
-def _on_ended(exchange: Exchange) -> None:
-    """Handle a second end, which cannot come."""
+def _ignore_end(exchange: Exchange) -> None:
+    """Replaces `on_end` once the exchange has ended, so that it cannot be called twice."""
 
 
 class Exchange:
     """One request to one backend, from the decision to send until its single end.
 
     `may_start` is called right before the first byte is sent, also after a slow connect, since the request
-    may have ended or the backend begun to drain. Only then `request` is called for the bytes, which may
-    contain the remaining time. `written` is called when the last byte of the request is sent, `begun` when a
-    response is to be streamed (it sets `sink`, or returns False if nobody wants the response), and `done`
-    once, with `status` set.
+    may have ended or the backend begun to drain. `request` is called only then and returns the bytes to send,
+    which may contain the remaining time. `on_sent` is called when the last byte of the request is sent,
+    `on_streaming` when a response is to be streamed (it sets `sink`, or returns False if the response is not
+    wanted any more), and `on_end` exactly once, with `status` set.
     """
 
     __slots__ = (
-        "begun",
         "body",
         "code",
         "connection",
-        "done",
-        "due",
+        "due_at",
         "elapsed",
         "forwarded_bytes",
         "headers",
         "length",
         "loop",
         "may_start",
+        "on_end",
+        "on_sent",
+        "on_streaming",
         "paused",
         "progressed_at",
         "request",
@@ -71,7 +72,6 @@
         "timer",
         "upload",
         "upstream",
-        "written",
     )
 
     def __init__(
@@ -80,30 +80,31 @@
         request: Callable[[], bytes],
         timeout: float,
         may_start: Callable[[], bool],
-        done: Callable[[Exchange], None],
-        written: Callable[[], None] | None = None,
-        begun: Callable[[Exchange, int | None], bool] | None = None,
+        on_end: Callable[[Exchange], None],
+        on_sent: Callable[[], None] | None = None,
+        on_streaming: Callable[[Exchange, int | None], bool] | None = None,
     ) -> None:
         self.upstream, self.request, self.timeout = upstream, request, timeout
-        self.may_start, self.done, self.written, self.begun = may_start, done, written, begun
+        self.may_start, self.on_end = may_start, on_end
+        self.on_sent, self.on_streaming = on_sent, on_streaming
         self.loop = upstream.owner.loop
         self.started_at = time.monotonic()
         self.status: Status | None = None
-        self.elapsed = 0.0  # s: from the last byte of the request to the first of a large answer, or the end
-        self.sent = False  # some of the request has gone out
-        self.request_complete = False  # all of it has
-        self.upload: RequestBody | None = None  # the body that follows `request` while it comes
+        self.elapsed = 0.0  # s from the request's last byte to the start of a streamed response, or the end
+        self.sent = False  # at least a part of the request was written
+        self.request_complete = False  # the whole request was written
+        self.upload: RequestBody | None = None  # sent after `request`, as the client delivers it
         self.sink: Callable[[bytes], None] | None = None  # receives a streamed response
-        self.progressed_at = 0.0  # when bytes of a streamed message last moved
+        self.progressed_at = 0.0  # when a streamed message last made progress
         self.length: int | None = None  # of the response body, if known
-        self.forwarded_bytes = 0  # bytes of that body that have gone to the sink
-        self.paused = False  # the client does not read at present
+        self.forwarded_bytes = 0  # body bytes passed to the sink
+        self.paused = False  # reading is paused since the client does not read
         self.connection: UpstreamConnection | None = None
         self.code = 0
         self.headers: list[tuple[bytes, bytes]] = []
         self.body = b""
-        self.due = self.started_at + timeout
-        self.timer = self.loop.call_later(timeout, self._out_of_time)
+        self.due_at = self.started_at + timeout
+        self.timer = self.loop.call_later(timeout, self._on_timeout)
 
     @property
     def uploading(self) -> bool:
@@ -118,7 +119,7 @@
         if self.status is not None:
             return
         if status in (Status.RESET, Status.TIMEOUT) and self.uploading:
-            status = Status.CONNECT_FAILED  # no backend starts a request whose last byte it has not got
+            status = Status.CONNECT_FAILED  # no backend runs a request that it has not received completely
         self.status = status
         if self.sink is None:
             self.elapsed = time.monotonic() - self.started_at
@@ -129,49 +130,51 @@
         if connection is not None:
             connection.abandon()
         try:
-            self.done(self)
-        except Exception:  # one call's fault must not end the callbacks of a connection
-            log.exception("the end of an exchange failed")
+            self.on_end(self)
+        except Exception:  # must not interrupt the connection's own processing
+            log.exception("the callback for the end of an exchange failed")
         self._release_callbacks()
 
     def _release_callbacks(self) -> None:
         """Drop the callbacks of an ended exchange.
 
-        They refer to it, and a cycle would remain until the garbage collector stops the process to find it.
+        They refer to the exchange: only the garbage collector, which stops the process, would free the cycle.
         """
-        self.request, self.may_start, self.done = _no_request, _may_not_start, _on_ended
-        self.begun = self.written = None
+        self.request, self.may_start, self.on_end = _empty_request, _never_start, _ignore_end
+        self.on_streaming = self.on_sent = None
 
     def cancel(self) -> None:
         """End the exchange because its response is not needed any more."""
         self.end(Status.CANCELLED if self.sent else Status.NOT_SENT)
 
-    def _out_of_time(self) -> None:
-        """Handle the timeout, also that of a stalled stream."""
+    def _on_timeout(self) -> None:
+        """End the exchange at its timeout, or check a stream for progress."""
         now = time.monotonic()
         if self.sent and (self.sink is not None or self.uploading):
             self._check_stream(now)
             return
-        if now > self.due + TIMER_LAG_S:
+        if now > self.due_at + TIMER_LAG_S:
             # The process was stalled and timers run before sockets: the response may already have arrived.
-            self.due = math.inf
-            self.timer = self.loop.call_later(ONE_LOOP_TURN_S, self._out_of_time)
+            self.due_at = math.inf
+            self.timer = self.loop.call_later(ONE_LOOP_TURN_S, self._on_timeout)
             return
         if self.sent and self.upstream.last_received_at < self.started_at:
-            # The backend said nothing to anyone meanwhile. A machine that vanished leaves its connections
-            # open and silent; when it is back, each would cost one more call or probe to find out.
+            # The backend has sent nothing on any connection since this exchange began. A machine that has
+            # disappeared leaves its connections open; once it is back, each of them would make one more call
+            # or probe time out.
             self.upstream.close_idle(self.started_at)
         self.end(Status.TIMEOUT if self.sent else Status.NOT_SENT)
 
     def _check_stream(self, now: float) -> None:
         """End a stalled stream.
 
-        A stream has no time limit while bytes move; the downstream side limits the time of a client.
+        A stream has no time limit while it makes progress; the downstream side limits the time that a client
+        may take.
         """
         upload = self.upload
-        waits_for_caller = self.uploading and upload is not None and not upload.waiting
-        if waits_for_caller or now < self.progressed_at + STREAM_STALL_S:
-            self.timer = self.loop.call_later(STREAM_STALL_S / 4, self._out_of_time)
+        waits_for_client = self.uploading and upload is not None and not upload.waiting
+        if waits_for_client or now < self.progressed_at + STREAM_STALL_S:
+            self.timer = self.loop.call_later(STREAM_STALL_S / 4, self._on_timeout)
         else:
             self.end(Status.TIMEOUT)
 
@@ -187,31 +190,31 @@
         connection.begin(self)
 
     def on_request_sent(self) -> None:
-        """The last byte of the request was written."""
-        if self.upload is not None:  # its time begins here
+        """Note that the last byte of the request was written."""
+        if self.upload is not None:  # the timeout of a streamed upload starts at its end
             self.upload.reader = None
             self.started_at = time.monotonic()
-            self.due = self.started_at + self.timeout
+            self.due_at = self.started_at + self.timeout
             self.timer.cancel()
-            self.timer = self.loop.call_later(self.timeout, self._out_of_time)
+            self.timer = self.loop.call_later(self.timeout, self._on_timeout)
         self.request_complete = True
-        if self.written is not None:
-            self.written()
+        if self.on_sent is not None:
+            self.on_sent()
 
-    def begin_answer(self, code: int, headers: list[tuple[bytes, bytes]], length: int | None) -> bool:
-        """Whether the response is streamed from here on."""
-        if code != 200 or self.begun is None or self.status is not None:
+    def begin_response(self, code: int, headers: list[tuple[bytes, bytes]], length: int | None) -> bool:
+        """Start to stream the response if it can be streamed; returns whether it is."""
+        if code != 200 or self.on_streaming is None or self.status is not None:
             return False
         self.code, self.headers, self.length = code, headers, length
         self.elapsed = time.monotonic() - self.started_at
         self.timer.cancel()
         self.progressed_at = time.monotonic()
-        self.timer = self.loop.call_later(STREAM_STALL_S, self._out_of_time)
-        return self.begun(self, length)
+        self.timer = self.loop.call_later(STREAM_STALL_S, self._on_timeout)
+        return self.on_streaming(self, length)
 
     @property
     def large(self) -> bool:
-        """Whether the response is larger than what is buffered."""
+        """Whether the response is larger than the largest buffered one."""
         return max(self.length or 0, self.forwarded_bytes) > MAX_BUFFERED_BYTES
 
     def forward(self, chunk: bytes) -> None:
@@ -224,16 +227,16 @@
         """Stop reading the response, since the client does not read."""
         self.paused = True
         if self.connection is not None:
-            self.connection.hold(True)
+            self.connection.set_read_paused(True)
 
     def resume(self) -> None:
         """Continue to read the response."""
         self.paused = False
         self.progressed_at = time.monotonic()
         if self.connection is not None:
-            self.connection.hold(False)
+            self.connection.set_read_paused(False)
 
-    def on_answer(self, code: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+    def on_response(self, code: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         """End with a complete response."""
         self.connection = None
         self.code, self.headers, self.body = code, headers, body
--- a/tests/net/test_proxy.py
+++ b/tests/net/test_proxy.py
@@ -32,7 +32,7 @@
 from gladegw import Status
 from gladegw.net.config import address
 from gladegw.net.endpoint_lists import read_listing
-from gladegw.net.upstream.connections import MIN_REST_S, UpstreamPool
+from gladegw.net.upstream.connections import MIN_REUSE_DELAY_S, UpstreamPool
 from gladegw.net.upstream.exchange import Exchange
 
 
@@ -76,7 +76,7 @@
             caller = await node.caller()
             for number in range(5):
                 assert (await caller.call("canje", f"{number:016x}")).code == 200
-                await asyncio.sleep(2 * MIN_REST_S)  # none is used right after an answer
+                await asyncio.sleep(2 * MIN_REUSE_DELAY_S)  # none is used right after an answer
             numbers = {(await next_call(backend)).connection for _ in range(5)}
         assert len(numbers) == 1
 
--- a/tests/net/test_upstream_reuse.py
+++ b/tests/net/test_upstream_reuse.py
@@ -1,4 +1,4 @@
-"""Which kept connection to a backend carries the next request, and which one must not."""
+"""Which idle connections to a backend are reused for the next request, and which must not be."""
 
 from __future__ import annotations
 
@@ -12,22 +12,24 @@
 
 from gladegw.balancing.events import Status
 from gladegw.net.endpoint_lists import read_listing
-from gladegw.net.upstream.connections import MIN_REST_S, UpstreamPool
+from gladegw.net.upstream.connections import MIN_REUSE_DELAY_S, UpstreamPool
 from gladegw.net.upstream.exchange import Exchange
 
 REQUEST = b"GET /stock HTTP/1.1\r\nX-Call-Id: %d\r\n\r\n"
 
 
 class TwoRequests:
-    """One backend, and two requests to it, one after another, with something between them."""
+    """Sends two requests to one backend one after another, and runs a step between them."""
 
-    def __init__(self, backend: Backend, most_open: int = 10) -> None:
+    def __init__(self, backend: Backend, max_connections: int = 10) -> None:
         self.backend = backend
-        self.upstreams = UpstreamPool(connect_timeout=PATIENCE, conn_idle=PATIENCE, max_connections=most_open)
+        self.upstreams = UpstreamPool(
+            connect_timeout=PATIENCE, conn_idle=PATIENCE, max_connections=max_connections
+        )
         self.bodies: list[bytes] = []
         self.connections: list[int] = []
 
-    async def play(self, between: Callable[[UpstreamPool, Backend], None]) -> None:
+    async def send_both(self, between: Callable[[UpstreamPool, Backend], None]) -> None:
         await self.backend.start()
         self.upstreams.apply(read_listing(listing(1, endpoint("s-1", self.backend.address))))
         await self._send(0)
@@ -47,8 +49,8 @@
             self.connections.append((await self.backend.calls.get()).connection)
 
 
-def test_a_second_answer_that_comes_late_is_not_taken_for_that_of_the_next_request() -> None:
-    """The backend answers once more when the next request has come, on the connection of the first."""
+def test_a_late_second_response_is_not_taken_for_the_response_to_the_next_request() -> None:
+    """When the second request arrives, the backend sends a second response on the first one's connection."""
 
     async def test() -> None:
         first_writer: list[asyncio.StreamWriter] = []
@@ -59,54 +61,54 @@
             first_writer.append(writer)
             await serve_ok(seen, writer)
 
-        played = TwoRequests(Backend(behave))
-        await played.play(just_answered)
-        assert played.bodies == [b"done 0", b"done 1"]
+        requests = TwoRequests(Backend(behave))
+        await requests.send_both(restart_reuse_delay)
+        assert requests.bodies == [b"done 0", b"done 1"]
 
     run(test())
 
 
-def rest(upstreams: UpstreamPool, backend: Backend) -> None:
+def pass_reuse_delay(upstreams: UpstreamPool, backend: Backend) -> None:
     for upstream in upstreams.by_id.values():
         for connection in upstream.idle:
-            connection.idle_since -= MIN_REST_S
+            connection.idle_since -= MIN_REUSE_DELAY_S
 
 
-def send_half_a_line(upstreams: UpstreamPool, backend: Backend) -> None:
-    """It is in this side's kernel, and not read, when the next request is sent."""
-    rest(upstreams, backend)
+def send_unsolicited_bytes(upstreams: UpstreamPool, backend: Backend) -> None:
+    """The bytes are unread in the proxy side's socket when the next request is sent."""
+    pass_reuse_delay(upstreams, backend)
     os.write(backend.writers[0].get_extra_info("socket").fileno(), b"HTTP/1.1 2")
 
 
-def refuse_another(upstreams: UpstreamPool, backend: Backend) -> None:
-    just_answered(upstreams, backend)
+def fail_recent_connect(upstreams: UpstreamPool, backend: Backend) -> None:
+    restart_reuse_delay(upstreams, backend)
     for upstream in upstreams.by_id.values():
         upstream.refused_at = time.monotonic()
 
 
-def just_answered(upstreams: UpstreamPool, backend: Backend) -> None:
-    """However busy this machine is."""
+def restart_reuse_delay(upstreams: UpstreamPool, backend: Backend) -> None:
+    """Make the connections look just used, even if this machine is too busy for the next step."""
     for upstream in upstreams.by_id.values():
         for connection in upstream.idle:
             connection.idle_since = time.monotonic()
 
 
 @pytest.mark.parametrize(
-    ("between", "most_open", "used"),
+    ("between", "max_connections", "expected_connections"),
     [
-        (rest, 10, [1, 1]),
-        (just_answered, 10, [1, 2]),  # it has just answered
-        (just_answered, 1, [1, 1]),  # there may be no other
-        (refuse_another, 10, [1, 1]),
-        (send_half_a_line, 10, [1, 2]),
+        (pass_reuse_delay, 10, [1, 1]),
+        (restart_reuse_delay, 10, [1, 2]),  # the delay has not passed
+        (restart_reuse_delay, 1, [1, 1]),  # the connection limit allows no other
+        (fail_recent_connect, 10, [1, 1]),
+        (send_unsolicited_bytes, 10, [1, 2]),
     ],
 )
-def test_a_connection_is_used_again_when_it_has_rested_and_is_silent(
-    between: Callable[[UpstreamPool, Backend], None], most_open: int, used: list[int]
+def test_an_idle_connection_is_reused_after_a_delay_if_nothing_was_received_on_it(
+    between: Callable[[UpstreamPool, Backend], None], max_connections: int, expected_connections: list[int]
 ) -> None:
     async def test() -> None:
-        played = TwoRequests(Backend(), most_open)
-        await played.play(between)
-        assert played.connections == used
+        requests = TwoRequests(Backend(), max_connections)
+        await requests.send_both(between)
+        assert requests.connections == expected_connections
 
     run(test())
