--- a/tests/net/test_stalls.py
+++ b/tests/net/test_stalls.py
@@ -1,4 +1,4 @@
-"""A proxy that stood still for some milliseconds does not take that time for its backends'."""
+"""A proxy that stalls for some milliseconds does not attribute that time to its backends."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 from gladegw.net.request import Request
 
 
-class HeldBackend(ThreadedServer):
-    """A backend that answers once it is released, and the probes at once."""
+class DelayedBackend(ThreadedServer):
+    """A backend that answers a request only once it is released, and probes immediately."""
 
     def __init__(self) -> None:
         self.received, self.released, self.answered = (threading.Event() for _ in range(3))
@@ -53,7 +53,7 @@
         self.answered.set()
 
 
-class Reply:
+class RecordedReply:
     """Receives the response of a request that no client sent."""
 
     def __init__(self) -> None:
@@ -66,25 +66,25 @@
         self.code = code
 
     def begin(self, headers: Any, length: int | None, source: FlowControl) -> None:
-        raise AssertionError("the answer is short")
+        raise AssertionError("a short response must not be streamed")
 
     def send(self, chunk: bytes) -> None:
-        raise AssertionError("the answer is short")
+        raise AssertionError("a short response must not be streamed")
 
     def finish(self) -> None:
-        raise AssertionError("the answer is short")
+        raise AssertionError("a short response must not be streamed")
 
     abort = finish
 
 
-async def until(met: Callable[[], object]) -> None:
+async def until(condition: Callable[[], object]) -> None:
     async with asyncio.timeout(PATIENCE):
-        while not met():
+        while not condition():
             await asyncio.sleep(0.001)
 
 
-def test_what_a_lagging_loop_keeps_back_of_a_budget_is_told_as_time_spent_here(tmp_path: Path) -> None:
-    """Guards against refusing first attempts with idle servers: the lag made them look like retries."""
+def test_the_margin_for_event_loop_lag_is_reported_as_waiting_time(tmp_path: Path) -> None:
+    """Guards against shedding first attempts while servers are idle: the lag made them look like retries."""
     path = tmp_path / "config.json"
     known = listing(1, endpoint("s-1", "127.0.0.1:1"))
     path.write_text(json.dumps(config("127.0.0.1:1", known, "127.0.0.1:2", quantum=0.0)))
@@ -101,19 +101,19 @@
         for number, driver.lag in enumerate((0.0, MAX_MARGIN_S)):
             head = b"GET /stock HTTP/1.1\r\nX-Call-Id: %d\r\n" % number
             request = Request(b"%d" % number, "stock", 1.0, "", "", 0.0, False, head, time.monotonic(), True)
-            driver.on_request(request, Reply())
+            driver.on_request(request, RecordedReply())
         await until(lambda: len(arrivals) == 2)
 
     asyncio.Runner(loop_factory=uvloop.new_event_loop).run(test())
     without_lag, with_lag = arrivals
     assert with_lag.budget < without_lag.budget
-    sent = [arrival.budget + arrival.waited for arrival in arrivals]
-    assert abs(sent[0] - sent[1]) < CONTROL_STEP_S, arrivals
+    budgets_sent = [arrival.budget + arrival.waited for arrival in arrivals]
+    assert abs(budgets_sent[0] - budgets_sent[1]) < CONTROL_STEP_S, arrivals
 
 
-def test_after_a_stall_answers_are_read_before_the_decisions_look_at_ages(tmp_path: Path) -> None:
-    """Guards against shedding with idle servers: an answer that waited unread counted as a hung server's."""
-    backend = HeldBackend()
+def test_after_a_stall_responses_are_read_before_timers_reach_the_balancer(tmp_path: Path) -> None:
+    """Guards against shedding while servers are idle: an unread response counted as a hung server."""
+    backend = DelayedBackend()
     path = tmp_path / "config.json"
     known = listing(1, endpoint("s-1", "{}:{}".format(*backend.address)))
     path.write_text(json.dumps(config("127.0.0.1:1", known, "127.0.0.1:2", quantum=0.0)))
@@ -129,7 +129,7 @@
 
         driver.balancer.handle = recorded  # type: ignore[method-assign]
         driver.start()
-        reply, head = Reply(), b"GET /stock HTTP/1.1\r\nX-Call-Id: 1\r\n"
+        reply, head = RecordedReply(), b"GET /stock HTTP/1.1\r\nX-Call-Id: 1\r\n"
         request = Request(b"1", "stock", 1.0, "", "", 0.0, False, head, time.monotonic(), True)
         driver.on_request(request, reply)
         await until(backend.received.is_set)
@@ -142,9 +142,8 @@
             time.sleep(2 * CONTROL_STEP_S)
             batches.clear()
 
-        driver.loop.add_reader(
-            stalled, stall
-        )  # in the loop's turn for sockets, behind which timers come first
+        # The stall is in the loop's socket phase, after which timers run first.
+        driver.loop.add_reader(stalled, stall)
         trigger.send(b"x")
         await until(lambda: reply.code)
         await until(lambda: any(Timer in batch for batch in batches))
@@ -153,22 +152,22 @@
         stalled.close()
 
     asyncio.Runner(loop_factory=uvloop.new_event_loop).run(test())
-    with_outcome = next(number for number, batch in enumerate(batches) if Outcome in batch)
-    with_timer = next(number for number, batch in enumerate(batches) if Timer in batch)
-    assert with_outcome <= with_timer, batches
+    outcome_batch = next(number for number, batch in enumerate(batches) if Outcome in batch)
+    timer_batch = next(number for number, batch in enumerate(batches) if Timer in batch)
+    assert outcome_batch <= timer_batch, batches
 
 
-async def fail(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def serve_error(seen: Seen, writer: asyncio.StreamWriter) -> None:
     writer.write(response(500))
 
 
-async def stream(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def serve_large(seen: Seen, writer: asyncio.StreamWriter) -> None:
     writer.write(response(200, bytes(200_000)))
 
 
-@pytest.mark.parametrize("behave", [serve_ok, fail, stream])
+@pytest.mark.parametrize("behave", [serve_ok, serve_error, serve_large])
 def test_requests_leave_no_reference_cycles(behave: Behaviour) -> None:
-    """Guards against the garbage collector stopping the process for 20 ms and more to free ended requests."""
+    """Guards against garbage collections of 20 ms and more, which stop the process to free ended requests."""
     requests = 400
 
     async def test() -> None:
@@ -176,13 +175,13 @@
         probe = ("tests.support.garbage_probe",)
         async with proxy(backends, program=probe, quantum=0.0) as node:
             caller = await node.caller()
-            found = 0
+            garbage = 0
             for number in range(requests + 1):
-                if number == 1:  # what the first request loads is not counted
+                if number == 1:  # objects created once by the first request are not counted
                     await node.line("garbage=")
                 await caller.call("stock", f"{number:016x}")
             for _ in range(3):
-                found += int((await node.line("garbage=")).partition("=")[2])
-        assert found < requests, found  # not one object for each request
+                garbage += int((await node.line("garbage=")).partition("=")[2])
+        assert garbage < requests, garbage  # less than one object per request
 
     run(test())
--- a/tests/net/test_system_calls.py
+++ b/tests/net/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment: what they ask for is asked again, and no backend is blamed."""
+"""System calls that fail temporarily are retried and do not count against a backend."""
 
 from __future__ import annotations
 
@@ -29,22 +29,22 @@
 from gladegw.net.upstream.connections import UpstreamPool
 from gladegw.net.upstream.exchange import Exchange
 
-TOLD_AFTER_SIGHUP = 4.0  # s
+RELOAD_TIMEOUT_S = 4.0  # from SIGHUP to a call to the new discovery address
 REQUEST = b"GET /stock HTTP/1.1\r\nX-Call-Id: 1\r\n\r\n"
-LOCAL = (errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENFILE, errno.EMFILE, errno.ENETUNREACH)
+LOCAL_FAULTS = (errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENFILE, errno.EMFILE, errno.ENETUNREACH)
 
 
-async def status_of_an_attempt(failures: int, fault: int, patch: pytest.MonkeyPatch) -> Status | None:
-    """How an attempt ends whose first connects fail in this process."""
+async def attempt_status(failures: int, fault: int, patch: pytest.MonkeyPatch) -> Status | None:
+    """Return the status of an attempt whose first `failures` connects fail locally."""
     loop = asyncio.get_running_loop()
-    connect, left = loop.create_connection, failures
+    connect, failures_left = loop.create_connection, failures
 
-    async def failing(*arguments: Any, **how: Any) -> Any:
-        nonlocal left
-        if left:
-            left -= 1
-            raise OSError(fault, "for a moment")
-        return await connect(*arguments, **how)
+    async def failing(*arguments: Any, **options: Any) -> Any:
+        nonlocal failures_left
+        if failures_left:
+            failures_left -= 1
+            raise OSError(fault, "simulated local fault")
+        return await connect(*arguments, **options)
 
     backend = await Backend().start()
     upstreams = UpstreamPool(connect_timeout=0.5, conn_idle=PATIENCE, max_connections=10)
@@ -59,45 +59,45 @@
     return exchange.status
 
 
-def test_a_connect_that_fails_here_for_a_moment_is_tried_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connect_is_retried_after_a_temporary_local_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        for fault in LOCAL:
-            assert await status_of_an_attempt(2, fault, monkeypatch) is Status.OK, errno.errorcode[fault]
+        for fault in LOCAL_FAULTS:
+            assert await attempt_status(2, fault, monkeypatch) is Status.OK, errno.errorcode[fault]
 
     run(test())
 
 
-def test_a_connect_that_goes_on_failing_here_is_not_the_backend_s_fault(
+def test_a_lasting_local_fault_does_not_count_against_the_backend(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        assert await status_of_an_attempt(10_000, errno.EADDRNOTAVAIL, monkeypatch) is Status.NOT_SENT
+        assert await attempt_status(10_000, errno.EADDRNOTAVAIL, monkeypatch) is Status.NOT_SENT
 
     run(test())
 
 
-def test_connections_that_abort_one_after_another_do_not_hold_up_the_loop() -> None:
-    class Aborting:
-        """A listener whose callers have all gone before they were let in."""
+def test_accept_does_not_block_the_event_loop_when_every_connection_aborts() -> None:
+    class AbortingListener:
+        """A listener whose clients all disconnect before they are accepted."""
 
-        tries = 0
+        calls = 0
 
         def accept(self) -> Any:
-            self.tries += 1
-            assert self.tries < 10_000
-            raise OSError(errno.ECONNABORTED, "gone")
+            self.calls += 1
+            assert self.calls < 10_000
+            raise OSError(errno.ECONNABORTED, "aborted")
 
     async def test() -> None:
-        sock: Any = Aborting()
-        entrance = Acceptor(lambda peer, came: asyncio.Protocol(), 10, lambda: 0, lambda count: None)
-        entrance.listeners[sock] = None
-        entrance._accept(sock)
-        assert sock.tries >= 1
+        sock: Any = AbortingListener()
+        acceptor = Acceptor(lambda peer, came: asyncio.Protocol(), 10, lambda: 0, lambda count: None)
+        acceptor.listeners[sock] = None
+        acceptor._accept(sock)
+        assert sock.calls >= 1
 
     run(test())
 
 
-def test_a_configuration_that_is_half_written_at_the_signal_is_read_again(tmp_path: Path) -> None:
+def test_a_configuration_that_is_half_written_at_sighup_is_read_again(tmp_path: Path) -> None:
     async def test() -> None:
         old, new = await Discovery().start(), await Discovery().start()
         backend = await Backend().start()
@@ -112,7 +112,7 @@
             process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.5)
             (tmp_path / "config.json").write_text(text)
-            async with asyncio.timeout(TOLD_AFTER_SIGHUP):
+            async with asyncio.timeout(RELOAD_TIMEOUT_S):
                 assert await new.asked.get() == "/v1/servers"
         finally:
             process.kill()
--- a/tests/operators/test_operators_sockets.py
+++ b/tests/operators/test_operators_sockets.py
@@ -22,8 +22,8 @@
     proxy,
     response,
     run,
+    send_and_read_all,
     start_program,
-    told,
 )
 
 
@@ -56,7 +56,7 @@
     async def test() -> None:
         async with proxy({"s-1": Backend()}) as node:
             with contextlib.suppress(ConnectionError):
-                reply = await told(node.admin, *parts)
+                reply = await send_and_read_all(node.admin, *parts)
                 assert reply.startswith(start)
             assert (await node.operator("PING")).startswith("SUCCESS")
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,4 +1,4 @@
-"""Loopback pieces for the tests of the real proxy: a backend, a discovery and a caller, on port 0."""
+"""Loopback servers and clients for tests of the real proxy: a backend, discovery and a client, on port 0."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from typing import Any
 
 ROOT = Path(__file__).parents[2]
-PATIENCE = 20.0  # s; a test that waits longer has failed
+PATIENCE = 20.0  # s after which a test that is still waiting fails
 
 GRADES: list[dict[str, Any]] = [
     {"name": "stock", "value": 12.0, "objective": 0.5, "deadline": 1.2, "effect": "repeatable"},
@@ -74,7 +74,7 @@
 
 
 class Seen:
-    """A request as a backend got it."""
+    """A request as a backend received it."""
 
     def __init__(self, line: str, headers: dict[str, str], body: bytes, connection: int) -> None:
         self.method, self.target, _ = line.split(" ")
@@ -106,7 +106,7 @@
 
 
 class Backend:
-    """Answers calls by `behave`; keeps what it saw, apart from probes."""
+    """Answers requests with `behave` and records them, except probes."""
 
     def __init__(self, behave: Behaviour = serve_ok) -> None:
         self.behave = behave
@@ -147,10 +147,10 @@
 
 
 class Discovery:
-    """Tells each change as it is put, and that there was none when a watch's wait ends."""
+    """A discovery server that returns each change passed to `put`, or an empty list at a watch's timeout."""
 
     def __init__(self) -> None:
-        self.silent = 0  # calls that are never answered
+        self.silent = 0  # number of next calls that are never answered
         self.changes: asyncio.Queue[bytes] = asyncio.Queue()
         self.asked: asyncio.Queue[str] = asyncio.Queue()
         self.address = ""
@@ -183,8 +183,8 @@
         return response(200, json.dumps(listing(int(query["from"]), snapshot=False)).encode())
 
     def put(self, index: int, *endpoints: dict[str, Any], snapshot: bool = False) -> None:
-        told = json.dumps(listing(index, *endpoints, snapshot=snapshot))
-        self.changes.put_nowait(response(200, told.encode()))
+        text = json.dumps(listing(index, *endpoints, snapshot=snapshot))
+        self.changes.put_nowait(response(200, text.encode()))
 
 
 def endpoint(name: str, address: str, status: str = "Ready", **more: Any) -> dict[str, Any]:
@@ -211,7 +211,7 @@
 
 
 class Caller:
-    """One caller's connection."""
+    """A client connection to the proxy."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -248,7 +248,7 @@
 
 
 class Proxy:
-    """The program itself, as a process."""
+    """A running proxy process."""
 
     def __init__(
         self, process: asyncio.subprocess.Process, address: tuple[str, int], admin: str = ""
@@ -256,8 +256,8 @@
         self.process, self.address, self.admin = process, address, admin
 
     async def operator(self, line: str) -> str:
-        """The answer to an operators' call, whole."""
-        return (await told(self.admin, line.encode() + b"\n")).decode()
+        """Send an operators' command and return its complete answer."""
+        return (await send_and_read_all(self.admin, line.encode() + b"\n")).decode()
 
     async def figures(self) -> dict[str, int]:
         lines = (await self.operator("INFO")).splitlines()
@@ -271,7 +271,7 @@
         self.process.send_signal(signal.SIGTERM)
 
     async def line(self, *parts: str) -> str:
-        """The next line of standard error that holds all of these."""
+        """The next line of standard error that contains all of `parts`."""
         assert self.process.stderr is not None
         async with asyncio.timeout(PATIENCE):
             while True:
@@ -286,8 +286,8 @@
             return await self.process.wait()
 
 
-async def told(address: str, *parts: bytes) -> bytes:
-    """What a listener answers to these bytes, each written by itself, until it closes."""
+async def send_and_read_all(address: str, *parts: bytes) -> bytes:
+    """Write each part separately and return everything the listener answers until it closes."""
     host, _, port = address.rpartition(":")
     async with asyncio.timeout(PATIENCE):
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -316,7 +316,7 @@
         "memory_mb": changes.pop("memory_mb", 192),
         "sockets": changes.pop("sockets", 1024),
     }
-    if "discovery_mode" in changes:  # the setting has the name of the address
+    if "discovery_mode" in changes:  # the setting has the same name as the address
         changes["discovery"] = changes.pop("discovery_mode")
     return {
         "name": "n0",
@@ -359,12 +359,12 @@
             await asyncio.sleep(0.02)
 
 
-async def until_able(admin: str) -> None:
-    """Until a process says to operators that it is ready."""
+async def until_reported_ready(admin: str) -> None:
+    """Wait until the process reports to operators that it is ready."""
     async with asyncio.timeout(PATIENCE):
         while True:
             with contextlib.suppress(OSError):
-                if (await told(admin, b"PING\n")).startswith(b"SUCCESS"):
+                if (await send_and_read_all(admin, b"PING\n")).startswith(b"SUCCESS"):
                     return
             await asyncio.sleep(0.02)
 
@@ -380,33 +380,35 @@
     program: tuple[str, ...] = ("gladegw",),
     **changes: Any,
 ) -> AsyncIterator[Proxy]:
-    """A proxy before these backends, ready; ended by force if the test has not ended it. `features` is the
-    text of its settings file, `greeting` what a connection begins with there. With `listen` it is one more
-    process on an address that a proxy has already."""
-    own = discovery or await Discovery().start()
+    """Run a proxy in front of these backends, and kill it at the end if it still runs.
+
+    `features` is the text of its settings file, `greeting` the bytes that start each connection to it. With
+    `listen` it is a further process on an address that another proxy already uses.
+    """
+    discovery_server = discovery or await Discovery().start()
     for backend in backends.values():
         if not backend.address:
             await backend.start()
     known = listing(1, *(endpoint(name, backend.address) for name, backend in backends.items()))
-    another = bool(listen)
+    shares_address = bool(listen)
     listen, admin = listen or free_address(), free_address()
     host, _, port = listen.rpartition(":")
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "malabar.hcl"
         file.write_text(features, encoding="utf-8")
         arguments = ("-f", str(file)) if features else ()
-        raw = config(own.address, known, listen, **changes) | {"name": name}
+        raw = config(discovery_server.address, known, listen, **changes) | {"name": name}
         process = await start_program(raw, folder, *arguments, program=program, EDGE_ADMIN_ADDR=admin)
         try:
             ready = asyncio.create_task(
-                until_able(admin) if another else until_ready((host, int(port)), greeting)
+                until_reported_ready(admin) if shares_address else until_ready((host, int(port)), greeting)
             )
             ended = asyncio.create_task(process.wait())
             await asyncio.wait((ready, ended), return_when=asyncio.FIRST_COMPLETED)
             if ended.done():
                 ready.cancel()
                 assert process.stderr is not None
-                raise AssertionError(f"the program ended: {(await process.stderr.read()).decode()}")
+                raise AssertionError(f"the proxy exited early: {(await process.stderr.read()).decode()}")
             ended.cancel()
             await ready
             yield Proxy(process, (host, int(port)), admin)
@@ -416,5 +418,5 @@
                 await process.wait()
             for backend in backends.values():
                 await backend.stop()
-            if own.server is not None:
-                own.server.close()
+            if discovery_server.server is not None:
+                discovery_server.server.close()
