--- a/gladegw/net/upstream/exchange.py
+++ b/gladegw/net/upstream/exchange.py
@@ -85,8 +85,12 @@
         on_streaming: Callable[[Exchange, int | None], bool] | None = None,
     ) -> None:
         self.upstream, self.request, self.timeout = upstream, request, timeout
-        self.may_start, self.on_end = may_start, on_end
-        self.on_sent, self.on_streaming = on_sent, on_streaming
+        self.may_start, self.on_end, self.on_sent, self.on_streaming = (
+            may_start,
+            on_end,
+            on_sent,
+            on_streaming,
+        )
         self.loop = upstream.owner.loop
         self.started_at = time.monotonic()
         self.status: Status | None = None
--- a/tests/net/test_system_calls.py
+++ b/tests/net/test_system_calls.py
@@ -85,7 +85,7 @@
         def accept(self) -> Any:
             self.calls += 1
             assert self.calls < 10_000
-            raise OSError(errno.ECONNABORTED, "aborted")
+            raise OSError(errno.ECONNABORTED, "gone")
 
     async def test() -> None:
         sock: Any = AbortingListener()
