--- a/gladegw/__main__.py
+++ b/gladegw/__main__.py
@@ -1,8 +1,7 @@
-"""`gladegw`: serves where nothing else is asked, and hands every other command to the command line's
-package.
+"""The program `gladegw`: serves by default and passes other commands to `gladegw.cli`.
 
-What serves imports none of the tools: `[-f FILE] [serve]` and `[-f FILE] replay CAPTURE` are read here, and
-work in the platform's environment, which has no more than requirements.txt.
+`[-f FILE] [serve]` and `[-f FILE] replay CAPTURE` are parsed here and import nothing of `gladegw.cli`: they
+also work in the platform's environment, which has only the packages of requirements.txt.
 """
 
 from __future__ import annotations
@@ -10,8 +9,8 @@
 import sys
 
 
-def plain(arguments: list[str]) -> tuple[str | None, list[str]] | None:
-    """The file of features and the words of a command that needs no tools; None: it is for the tools."""
+def parse_serve_or_replay(arguments: list[str]) -> tuple[str | None, list[str]] | None:
+    """Return the features file and the words of a `serve` or `replay` command, None for any other command."""
     file: str | None = None
     words: list[str] = []
     rest = iter(arguments)
@@ -26,8 +25,8 @@
             return None
         else:
             words.append(argument)
-    known = words in ([], ["serve"]) or (len(words) == 2 and words[0] == "replay")
-    return (file, words) if known else None
+    is_parsed_here = words in ([], ["serve"]) or (len(words) == 2 and words[0] == "replay")
+    return (file, words) if is_parsed_here else None
 
 
 def replay_file(file: str | None, path: str) -> int:
@@ -39,27 +38,27 @@
         if file is not None:
             features.read(file)
         return replay(path)
-    except (ConfigError, CaptureError) as fault:
-        print(f"gladegw: {fault}", file=sys.stderr)
+    except (ConfigError, CaptureError) as error:
+        print(f"gladegw: {error}", file=sys.stderr)
         return 2
 
 
-def tools(arguments: list[str]) -> int:
+def run_cli(arguments: list[str]) -> int:
     try:
         from gladegw.cli import run
-    except ModuleNotFoundError as fault:
-        if fault.name != "click":
+    except ModuleNotFoundError as error:
+        if error.name != "click":
             raise
-        print("gladegw: this command needs the tools: pip install 'gladegw[rig]'", file=sys.stderr)
+        print("gladegw: this command needs additional packages: pip install 'gladegw[rig]'", file=sys.stderr)
         return 2
     return run(arguments)
 
 
 def main() -> int:
-    found = plain(sys.argv[1:])
-    if found is None:
-        return tools(sys.argv[1:])
-    file, words = found
+    command = parse_serve_or_replay(sys.argv[1:])
+    if command is None:
+        return run_cli(sys.argv[1:])
+    file, words = command
     if words[:1] == ["replay"]:
         return replay_file(file, words[1])
     from gladegw.net.serve import run
--- a/gladegw/limits/buffer_budget.py
+++ b/gladegw/limits/buffer_budget.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 STREAMS_MEMORY_FRACTION = 1 / 8  # of the memory limit, for bytes received and not yet forwarded
-CHUNKS_PER_STREAM = 2  # one being read, one being written to the other side
+CHUNKS_PER_STREAM = 2  # one being received, one being sent to the other side
 MIN_CHUNK_BYTES = 8 * 1024
 MAX_CHUNK_BYTES = 64 * 1024
 MAX_BUFFERED_BYTES = 64 * 1024  # a message up to this size is buffered so that its request can be retried
@@ -12,7 +12,7 @@
 def chunk_bytes(memory: int, streams: int) -> int:
     """Return the read size in bytes that keeps `streams` streams within their fraction of `memory` bytes.
 
-    The size is at least `MIN_CHUNK_BYTES`, also where that exceeds the fraction.
+    The size is at least `MIN_CHUNK_BYTES`, even if the streams then exceed that fraction.
     """
     return int(
         max(
--- a/gladegw/limits/connection_eviction.py
+++ b/gladegw/limits/connection_eviction.py
@@ -8,23 +8,23 @@
 from enum import IntEnum
 from typing import Protocol, TypeVar
 
-NEW_CONNECTION_GRACE_S = 0.3  # time for a first request outside of a connection flood
-AGE_WEIGHT = 0.25  # of age against silence: slow senders drip bytes to seem alive
-MIN_HEAD_BYTES_PER_S = 50.0  # a true client sends at least 100 bytes of head within 2 s
-MIN_SILENCE_S = 1 / MIN_HEAD_BYTES_PER_S  # one byte at that rate: a shorter silence is no evidence
-RECENT_BYTES_S = 0.5  # a request with a byte within this time is in progress
-MIN_STALL_TIMEOUT_S = 0.3  # the same in a connection flood
-SLOW_REQUEST_GRACE_S = 1.0  # time for a request in progress at the minimum rate
-CLOSE_GRACE_S = 0.1  # time for the peer to close when the descriptor is needed
-CLOSE_AFTER_RESPONSE_FRACTION = 0.8  # of the connection limit, above which responses close
-SERVED_FRACTION = 7 / 8  # of the connection limit; the rest is for requests rejected at once
+NEW_CONNECTION_GRACE_S = 0.3  # time to send a first request while there is no connection flood
+AGE_WEIGHT = 0.25  # weight of age relative to silence: a peer can send single bytes to seem active
+MIN_HEAD_BYTES_PER_S = 50.0  # a legitimate client sends at least 100 bytes of head within 2 s
+MIN_SILENCE_S = 1 / MIN_HEAD_BYTES_PER_S  # time for one byte at that rate; a shorter silence is no stall
+RECENT_BYTES_S = 0.5  # a request that received bytes within this time is in progress
+MIN_STALL_TIMEOUT_S = 0.3  # lower bound of that time in a connection flood
+SLOW_REQUEST_GRACE_S = 1.0  # a request in progress at the minimum rate is not evicted before this age
+CLOSE_GRACE_S = 0.1  # time for the peer to close its side before its connection may be evicted
+CLOSE_AFTER_RESPONSE_FRACTION = 0.8  # of the connection limit; above it, responses close their connection
+SERVED_FRACTION = 7 / 8  # of the connection limit; requests on the other connections are rejected at once
 
 
 class ConnectionStage(IntEnum):
     """The stage of a client connection."""
 
     IDLE = 0  # between requests
-    RECEIVING = 1  # a request is due or partly received
+    RECEIVING = 1  # a request is expected or partly received
     PENDING = 2  # a complete request waits for its response, or the response is being sent
     CLOSING = 3  # closed by this side, not yet by the peer
 
@@ -62,11 +62,11 @@
 
 
 class ConnectionFlood:
-    """The rate of new connections, and the timeouts that let each of them find a place.
+    """The rate of new connections, and the timeouts at which it stays within the connection limit.
 
-    The rate is an exponentially weighted mean over about `NEW_CONNECTION_GRACE_S`. A fixed timeout would be
-    too long in a flood, where true clients queue behind those that reconnect as soon as they are closed, and
-    would cut off slow clients when there are few connections.
+    The rate is an exponentially weighted mean over about `NEW_CONNECTION_GRACE_S`. A fixed timeout would
+    either be too long in a flood, where legitimate clients queue behind peers that reconnect as soon as they
+    are closed, or would cut off slow clients when there are few connections.
     """
 
     __slots__ = ("max_connections", "recent_connections", "updated_at")
@@ -92,21 +92,21 @@
     def stall_timeout(self) -> float:
         """Seconds between two bytes of a request, from `MIN_STALL_TIMEOUT_S` to `RECENT_BYTES_S`.
 
-        Bytes sent before say nothing about the next ones: whoever writes most of a head and then nothing
-        would hold a place as long as the slowest true client.
+        The number of bytes received so far does not count: otherwise a peer that sends most of a head and
+        then nothing would hold its connection as long as the slowest legitimate client.
         """
         return self._shortened(RECENT_BYTES_S, MIN_STALL_TIMEOUT_S)
 
     def _shortened(self, longest: float, shortest: float) -> float:
-        """Return `longest`, reduced in proportion when more connections come than there are places."""
-        fitting = longest * self.max_connections / max(1.0, self.recent_connections)
-        return max(shortest, min(longest, fitting))
+        """Return `longest`, reduced in proportion when recent connections exceed the connection limit."""
+        sustainable = longest * self.max_connections / max(1.0, self.recent_connections)
+        return max(shortest, min(longest, sustainable))
 
 
 def is_lagging(received: int, age: float, silence_timeout: float) -> bool:
-    """Whether a request due for `age` seconds is past the timeout and slower than the slowest true client.
+    """Whether a request expected for `age` s is past the timeout and slower than any legitimate client's.
 
-    Bytes that arrive while a connection waits to be accepted count as well, so waiting is no disadvantage.
+    Bytes that arrive in the accept queue count as well, so waiting there is no disadvantage.
     """
     return age > silence_timeout and received < MIN_HEAD_BYTES_PER_S * age
 
--- a/gladegw/limits/descriptor_budget.py
+++ b/gladegw/limits/descriptor_budget.py
@@ -1,16 +1,16 @@
-"""Split of the process's descriptor limit among its purposes."""
+"""Split of the process's file descriptor limit by purpose."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-OTHER_DESCRIPTORS = 8  # discovery, listeners, files written occasionally
-MIN_STARTUP_DESCRIPTORS = 16  # floor for those in use at start
-OPERATORS_FRACTION = 1 / 16  # of the limit
+OTHER_DESCRIPTORS = 8  # discovery, listeners, files that are written occasionally
+MIN_STARTUP_DESCRIPTORS = 16  # assumed to be in use at startup, at least
+OPERATORS_FRACTION = 1 / 16  # of the descriptor limit, for operators' connections
 MAX_OPERATOR_CONNECTIONS = 32
-OPERATOR_PORT_DESCRIPTORS = 3  # listener and the wake-up pair of its thread
-FLEET_MEMBER_DESCRIPTORS = 8  # event loop, two store connections, two being replaced, a file
-CLIENTS_FRACTION = 5 / 9  # of the rest: most requests, but not all, need an upstream connection
+OPERATOR_PORT_DESCRIPTORS = 3  # the listener and its thread's socket pair for wake-ups
+FLEET_MEMBER_DESCRIPTORS = 8  # event loop, two store connections and their replacements, one file
+CLIENTS_FRACTION = 5 / 9  # of the remainder: most requests, but not all, need an upstream connection
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,11 +19,11 @@
 
     clients: int
     upstreams: int
-    operators: int  # 0: no operators' listener
+    operators: int  # 0 without an operators' listener
 
 
 def split_descriptors(limit: int, in_use: int, operators: bool) -> DescriptorBudget:
-    """Split `limit` descriptors, of which `in_use` are open already, among the purposes.
+    """Split `limit` descriptors, of which `in_use` are open already, by purpose.
 
     The sum of all parts stays within `limit` unless the limit is too low for one client and one upstream
     connection; each of these gets at least one descriptor.
--- a/gladegw/limits/request_timeouts.py
+++ b/gladegw/limits/request_timeouts.py
@@ -4,11 +4,11 @@
 
 import math
 
-HEAD_TIMEOUT_S = 2.2  # also for a short request as a whole; a true client may take 2 s
-MIN_BODY_BYTES_PER_S = 48_000.0  # a true client sends 64 kB/s
-BODY_STALL_TIMEOUT_S = 1.2  # below the minimum rate, until a body counts as abandoned
-FIRST_BODY_TIMEOUT_S = 2.8  # from connecting to a body's first bytes: silent peers end within 3 s
-MIN_BODY_START_S = 0.3  # for a body's first bytes, however late its head was
+HEAD_TIMEOUT_S = 2.2  # also for a whole short request; a legitimate client may take 2 s
+MIN_BODY_BYTES_PER_S = 48_000.0  # a legitimate client sends at least 64 kB/s
+BODY_STALL_TIMEOUT_S = 1.2  # a body below the minimum rate for this long counts as abandoned
+FIRST_BODY_TIMEOUT_S = 2.8  # from connecting to a body's first bytes; disconnects silent peers within 3 s
+MIN_BODY_START_S = 0.3  # minimum time for a body's first bytes, even after a late head
 
 
 class RequestDeadline:
@@ -24,7 +24,7 @@
         self.due_at = accepted_at + HEAD_TIMEOUT_S
 
     def on_head_start(self, now: float) -> None:
-        """Handle the first byte of a request; a connection's first request is due from its accept on."""
+        """Handle the first byte of a request; the time for a connection's first one runs from its accept."""
         self.due_at = min(self.due_at, now + HEAD_TIMEOUT_S)
 
     def on_body_start(self, now: float) -> None:
@@ -48,7 +48,7 @@
             )
 
     def suspend(self) -> None:
-        """Stop the deadline while this side does not read."""
+        """Suspend the deadline while this side does not read."""
         self.due_at = math.inf
 
     def resume(self, now: float) -> None:
--- a/gladegw/net/admin.py
+++ b/gladegw/net/admin.py
@@ -144,7 +144,7 @@
                 if not data:
                     self._drop(descriptor)
                 return
-            line = connection.line.feed(data) if data else connection.line.ended()
+            line = connection.line.feed(data) if data else connection.line.finish()
             if line is None:
                 if not data:
                     self._drop(descriptor)
--- a/gladegw/operators/commands.py
+++ b/gladegw/operators/commands.py
@@ -1,6 +1,6 @@
-"""The operators' commands: one line of request, one response.
+"""The operators' commands: each is a request of one line, answered by one response.
 
-The commands and responses are those of the operators' documentation page.
+The operators' documentation page describes the commands and their responses.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     def feed(self, data: bytes) -> bytes | None:
         """Return the line without its line end once it is complete, else None.
 
-        A line that is too long counts as complete: it is cut and `too_long` is set.
+        A line that is too long counts as complete: it is truncated and `too_long` is set.
         """
         self.buffer += data
         line, end, _ = self.buffer.partition(b"\n")
@@ -36,14 +36,14 @@
             return line[:MAX_COMMAND_BYTES]
         return None
 
-    def ended(self) -> bytes | None:
-        """Return the unterminated line at the end of the input, None if there is none."""
+    def finish(self) -> bytes | None:
+        """Return the unterminated line when the input has ended, None if there is none."""
         return self.buffer or None
 
 
 @dataclass(frozen=True, slots=True)
 class BackendCounts:
-    """The current numbers of known and of skipped backends in the endpoint list."""
+    """The numbers of all backends in the endpoint list and of those currently skipped."""
 
     known: int
     skipped: int
--- a/gladegw/operators/lifecycle.py
+++ b/gladegw/operators/lifecycle.py
@@ -22,13 +22,13 @@
 class Event(Enum):
     """An event in the life of a proxy process."""
 
-    ABLE = "able"  # an endpoint list is known and the listener is open
+    ABLE = "able"  # the process can serve: an endpoint list is known and the listener is open
     LAMEDUCK = "LAMEDUCK"
     REJOIN = "REJOIN"
     TERMINATE = "terminate"
 
 
-# The next state; the same state where the event has no effect, None where it is invalid.
+# The next state by state and event: the same state if the event has no effect, None if it is invalid.
 TRANSITIONS: dict[State, dict[Event, State | None]] = {
     State.STARTING: {
         Event.ABLE: State.READY,
@@ -69,7 +69,7 @@
 
     def __init__(self, on_change: Callable[[State], None] | None = None) -> None:
         self.state = State.STARTING
-        self.able = False  # whether ABLE has occurred: REJOIN before it leads to STARTING
+        self.able = False  # whether ABLE has occurred; a REJOIN before it leads back to STARTING
         self.on_change = on_change
         self._lock = threading.Lock()
 
--- a/gladegw/operators/request_counters.py
+++ b/gladegw/operators/request_counters.py
@@ -1,4 +1,4 @@
-"""Counters of requests, their outcomes and upstream attempts, the source of `INFO` and the metrics."""
+"""Counters of requests, their outcomes and upstream attempts, reported by `INFO` and the metrics."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         self.passed = self.dropped = self.bad_gateway = self.disconnected = 0
 
     def add(self, code: int | None) -> None:
-        """Count a response completed with status `code`; None: the client disconnected before."""
+        """Count a response completed with status `code`; None if the client disconnected before."""
         if code is None:
             self.disconnected += 1
         elif code == 200:
@@ -50,14 +50,14 @@
 class RequestCounters:
     """The counters of one process.
 
-    Each completely received request of a known class counts in `in_progress` until it counts as one outcome
-    of its class. Readers in other threads may see counters that are one update apart.
+    Each completely received request of a known class counts in `in_progress` until it is counted as one
+    outcome of its class. Readers in other threads may see some counters one update behind the others.
     """
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.handled = {name: OutcomeCounts() for name in classes}
         self.in_progress = 0
-        self.upstream_attempts = 0  # those completely written to a backend
+        self.upstream_attempts = 0  # attempts whose request was completely written to a backend
 
     def on_received(self) -> None:
         """Count a completely received request."""
--- a/gladegw/replay.py
+++ b/gladegw/replay.py
@@ -1,7 +1,7 @@
 """`gladegw replay`: repeats recorded decisions with the inputs stored in a capture.
 
-Each recorded decision is made by the decision module's own functions, on a Balancer that holds only what was
-recorded; random numbers are the recorded ones. The result is compared with the recorded one.
+Each decision is made again by the same functions of `gladegw.balancing`, on a Balancer that holds only what
+was recorded, with the recorded random numbers. The result is compared with the recorded one.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 from gladegw.net.load_reports import read_report
 from gladegw.simulator_adapter import read_settings
 
-PLAIN = re.compile(r"[\w.:-]+", re.ASCII)
-DEFAULT_DRAW = 0.5  # for a draw that was not recorded but is needed now
+UNQUOTED_PATTERN = re.compile(r"[\w.:-]+", re.ASCII)
+DEFAULT_DRAW = 0.5  # random number where none was recorded but the replay needs one
 
 Difference = tuple[str, str]
-Tables = dict[int, tuple[Any, Any]]  # epoch and table, by generation; None: no text was recorded
+Tables = dict[int, tuple[Any, Any]]  # (epoch, table) by generation; table None: its text was not recorded
 
 
 class CaptureError(Exception):
@@ -59,13 +59,13 @@
     return verdict if verdict == QUEUED else f"refused-{verdict}"
 
 
-def plain(text: str) -> str:
-    """Return a peer's text as one word, quoted if necessary."""
-    return text if PLAIN.fullmatch(text) else json.dumps(text)
+def quote_if_needed(text: str) -> str:
+    """Return text that came from a peer as one word, as a JSON string if necessary."""
+    return text if UNQUOTED_PATTERN.fullmatch(text) else json.dumps(text)
 
 
 class ReplayedRequest:
-    """The decisions on one request, made again."""
+    """The decisions on one recorded request, made again."""
 
     def __init__(self, settings: Settings, lists: dict[int, dict[str, Any]], record: dict[str, Any]) -> None:
         self.settings, self.lists, self.record = settings, lists, record
@@ -74,12 +74,12 @@
         self.servers = self.balancer.servers = RecordedServers(settings, Random(0))
         self.cls = self.balancer.classes.get(record["class"])
         self.call: Call | None = None
-        self.sent: list[Server] = []  # by attempt
+        self.sent: list[Server] = []  # in the order of attempts
 
     def difference(self) -> Difference | None:
         """Return the first difference as (recorded, replayed), or None.
 
-        Later steps are not compared: they were decided in another situation.
+        Steps after it are not compared: the replayed state differs from the recorded one there.
         """
         steps = self.record["steps"]
         last = max((index for index, step in enumerate(steps) if step["step"] == "pick"), default=-1)
@@ -136,7 +136,7 @@
         """Return the call in the state that it had at this step."""
         call = self.call
         if call is None:
-            raise CaptureError("the request was never admitted")
+            raise CaptureError("the request has no admission step before this step")
         call.cls.mean.value = step["mean"]
         call.attempts = []
         for number, (status, sent_at) in enumerate(step["tries"]):
@@ -156,7 +156,9 @@
         call = self.resume(step)
         listed = self.lists.get(choice_record["list"])
         if listed is None or listed["index"] != choice_record["index"]:
-            raise CaptureError(f"list {choice_record['list']} with index {choice_record['index']} is missing")
+            raise CaptureError(
+                f"endpoint list {choice_record['list']} with index {choice_record['index']} is missing"
+            )
         names = {}
         entries = {endpoint["name"]: endpoint for endpoint in listed["endpoints"]}
         servers.pool = []
@@ -211,19 +213,21 @@
     try:
         return Table(read_text(record["text"], record["file"], ("expect",)))
     except RoutingError as error:
-        raise CaptureError(f"the recorded routes can't be used: {error}") from None
+        raise CaptureError(f"the recorded routes are invalid: {error}") from None
 
 
-def _rerouted(tables: Tables, record: dict[str, Any]) -> Difference | None:
-    """Return the difference if the recorded routing table routes the request differently now."""
+def _routing_difference(tables: Tables, record: dict[str, Any]) -> Difference | None:
+    """Return the difference if the recorded routing table now routes the request differently, else None."""
     route = record.get("route")
     if route is None:
         return None
     if route["generation"] not in tables:
-        raise CaptureError(f"generation {route['generation']} of the routes is missing")
+        raise CaptureError(f"routing table of generation {route['generation']} is missing")
     epoch, table = tables[route["generation"]]
     if epoch != route.get("epoch"):
-        raise CaptureError(f"generation {route['generation']} is of epoch {epoch}, not {route.get('epoch')}")
+        raise CaptureError(
+            f"routing table of generation {route['generation']} has epoch {epoch}, not {route.get('epoch')}"
+        )
     if table is None:
         return None
     from gladegw.routing.model import Ask
@@ -241,9 +245,13 @@
         record["id"],
     )
     entry = table.find(ask)
-    now = ("none", "none") if entry is None else (str(entry.route), first_pool(entry.route, ask))
-    before = (str(route["name"]), str(route["first"]))
-    return None if now == before else (f"route:{before[0]}:{before[1]}", f"route:{now[0]}:{now[1]}")
+    replayed = ("none", "none") if entry is None else (str(entry.route), first_pool(entry.route, ask))
+    recorded = (str(route["name"]), str(route["first"]))
+    return (
+        None
+        if replayed == recorded
+        else (f"route:{recorded[0]}:{recorded[1]}", f"route:{replayed[0]}:{replayed[1]}")
+    )
 
 
 def differences(path: str) -> Iterator[tuple[str, Difference]]:
@@ -253,14 +261,14 @@
     """
     settings: Settings | None = None
     lists: dict[int, dict[str, Any]] = {}
-    tables: Tables = {}  # of routes
+    tables: Tables = {}  # of the routes
     number = 0
     try:
         with Path(path).open("rb") as file:
             for line in file:
                 number += 1
                 if not line.startswith(b"{"):
-                    continue  # a log line around the dump
+                    continue  # a log line before or after the records
                 record = json.loads(line)
                 if record.get("v") != VERSION:
                     raise CaptureError(f"version {record.get('v')!r} is not known, only {VERSION}")
@@ -268,14 +276,15 @@
                 if kind == "start":
                     settings, lists, tables = read_settings(flatten(record["settings"])), {}, {}
                 elif settings is None:
-                    raise CaptureError("there is no start record before it")
+                    raise CaptureError("there is no start record before this record")
                 elif kind == "list":
                     lists[record["list"]] = record
                 elif kind == "routes":
                     tables[record["generation"]] = record.get("epoch"), _table(record)
                 elif kind == "req":
                     difference = (
-                        _rerouted(tables, record) or ReplayedRequest(settings, lists, record).difference()
+                        _routing_difference(tables, record)
+                        or ReplayedRequest(settings, lists, record).difference()
                     )
                     if difference is not None:
                         yield str(record["id"]), difference
@@ -296,6 +305,8 @@
     """Print the differences; return the exit code: 0 without differences, else 1."""
     code = 0
     for id, (recorded, replayed) in differences(path):
-        print(f"{plain(id)} recorded={plain(recorded)} replayed={plain(replayed)}")
+        print(
+            f"{quote_if_needed(id)} recorded={quote_if_needed(recorded)} replayed={quote_if_needed(replayed)}"
+        )
         code = 1
     return code
--- a/gladegw/supervisor/processes.py
+++ b/gladegw/supervisor/processes.py
@@ -1,7 +1,7 @@
-"""A process of the program under its supervisor.
+"""A proxy process as its supervisor sees it.
 
 It is started in a session of its own, so that it outlives its supervisor, and is referred to by a pidfd,
-which can't come to mean another process.
+which, unlike a process id, is never reused for another process.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 COMMAND_TIMEOUT_S = 1.0
 MIN_ENDED_REQUESTS = 20  # with fewer, the fraction of failures is not significant
 MAX_MEMORY_FRACTION = 0.95  # of the memory limit
-RETRY_INTERVAL_S = 0.05  # of an unanswered command
-MAX_SILENCE_S = 3.0  # without a response, until a new process has failed
+RETRY_INTERVAL_S = 0.05  # between attempts of a command that has not succeeded
+MAX_SILENCE_S = 3.0  # a new process without a response for this long has failed
 
 
 class ProcessHandle(msgspec.Struct, frozen=True):
@@ -49,7 +49,7 @@
     return 0 if fields[0] in ("Z", "X") else int(fields[19])
 
 
-def free_admin() -> str:
+def free_admin_address() -> str:
     """Return a loopback address with a free port."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
@@ -65,14 +65,14 @@
         self.child = child
         self.ready = False
         self.answered_at = 0.0  # time of the last response
-        self.ready_counts: dict[str, int] | None = None  # its counts when it was first ready
+        self.ready_counts: dict[str, int] | None = None  # request counts at the time when it was first ready
         self.counts: dict[str, int] = {}
         self.exit_code: int | None = None
 
     @classmethod
     def start(cls, version: str, folder: str, run: str, environ: Mapping[str, str], now: float) -> Process:
-        """Start version `version` by the shell command `run` in directory `folder`; raises OSError."""
-        admin = free_admin()
+        """Start version `version` with the shell command `run` in directory `folder`; raises OSError."""
+        admin = free_admin_address()
         child_environ = {**environ, "EDGE_ADMIN_ADDR": admin, "GLADEGW_VERSION": version}
         child = subprocess.Popen(
             ["/bin/sh", "-c", run],
@@ -120,16 +120,16 @@
 
     @property
     def exit_reason(self) -> str:
-        """How the process ended, as far as it is known."""
+        """How the process exited, as far as it is known."""
         if self.exit_code is None:
-            return "it ended"
+            return "the process exited"
         if self.exit_code < 0:
-            return f"it was ended by signal {-self.exit_code}"
-        return f"it ended with exit code {self.exit_code}"
+            return f"the process was killed by signal {-self.exit_code}"
+        return f"the process exited with exit code {self.exit_code}"
 
     async def send_command(self, command: bytes) -> None:
         """Repeat an operators' command until it succeeds or the process has exited."""
-        while self.alive and not (await send_commands(self.handle.admin, command)).startswith(b"SUCCESS"):
+        while self.alive and not (await send_and_read(self.handle.admin, command)).startswith(b"SUCCESS"):
             await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def poll(self, listen: tuple[str, int] | None, now: float) -> None:
@@ -142,12 +142,12 @@
 
     async def _poll_ready(self, listen: tuple[str, int] | None, now: float) -> bool:
         """Return whether the process responds as ready to operators and, on `listen`, to clients."""
-        response = await send_commands(self.handle.admin, b"PING\n")
+        response = await send_and_read(self.handle.admin, b"PING\n")
         ready = response.startswith(b"SUCCESS")
         if response:
             self.answered_at = now
         if listen is not None and ready:
-            health = await send_commands(
+            health = await send_and_read(
                 "{}:{}".format(*listen), b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
             )
             ready = b" 200 " in health.partition(b"\r\n")[0]
@@ -155,7 +155,7 @@
 
     async def _poll_counts(self) -> None:
         """Update the request counts by outcome, summed over all classes."""
-        info = (await send_commands(self.handle.admin, b"INFO\n")).decode("ascii", "replace")
+        info = (await send_and_read(self.handle.admin, b"INFO\n")).decode("ascii", "replace")
         counts: dict[str, int] = {}
         for line in info.splitlines():
             name, _, value = line.partition("=")
@@ -167,7 +167,7 @@
             if self.ready_counts is None and self.ready:
                 self.ready_counts = counts
 
-    def failed_and_ended(self, since_ready: bool) -> tuple[int, int]:
+    def failed_and_total(self, since_ready: bool) -> tuple[int, int]:
         """Return the numbers of failed and of all ended requests, in total or since it was first ready."""
         base = self.ready_counts or {} if since_ready else {}
         increase = {outcome: count - base.get(outcome, 0) for outcome, count in self.counts.items()}
@@ -190,21 +190,21 @@
     ) -> str:
         """Return why the process must be stopped, empty if it is healthy.
 
-        `previous` is the process that it replaces; without one, only the silence is checked.
+        `previous` is the process that it replaces; without one, only its silence is checked.
         `silence_timeout` is in seconds, `memory` the limit in bytes, 0 for none.
         """
         if now > self.answered_at + silence_timeout:
-            return f"no answer to operators for {silence_timeout:g} s"
+            return f"no response to operators' commands for {silence_timeout:g} s"
         used = resident_bytes(self.handle.pid)
         if previous is None:
             return ""
         if used > MAX_MEMORY_FRACTION * memory > 0:
-            return f"{used >> 20} of {memory >> 20} MiB are in use"
-        failed, ended = self.failed_and_ended(True)
-        previous_failed, previous_ended = previous.failed_and_ended(False)
+            return f"{used >> 20} of {memory >> 20} MiB of memory are in use"
+        failed, ended = self.failed_and_total(True)
+        previous_failed, previous_ended = previous.failed_and_total(False)
         baseline = previous_failed / previous_ended if previous_ended else 0.0
         if ended >= MIN_ENDED_REQUESTS and failed / ended > baseline + max_failure_increase:
-            return f"{failed} of {ended} requests failed, {100 * baseline:.1f}% before it"
+            return f"{failed} of {ended} requests failed, {100 * baseline:.1f}% in the previous process"
         return ""
 
     def has_too_few_requests(self, previous: Process | None) -> bool:
@@ -231,7 +231,7 @@
         return 0
 
 
-async def send_commands(address: str, request: bytes) -> bytes:
+async def send_and_read(address: str, request: bytes) -> bytes:
     """Send `request` to `address` and return all bytes received until the peer closes.
 
     Empty if the connection fails or takes longer than `COMMAND_TIMEOUT_S`.
--- a/gladegw/supervisor/run.py
+++ b/gladegw/supervisor/run.py
@@ -48,9 +48,9 @@
 
 POLL_INTERVAL_S = 0.1
 COMMANDS = {ActionKind.DRAIN: b"LAMEDUCK\n", ActionKind.REJOIN: b"REJOIN\n"}
-# In these phases the replacement listens on the clients' address.
-REPLACEMENT_SERVES = (Phase.VERIFYING, Phase.RETAINING_PREVIOUS, Phase.STOPPING_PREVIOUS)
-EPOCH_OF_FILE = -1  # differs from all epochs of the store, which are not negative
+# In these phases the replacement is the process that listens on the clients' address.
+REPLACEMENT_LISTENING_PHASES = (Phase.VERIFYING, Phase.RETAINING_PREVIOUS, Phase.STOPPING_PREVIOUS)
+SETTINGS_FILE_EPOCH = -1  # stands for the settings file; the store's epochs are not negative
 
 
 class State(msgspec.Struct, frozen=True):
@@ -63,7 +63,7 @@
 
 
 class Supervisor:
-    """Runs one proxy's processes: the current one and, during a replacement, the other one."""
+    """Runs one proxy's processes: the current one and, during a replacement, a second one."""
 
     def __init__(
         self, path: str, config: Config, environ: Mapping[str, str], options: StoreOptions | None
@@ -79,7 +79,7 @@
         self.state_path = state_file(self.settings, config.name)
         self.processes: dict[Slot, Process] = {}
         self.state = Supervision(
-            wanted=self.settings.version, current=self.settings.version, epoch=EPOCH_OF_FILE
+            wanted=self.settings.version, current=self.settings.version, epoch=SETTINGS_FILE_EPOCH
         )
         self.saved_state: State | None = None
         order = self._resume()
@@ -89,7 +89,7 @@
 
             self.client = SupervisorClient(options, config.name, order, self.record)
         self.stopping = asyncio.Event()
-        self.command_tasks: dict[int, asyncio.Task[None]] = {}  # the last command by process id
+        self.command_tasks: dict[int, asyncio.Task[None]] = {}  # of the latest command, by process id
 
     def _resume(self) -> VersionOrder:
         """Take over the state and processes of the previous supervisor and return its version order.
@@ -103,7 +103,7 @@
             return VersionOrder()
         except (OSError, msgspec.MsgspecError) as error:
             reason = " ".join(str(error).split())
-            raise ConfigError(f"{self.state_path}:1: not a state file: {reason}") from None
+            raise ConfigError(f"{self.state_path}:1: not a valid state file: {reason}") from None
         for slot, handle in stored.processes.items():
             process = Process.attach(handle, now)
             if process is not None:
@@ -112,7 +112,9 @@
         if Slot.CURRENT not in self.processes and self.state.phase is Phase.STARTING:
             self.state = replace(self.state, begun=False)
         for process in self.processes.values():
-            log.warning("supervise: takes over %s, process %d", process.handle.version, process.handle.pid)
+            log.warning(
+                "supervise: took over version %s, process %d", process.handle.version, process.handle.pid
+            )
         return replace(stored.order, heard=now)
 
     def _save_state(self) -> None:
@@ -145,12 +147,12 @@
         )
 
     async def run(self) -> None:
-        """Supervise until SIGTERM or SIGINT, then end all processes; SIGHUP reloads the settings."""
+        """Supervise until SIGTERM or SIGINT, then stop all processes; SIGHUP reloads the settings."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stopping.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        tasks = [asyncio.create_task(self._watch())]
+        tasks = [asyncio.create_task(self._poll_processes())]
         if self.client is not None:
             coroutines = self.client.watch(), self.client.publish()
             tasks += [asyncio.create_task(coroutine) for coroutine in coroutines]
@@ -166,7 +168,7 @@
             await asyncio.gather(*tasks, return_exceptions=True)
             if self.client is not None:
                 self.client.close()
-        await self._end()
+        await self._stop_processes()
 
     def reload(self) -> None:
         """Read the settings file again; an invalid file is logged and changes nothing."""
@@ -185,14 +187,14 @@
         for slot, status in ((Slot.CURRENT, current), (Slot.OTHER, other)):
             if not status.alive and slot in self.processes:
                 self.processes.pop(slot).close()
-        self._act(actions, now)
+        self._execute(actions, now)
         if (before.phase, before.reason) != (self.state.phase, self.state.reason):
             self._log_state()
         self._save_state()
 
     def _request_version(self, now: float) -> None:
-        """Request the version that the store or else the settings file orders."""
-        wanted, epoch, retain_previous = self.settings.version, EPOCH_OF_FILE, False
+        """Request the version that the store orders, or without an order the one in the settings file."""
+        wanted, epoch, retain_previous = self.settings.version, SETTINGS_FILE_EPOCH, False
         if self.client is not None:
             order = self.client.order = revert_unconfirmed(self.client.order, now)
             if order.epoch >= 0:
@@ -200,15 +202,15 @@
                 retain_previous = bool(order.base) and not order.alone
         self.state = request_version(self.state, wanted, epoch, retain_previous)
         if wanted not in self.settings.programs and wanted not in self.state.refused:
-            reason = f"{wanted}: no program of that version in {self.path}"
+            reason = f"{wanted}: no program block for that version in {self.path}"
             self.state = replace(self.state, refused=self.state.refused | {wanted}, reason=reason)
 
     def _log_state(self) -> None:
         """Log the phase, the versions and the reason."""
         state = self.state
-        coming = f", {state.coming} comes" if state.coming else ""
+        coming = f", replacement version {state.coming}" if state.coming else ""
         reason = f": {state.reason}" if state.reason else ""
-        log.warning("supervise: %s, %s%s%s", state.phase.value, state.current, coming, reason)
+        log.warning("supervise: %s, version %s%s%s", state.phase.value, state.current, coming, reason)
 
     def _status(self, slot: Slot, now: float) -> ProcessStatus:
         """Return the status of the process in a slot."""
@@ -225,7 +227,7 @@
             )
         return process.status(failure, process.has_too_few_requests(previous))
 
-    def _act(self, actions: Actions, now: float) -> None:
+    def _execute(self, actions: Actions, now: float) -> None:
         """Execute the actions of a step."""
         for kind, slot in actions:
             if kind is ActionKind.START:
@@ -240,9 +242,9 @@
                 )
 
     def _send_command(self, process: Process, command: bytes) -> None:
-        """Send a command in the background, in place of an earlier one that is still being retried."""
+        """Send a command in the background and cancel an earlier one that is still being retried."""
         earlier = self.command_tasks.pop(process.handle.pid, None)
-        if earlier is not None:  # its retries must not undo this command
+        if earlier is not None:  # its retries could undo this command
             earlier.cancel()
         self.command_tasks[process.handle.pid] = asyncio.create_task(process.send_command(command))
 
@@ -252,19 +254,19 @@
         program = self.settings.programs.get(version)
         try:
             if program is None:
-                raise OSError(f"no program of that version in {self.path}")
+                raise OSError(f"no program block for that version in {self.path}")
             process = Process.start(version, program.dir, program.run, self.environ, now)
-        except OSError as error:  # the empty slot counts as a process that exited at its start
-            log.error("supervise: %s can't be started: %s", version, error)
+        except OSError as error:  # the empty slot counts as a process that exited at startup
+            log.error("supervise: cannot start version %s: %s", version, error)
             return
         self.processes[slot] = process
-        log.warning("supervise: started %s, process %d", version, process.handle.pid)
+        log.warning("supervise: started version %s, process %d", version, process.handle.pid)
 
-    async def _watch(self) -> None:
-        """Poll all processes, the newest one on the clients' address too, unless two may listen there."""
+    async def _poll_processes(self) -> None:
+        """Poll all processes, and the newest one on the clients' address too if only it listens there."""
         while True:
-            newest = Slot.OTHER if self.state.phase in REPLACEMENT_SERVES else Slot.CURRENT
-            exclusive = self.state.phase in (*REPLACEMENT_SERVES, Phase.STEADY, Phase.STARTING)
+            newest = Slot.OTHER if self.state.phase in REPLACEMENT_LISTENING_PHASES else Slot.CURRENT
+            exclusive = self.state.phase in (*REPLACEMENT_LISTENING_PHASES, Phase.STEADY, Phase.STARTING)
             await asyncio.gather(
                 *(
                     process.poll(self.config.listen if exclusive and slot is newest else None, boot_time())
@@ -273,10 +275,10 @@
             )
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _end(self) -> None:
-        """End all processes and remove the state file.
+    async def _stop_processes(self) -> None:
+        """Stop all processes and remove the state file.
 
-        This is for an orderly end only: a supervisor that crashes leaves its processes to the next one.
+        This happens at an orderly stop only: a supervisor that crashes leaves its processes to the next one.
         """
         for process in self.processes.values():
             process.signal(signal.SIGTERM)
@@ -298,7 +300,7 @@
             lock = stack.enter_context(open(f"{path}.lock", "a", encoding="ascii"))
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            raise ConfigError(f"{path}: another supervisor has it") from None
+            raise ConfigError(f"{path}: in use by another supervisor") from None
         except OSError as error:
             raise ConfigError(f"{path}: {error.strerror or error}") from None
         yield
--- a/gladegw/supervisor/settings.py
+++ b/gladegw/supervisor/settings.py
@@ -1,4 +1,4 @@
-"""The supervisor's settings file: a block `supervise` and a block `program "VERSION"` per version."""
+"""The supervisor's settings file: one block `supervise` and a block `program "VERSION"` for each version."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 class Settings(msgspec.Struct, frozen=True, kw_only=True):
     """The settings of the block `supervise`, and the programs by version.
 
-    All times are in seconds. `version` is run until the store requests one. `most_failed` is the maximum
-    increase of the fraction of failed requests over the previous process. `state` is the path of the state
-    file; empty: a file named after the proxy in the directory of temporary files.
+    All times are in seconds. `version` runs until the store requests a version. `most_failed` is the maximum
+    increase of the fraction of failed requests over that of the previous process. `state` is the path of the
+    state file; empty: a file named after the proxy in the directory of temporary files.
     """
 
     version: str
@@ -62,19 +62,23 @@
     programs: dict[str, Program] = {}
     settings: tuple[Block, Settings] | None = None
     for block in blocks:
-        at = f"{path}:{block.line}"
+        position = f"{path}:{block.line}"
         if block.name == "program":
             if not VERSION_PATTERN.fullmatch(block.label or ""):
-                raise ConfigError(f"{at}: a program is named by its version: letters, digits, . _ + -")
+                raise ConfigError(
+                    f"{position}: the label of a program block must be a version: letters, digits, . _ + -"
+                )
             if block.label in programs:
-                raise ConfigError(f"{at}: program {block.label} stands twice")
+                raise ConfigError(f"{position}: duplicate program block {block.label}")
             programs[block.label] = _program(path, text, block)
         elif block.name == "supervise" and settings is None:
             settings = block, _convert_block(path, text, block, Settings)
         else:
-            raise ConfigError(f"{at}: one block supervise and blocks program, not {block.name}")
+            raise ConfigError(
+                f"{position}: unexpected block {block.name}; expected one supervise block and program blocks"
+            )
     if settings is None:
-        raise ConfigError(f"{path}:1: no block supervise")
+        raise ConfigError(f"{path}:1: there is no supervise block")
     block, checked = settings
     _check_ranges(path, text, block, checked)
     if checked.version not in programs:
@@ -87,7 +91,7 @@
     try:
         raw = Path(path).read_bytes()
         if len(raw) > LARGEST:
-            raise ConfigError(f"{path}:1: too large")
+            raise ConfigError(f"{path}:1: the file is too large")
         text = raw.decode("utf-8")
         return text, blocks_of(text)
     except OSError as error:
@@ -108,13 +112,15 @@
 def _convert_block(path: str, text: str, block: Block, struct: type[Any]) -> Any:
     """Check a block's keys and types and convert it to `struct`; raises ConfigError."""
     for key, value in block.values.items():
-        at = f"{path}:{block.line_of(text, key)}"
+        position = f"{path}:{block.line_of(text, key)}"
         if key not in struct.__struct_fields__ or key == "programs":
-            raise ConfigError(f"{at}: unknown setting {key}")
+            raise ConfigError(f"{position}: unknown setting {key}")
         annotation = struct.__annotations__[key]
         valid = isinstance(value, str) if annotation == "str" else isinstance(value, int | float)
         if not valid or isinstance(value, bool):
-            raise ConfigError(f"{at}: {key} must be {'a text' if annotation == 'str' else 'a number'}")
+            raise ConfigError(
+                f"{position}: {key} must be {'a string' if annotation == 'str' else 'a number'}"
+            )
     for field in msgspec.structs.fields(struct):
         if field.required and field.name not in block.values:
             raise ConfigError(f"{path}:{block.line}: {block.name} needs {field.name}")
@@ -126,7 +132,9 @@
     program: Program = _convert_block(path, text, block, Program)
     directory = Path(path).parent / program.dir
     if not directory.is_dir():
-        raise ConfigError(f"{path}:{block.line_of(text, 'dir')}: dir {program.dir}: no such folder")
+        raise ConfigError(f"{path}:{block.line_of(text, 'dir')}: dir {program.dir}: no such directory")
     if not re.search(r"(^|[;&|]\s*)exec\s", program.run):
-        raise ConfigError(f"{path}:{block.line_of(text, 'run')}: run must end by exec, in one process")
+        raise ConfigError(
+            f"{path}:{block.line_of(text, 'run')}: run must end with exec, so that it is a single process"
+        )
     return msgspec.structs.replace(program, dir=str(directory.resolve()))
--- a/tests/operators/test_commands.py
+++ b/tests/operators/test_commands.py
@@ -137,4 +137,4 @@
     assert line.feed(b"x") is not None and line.too_long
     half = LineReader()
     half.feed(b"PIN")
-    assert half.ended() == b"PIN" and LineReader().ended() is None
+    assert half.finish() == b"PIN" and LineReader().finish() is None
--- a/tests/supervisor/test_supervise.py
+++ b/tests/supervisor/test_supervise.py
@@ -86,7 +86,7 @@
         ("2.1", "not ready in 3 s"),
         ("2.2", "requests failed"),
         ("2.3", ""),
-        ("2.4", "MiB are in use"),
+        ("2.4", "MiB of memory are in use"),
     ],
 )
 def test_a_bad_version_is_given_up(version: str, why: str, tmp_path: Path) -> None:
@@ -160,7 +160,7 @@
                 text=True,
                 check=False,
             )
-            assert result.returncode == 2 and "another supervisor" in result.stderr
+            assert result.returncode == 2 and "in use by another supervisor" in result.stderr
             async with Steady(one.port) as load:
                 await one.abandon()
                 await load.more(60)
@@ -200,16 +200,19 @@
     ("text", "why"),
     [
         ("supervise {\n}\n", ":1: supervise needs version"),
-        ("x {\n}\n", ":1: one block supervise"),
+        ("x {\n}\n", ":1: unexpected block x; expected one supervise block"),
         ('supervise {\n  version = "1"\n}\n', ":2: there is no program 1"),
         ("supervise {", "not HCL"),
         ('supervise {\n  version = "1"\n  ready = 3\n}\n', ":3: unknown setting ready"),
-        ("supervise {\n  version = 3\n}\n", ":2: version must be a text"),
+        ("supervise {\n  version = 3\n}\n", ":2: version must be a string"),
         (
             'supervise {\n  version = "1"\n}\nprogram "1" {\n  dir = "nowhere"\n  run = "exec x"\n}\n',
             ":5: dir",
         ),
-        ('supervise {\n  version = "1"\n}\nprogram "1" {\n  dir = "."\n  run = "x"\n}\n', ":6: run must end"),
+        (
+            'supervise {\n  version = "1"\n}\nprogram "1" {\n  dir = "."\n  run = "x"\n}\n',
+            ":6: run must end with exec",
+        ),
         (
             'supervise {\n  version = "1"\n  drain_s = 0\n}\n'
             'program "1" {\n  dir = "."\n  run = "exec x"\n}\n',
