--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,7 @@
-"""How tests are shared out among workers, and what becomes of those that are known to fail.
+"""Distribution of tests among workers, and the handling of tests that are known to fail.
 
-Tests are shared out by file, but for those whose every test starts a fleet. `KNOWN-RED.txt` names the others.
+Tests are distributed by file, except that files in which each test starts a fleet are distributed by test.
+`KNOWN-RED.txt` lists the tests that are known to fail.
 """
 
 from __future__ import annotations
@@ -13,9 +14,9 @@
 import pytest
 from support import known_red
 
-FLEETS = tuple(
-    f"test_{what}.py"
-    for what in (
+FLEET_TEST_FILES = tuple(
+    f"test_{name}.py"
+    for name in (
         "program_rollouts",
         "supervise",
         "rollout_sockets",
@@ -28,29 +29,32 @@
 
 @pytest.hookimpl(optionalhook=True)
 def pytest_xdist_make_scheduler(config: Any, log: Any) -> Any:
-    """Files with few tests come last, so that one worker would be left with minutes of one file."""
+    """Distribute the fleet tests one by one.
+
+    xdist starts files with few tests last, so that one worker would spend minutes on the last of these files.
+    """
     from xdist.scheduler import LoadFileScheduling
 
     class Scheduling(LoadFileScheduling):  # type: ignore[misc]
         def _split_scope(self, nodeid: str) -> str:
             file: str = super()._split_scope(nodeid)
-            return nodeid if file.endswith(FLEETS) else file
+            return nodeid if file.endswith(FLEET_TEST_FILES) else file
 
     return Scheduling(config, log)
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """With TESTS_REVERSED the tests run in the opposite order: none may need another one before it."""
+    """Reverse the order if TESTS_REVERSED is set, which reveals tests that depend on an earlier one."""
     if os.environ.get("TESTS_REVERSED"):
         items.reverse()
 
 
 class KnownRedTests:
-    """Lets CI pass over the listed tests, which run all the same, and prints how each ended."""
+    """Runs the listed tests without letting a failure fail CI, and prints the outcome of each."""
 
     def __init__(self, known: list[known_red.KnownRed], whole: bool) -> None:
         self.known = known
-        self.whole = whole  # all tests are run, so a line that names none is a fault
+        self.whole = whole  # all tests are collected, so a line that names none of them is an error
         self.outcomes: dict[str, str] = {}
 
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
@@ -83,15 +87,15 @@
         try:
             if self.whole:
                 known_red.check_collected(self.known, self.outcomes)
-        except known_red.KnownRedError as fault:
-            terminalreporter.line(str(fault), red=True)
+        except known_red.KnownRedError as error:
+            terminalreporter.line(str(error), red=True)
 
 
 def pytest_configure(config: pytest.Config) -> None:
     try:
         known = known_red.load(Path(str(config.rootpath)))
-    except known_red.KnownRedError as fault:
-        raise pytest.UsageError(str(fault)) from None
+    except known_red.KnownRedError as error:
+        raise pytest.UsageError(str(error)) from None
     whole = config.args_source is pytest.Config.ArgsSource.TESTPATHS and not config.option.keyword
-    whole = whole and not hasattr(config, "workerinput")  # a worker of many runs a part
+    whole = whole and not hasattr(config, "workerinput")  # an xdist worker runs only some of the tests
     config.pluginmanager.register(KnownRedTests(known, whole), "known-red")
--- a/tests/net/test_many_servers.py
+++ b/tests/net/test_many_servers.py
@@ -59,13 +59,13 @@
                 asking = [asyncio.create_task(fleet.ask(fleet.addresses[0], 0.05)) for _ in range(4)]
                 await asyncio.sleep(1.0)
                 drained = set(range(0, SERVERS, 4))
-                await discovery.tell(servers.drain(drained, 2))
+                await discovery.publish(servers.drain(drained, 2))
                 await asyncio.sleep(2.0)
-                late = servers.calls_to(drained, discovery.told_at + GRACE)
+                late = servers.calls_to(drained, discovery.delivered_at + GRACE)
                 for task in asking:
                     task.cancel()
         servers.stop()
-        assert not late, late[0].at - discovery.told_at
+        assert not late, late[0].at - discovery.delivered_at
         assert fleet.codes.count(200) > 20
 
     run(test())
--- a/tests/net/test_silent_watches.py
+++ b/tests/net/test_silent_watches.py
@@ -107,12 +107,12 @@
         clients = [address for address in fleet.addresses for _ in range(CLIENTS)]
         asking = [asyncio.create_task(fleet.ask(address, EVERY)) for address in clients]
         await asyncio.sleep(1.0)
-        await discovery.tell({"index": 2, "snapshot": False, "endpoints": []})
+        await discovery.publish({"index": 2, "snapshot": False, "endpoints": []})
         await asyncio.sleep(0.3)
         discovery.fall_silent()
         begun = time.monotonic()
         before = len(fleet.codes)
-        await discovery.tell(servers.drain(DRAINED, 3))
+        await discovery.publish(servers.drain(DRAINED, 3))
         discovery.refuse_until = begun + refused_for
         await asyncio.sleep(lasts)
         late = servers.calls_to(DRAINED, begun + TOLD_WITHIN + GRACE)
--- a/tests/operators/test_operators_sockets.py
+++ b/tests/operators/test_operators_sockets.py
@@ -1,4 +1,4 @@
-"""Operators' calls, drain and the change of process on the program itself, over loopback."""
+"""Operators' commands, drain and process replacement with real proxy processes over loopback."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 )
 
 
-async def until(wanted: str, node: Proxy, call: str = "PING") -> str:
+async def until(prefix: str, node: Proxy, command: str = "PING") -> str:
     async with asyncio.timeout(PATIENCE):
-        while not (reply := await node.operator(call)).startswith(wanted):
+        while not (reply := await node.operator(command)).startswith(prefix):
             await asyncio.sleep(0.02)
         return reply
 
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    ("parts", "start"),
+    ("parts", "prefix"),
     [
         ([bytes([byte]) for byte in b"PING\r\n"], b"SUCCESS"),
         ([b"PING\nINFO\n"], b"SUCCESS ready\n"),
@@ -52,34 +52,34 @@
         ([b"\n"], b"FAILURE"),
     ],
 )
-def test_lines_of_every_kind_get_their_answer(parts: list[bytes], start: bytes) -> None:
+def test_valid_and_malformed_commands_get_their_response(parts: list[bytes], prefix: bytes) -> None:
     async def test() -> None:
         async with proxy({"s-1": Backend()}) as node:
             with contextlib.suppress(ConnectionError):
                 reply = await told(node.admin, *parts)
-                assert reply.startswith(start)
+                assert reply.startswith(prefix)
             assert (await node.operator("PING")).startswith("SUCCESS")
 
     run(test())
 
 
-def test_calls_are_answered_beside_many_that_hold_without_a_line() -> None:
+def test_commands_are_answered_beside_many_connections_with_an_incomplete_line() -> None:
     async def test() -> None:
         async with proxy({"s-1": Backend()}) as node:
             host, _, port = node.admin.rpartition(":")
-            holders = [await asyncio.open_connection(host, int(port)) for _ in range(50)]
-            for _, writer in holders:
+            incomplete = [await asyncio.open_connection(host, int(port)) for _ in range(50)]
+            for _, writer in incomplete:
                 writer.write(b"PIN")
             for _ in range(20):
                 async with asyncio.timeout(1.0):
                     assert (await node.operator("PING")).startswith("SUCCESS")
-            for _, writer in holders:
+            for _, writer in incomplete:
                 writer.close()
 
     run(test())
 
 
-def test_calls_are_answered_while_descriptors_are_out() -> None:
+def test_commands_are_answered_at_the_descriptor_limit() -> None:
     async def test() -> None:
         async with proxy({"s-1": Backend()}, sockets=64) as node:
             idle = []
@@ -95,10 +95,10 @@
     run(test())
 
 
-def test_calls_are_answered_while_the_serving_loop_is_busy_all_the_time() -> None:
+def test_commands_are_answered_while_the_event_loop_is_saturated() -> None:
     async def test() -> None:
         async with proxy({"s-1": Backend()}) as node:
-            ask = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n" * 500
+            requests = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n" * 500
 
             async def flood() -> None:
                 caller = await node.caller()
@@ -109,7 +109,7 @@
 
                 reading = asyncio.create_task(read())
                 while True:
-                    caller.writer.write(ask)
+                    caller.writer.write(requests)
                     await caller.writer.drain()
                     assert not reading.done()
 
@@ -118,33 +118,33 @@
             for _ in range(20):
                 async with asyncio.timeout(1.0):
                     assert (await node.operator("INFO")).endswith("EOT\n")
-            for one in floods:
-                assert not one.done()
-                one.cancel()
+            for task in floods:
+                assert not task.done()
+                task.cancel()
 
     run(test())
 
 
 @pytest.mark.parametrize("admin", ["127.0.0.1", "127.0.0.1:none", "host:80:", "held"])
-def test_an_address_that_can_not_be_used_is_named_in_one_line(admin: str) -> None:
+def test_an_unusable_operators_address_is_reported_in_one_line(admin: str) -> None:
     async def test() -> None:
         backend = await Backend().start()
-        held = socket.create_server(("127.0.0.1", 0))
+        occupied = socket.create_server(("127.0.0.1", 0))
         known = listing(1)
-        at = f"127.0.0.1:{held.getsockname()[1]}" if admin == "held" else admin
+        admin_addr = f"127.0.0.1:{occupied.getsockname()[1]}" if admin == "held" else admin
         with tempfile.TemporaryDirectory() as folder:
-            raw = config(backend.address, known, free_address()) | {"admin_addr": at}
+            raw = config(backend.address, known, free_address()) | {"admin_addr": admin_addr}
             process = await start_program(raw, folder)
             _, lines = await asyncio.wait_for(process.communicate(), PATIENCE)
-        held.close()
+        occupied.close()
         await backend.stop()
         assert process.returncode == 2
-        assert len(lines.splitlines()) == 1 and at in lines.decode()
+        assert len(lines.splitlines()) == 1 and admin_addr in lines.decode()
 
     run(test())
 
 
-def test_without_an_address_there_is_no_such_listener() -> None:
+def test_without_an_operators_address_there_is_no_listener_and_no_thread() -> None:
     async def test() -> None:
         backend, discovery = await Backend().start(), await Discovery().start()
         with tempfile.TemporaryDirectory() as folder:
@@ -172,7 +172,7 @@
     run(test())
 
 
-def test_figures_tell_what_became_of_each_request() -> None:
+def test_info_counts_the_outcome_of_each_request() -> None:
     async def test() -> None:
         gate = asyncio.Event()
 
@@ -202,26 +202,28 @@
             gate.set()
             for caller in callers[1:]:
                 assert (await caller.answer()).code == 200
-            found = await node.figures()
-            assert found["app.in_progress"] == 0
-            assert found["app.handled.reserva.passed"] == 2 and found["app.handled.canje.bad_gateway"] == 1
-            assert found["app.handled.stock.passed"] == found["app.handled.stock.dropped"] == 0
-            assert found["app.upstream_tries"] == backend.count
+            counters = await node.figures()
+            assert counters["app.in_progress"] == 0
+            assert (
+                counters["app.handled.reserva.passed"] == 2 and counters["app.handled.canje.bad_gateway"] == 1
+            )
+            assert counters["app.handled.stock.passed"] == counters["app.handled.stock.dropped"] == 0
+            assert counters["app.upstream_tries"] == backend.count
 
     run(test())
 
 
-def test_a_drain_ends_every_connection_and_a_rejoin_says_yes() -> None:
+def test_a_drain_closes_every_connection_and_rejoin_succeeds() -> None:
     async def test() -> None:
         async def slow(seen: Seen, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(1.0)
             writer.write(response(200, b"late"))
 
         async with proxy({"s-1": Backend(slow)}) as node:
-            idle, used, half = await node.caller(), await node.caller(), await node.caller()
+            idle, used, partial = await node.caller(), await node.caller(), await node.caller()
             assert (await used.raw(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")).code == 200
             used.send("reserva", "b" * 16, budget="4000m")
-            half.writer.write(b"GET /healthz HT")
+            partial.writer.write(b"GET /healthz HT")
             assert (await node.operator("LAMEDUCK")).startswith("SUCCESS lame")
             assert await healthz(node) == 503
             assert (await node.operator("PING")).startswith("FAILURE")
@@ -229,8 +231,8 @@
             reply = await used.answer()
             assert reply.code == 200 and reply.headers["connection"] == "close"
             assert await used.ended() and await idle.ended()
-            assert (await half.raw(b"TP/1.1\r\nHost: x\r\n\r\n")).code == 503 and await half.ended()
-            late = await node.caller()  # the front may still send: it is served, and closed
+            assert (await partial.raw(b"TP/1.1\r\nHost: x\r\n\r\n")).code == 503 and await partial.ended()
+            late = await node.caller()  # clients may still send during a drain: served, then closed
             assert (await late.call("reserva", "c" * 16, budget="4000m")).code == 200
             assert await late.ended()
             silent = await node.caller()
@@ -238,75 +240,77 @@
             assert node.process.returncode is None
             assert (await node.operator("REJOIN")).startswith("SUCCESS ready")
             assert await healthz(node) == 200
-            again = await node.caller()
+            rejoined = await node.caller()
             for id in "de":
-                assert (await again.call("reserva", id * 16, budget="4000m")).code == 200
+                assert (await rejoined.call("reserva", id * 16, budget="4000m")).code == 200
             await node.operator("LAMEDUCK")
-            node.terminate()  # while lame
+            node.terminate()  # while draining
             assert await node.code() == 0
 
     run(test())
 
 
-def test_a_process_replaces_another_without_a_request_lost() -> None:
-    """Without the kernel's filter, and without emptying the queue, connections are reset here."""
+def test_a_process_replaces_another_without_losing_a_request() -> None:
+    """Guards against connections reset in the old process's accept queue.
+
+    That happens without the socket filter in the kernel and without emptying the queue."""
 
     async def test() -> None:
         discovery = await Discovery().start()
         backend = await Backend().start()
-        ended, faults = 0, 0
+        completed, failures = 0, 0
         stop = asyncio.Event()
 
-        async def press(address: tuple[str, int], lane: int) -> None:
-            nonlocal ended, faults
+        async def send_requests(address: tuple[str, int], sender: int) -> None:
+            nonlocal completed, failures
             number = 0
             while not stop.is_set():
                 number += 1
                 try:
                     caller = Caller(*await asyncio.open_connection(*address))
-                    id = f"{lane:04x}{number:012x}"
+                    id = f"{sender:04x}{number:012x}"
                     reply = await caller.call("stock", id, Connection="close")
-                    faults += reply.code not in (200, 503)
+                    failures += reply.code not in (200, 503)
                     caller.writer.close()
-                    ended += 1
+                    completed += 1
                 except (OSError, asyncio.IncompleteReadError):
-                    faults += 1
+                    failures += 1
 
         async with contextlib.AsyncExitStack() as stack:
             old = await stack.enter_async_context(proxy({"s-1": backend}, discovery))
             listen = "{}:{}".format(*old.address)
-            lanes = [asyncio.create_task(press(old.address, lane)) for lane in range(8)]
+            senders = [asyncio.create_task(send_requests(old.address, sender)) for sender in range(8)]
             for number in range(3):
                 discovery.put(number + 2, snapshot=False)
                 new = await stack.enter_async_context(proxy({"s-1": backend}, discovery, listen=listen))
-                before = ended
+                before = completed
                 async with asyncio.timeout(PATIENCE):
-                    while ended < before + 50:  # both serve
+                    while completed < before + 50:  # both processes serve meanwhile
                         await asyncio.sleep(0.01)
                 old.terminate()
                 assert await old.code() == 0
                 assert (await new.operator("PING")).startswith("SUCCESS")
                 old = new
             stop.set()
-            await asyncio.gather(*lanes)
-        assert ended > 150 and faults == 0
+            await asyncio.gather(*senders)
+        assert completed > 150 and failures == 0
 
     run(test())
 
 
-def test_a_successor_that_never_gets_ready_leaves_the_old_one_serving() -> None:
+def test_the_old_process_keeps_serving_if_its_replacement_never_becomes_ready() -> None:
     async def test() -> None:
         async with proxy({"s-1": Backend()}) as node:
             listen = "{}:{}".format(*node.address)
             with tempfile.TemporaryDirectory() as folder:
                 raw = config(free_address(), listing(1), listen)
-                successor = await start_program(raw, folder, EDGE_ADMIN_ADDR=free_address())
+                replacement = await start_program(raw, folder, EDGE_ADMIN_ADDR=free_address())
                 caller = await node.caller()
                 for id in range(20):
                     assert (await caller.call("stock", f"{id:016x}")).code == 200
                     assert await healthz(node) == 200
-                successor.kill()
-                await successor.wait()
+                replacement.kill()
+                await replacement.wait()
             for id in range(20, 40):
                 fresh = await node.caller()
                 assert (await fresh.call("stock", f"{id:016x}")).code == 200
--- a/tests/supervisor/test_mixed_versions.py
+++ b/tests/supervisor/test_mixed_versions.py
@@ -1,4 +1,4 @@
-"""The released version 0.2.0 beside this one: processes of one proxy, and members of one fleet."""
+"""Compatibility with the released version 0.2.0: as processes of one proxy and as members of one fleet."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from gladegw.rig.supervised import Supervised
 from gladegw.rig.traffic.steady import Steady
 
-# The package as it was released, under the name that it had then.
+# The package as released, when it was called granitepoint.
 ARCHIVE = ROOT / "tests" / "data" / "released" / "granitepoint-0.2.0.tar.xz"
 RELEASED = ("granitepoint",)
 CURRENT = ("gladegw",)
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def released(tmp_path: Path) -> Path:
-    """A folder with the released package."""
+    """A directory with the released package."""
     folder = tmp_path / "released"
     with tarfile.open(ARCHIVE) as archive:
         archive.extractall(folder, filter="data")
@@ -40,7 +40,7 @@
 
 
 class MixedVersions(Supervised):
-    """A supervised proxy whose versions are the released program and this one."""
+    """A supervised proxy whose two versions are the released program and the current one."""
 
     released = Path()
 
@@ -61,29 +61,31 @@
     nodes = await process.start(*process.python("gladegw.rig.nodes.trivial", "3"))
     book = ledger.Ledger(folder / "rig.jsonl")
     assert nodes.stdout is not None
-    told = msgspec.json.decode(await nodes.stdout.readline())
-    raw = config(SCENARIO, "p0", f"127.0.0.1:{free_port()}", told["discovery"], told["known"], 0, 0, "a")
-    one = MixedVersions("p0", raw, folder, book, "", {}, "0.2.0")
-    one.released = released
+    addresses = msgspec.json.decode(await nodes.stdout.readline())
+    raw = config(
+        SCENARIO, "p0", f"127.0.0.1:{free_port()}", addresses["discovery"], addresses["known"], 0, 0, "a"
+    )
+    node = MixedVersions("p0", raw, folder, book, "", {}, "0.2.0")
+    node.released = released
     try:
-        await one.start()
-        await one.ready()
-        await one.until("steady", "0.2.0")
-        yield one
+        await node.start()
+        await node.ready()
+        await node.until("steady", "0.2.0")
+        yield node
     finally:
-        await one.kill()
+        await node.kill()
         await process.end(nodes)
         book.close()
 
 
-def test_the_released_process_and_this_one_replace_each_other_without_a_loss(
+def test_released_and_current_processes_replace_each_other_without_lost_requests(
     tmp_path: Path, released: Path
 ) -> None:
     async def test() -> None:
-        async with supervised(tmp_path, released) as one, Steady(one.port) as load:
+        async with supervised(tmp_path, released) as node, Steady(node.port) as load:
             for version in ("0.3.0", "0.2.0", "0.3.0"):
-                one.replace(version)
-                await one.until("steady", version)
+                node.replace(version)
+                await node.until("steady", version)
             await load.more(100)
             assert not load.lost, load.codes
 
@@ -91,46 +93,50 @@
 
 
 @pytest.mark.parametrize("programs", [(RELEASED, CURRENT), (CURRENT, RELEASED)], ids=["upgrade", "downgrade"])
-def test_duties_pass_between_a_released_member_and_this_one(
+def test_duties_pass_between_a_released_and_a_current_member(
     programs: tuple[tuple[str, ...], tuple[str, ...]], released: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("PYTHONPATH", str(released))
 
     async def test() -> None:
-        async with store() as at:
-            block = at.block()
+        async with store() as fleet_store:
+            block = fleet_store.block()
             async with proxy({"s-1": Backend()}, features=block, name="p1", program=programs[0]) as first:
-                before = await at.duties(held_by("p1"))
-                await at.digested(before["digest"][1])
+                before = await fleet_store.duties(held_by("p1"))
+                await fleet_store.digested(before["digest"][1])
                 async with proxy(
                     {"s-1": Backend()}, features=block, name="p2", program=programs[1]
                 ) as second:
-                    await at.members(lambda found: [m["state"] for m in found] == ["ready", "ready"])
+                    await fleet_store.members(
+                        lambda listed: [m["state"] for m in listed] == ["ready", "ready"]
+                    )
                     assert await served(first, "1")
                     assert await served(second, "2")
                     first.process.terminate()
-                    after = await at.duties(held_by("p2"))
+                    after = await fleet_store.duties(held_by("p2"))
                     assert all(after[name][1] > before[name][1] for name in before)
-                    await at.digested(after["digest"][1])
-                    assert all_held(await at.duties(held_by("p2")))
+                    await fleet_store.digested(after["digest"][1])
+                    assert all_held(await fleet_store.duties(held_by("p2")))
 
     run(test())
 
 
-def test_a_policy_commits_on_a_released_member_and_on_this_one(
+def test_a_policy_commits_on_a_released_and_a_current_member(
     tmp_path: Path, released: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("PYTHONPATH", str(released))
 
     async def test() -> None:
-        async with store() as at, contextlib.AsyncExitStack() as stack:
-            site = Site(at, tmp_path, stack, "serve", 1)
+        async with store() as fleet_store, contextlib.AsyncExitStack() as stack:
+            site = Site(fleet_store, tmp_path, stack, "serve", 1)
             await site.proxy("p1", program=RELEASED)
             await site.proxy("p2", program=CURRENT)
             for epoch, word in enumerate(("second", "third"), 1):
-                code, told = await site.propose(word)
-                assert (code, told["outcome"], told["epoch"]) == (0, "everywhere", epoch)
-                found = await site.status(lambda now: {m["state"] for m in now["members"]} == {"in force"})
-                assert found["epoch"] == epoch
+                code, result = await site.propose(word)
+                assert (code, result["outcome"], result["epoch"]) == (0, "everywhere", epoch)
+                policy = await site.status(
+                    lambda current: {m["state"] for m in current["members"]} == {"in force"}
+                )
+                assert policy["epoch"] == epoch
 
     run(test())
--- a/tests/supervisor/test_supervise.py
+++ b/tests/supervisor/test_supervise.py
@@ -1,4 +1,4 @@
-"""Supervisor and program as processes: replacements under load, faulty versions, exits of either."""
+"""The supervisor with real proxy processes: replacements under load, faulty versions, crashes of either."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 }
 
 
-PROVE_S = {"2.4": 40.0}  # until its memory is full, also on a machine that is busy
+PROVE_S = {"2.4": 40.0}  # seconds; long enough for its memory to fill up, even on a busy machine
 
 
 @contextlib.asynccontextmanager
@@ -49,30 +49,30 @@
         SCENARIO, "p0", f"127.0.0.1:{free_port()}", addresses["discovery"], addresses["known"], 0, 0, "a"
     )
     raw["limits"]["memory_mb"] = 64
-    one = Supervised("p0", raw, folder, book, "", VERSIONS, "1.0", **bounds)
+    node = Supervised("p0", raw, folder, book, "", VERSIONS, "1.0", **bounds)
     try:
-        await one.start()
-        await one.ready()
-        await one.until("steady", "1.0")
-        yield one
+        await node.start()
+        await node.ready()
+        await node.until("steady", "1.0")
+        yield node
     finally:
-        await one.kill()
+        await node.kill()
         await process.end(nodes)
         book.close()
 
 
-def gone(pid: int) -> bool:
-    return not start_ticks(pid)  # nobody may have asked yet how it ended
+def has_exited(pid: int) -> bool:
+    return not start_ticks(pid)  # also if its parent has not yet collected its exit status
 
 
-def test_versions_follow_each_other_under_load_and_nothing_is_lost(tmp_path: Path) -> None:
+def test_versions_replace_each_other_under_load_without_lost_requests(tmp_path: Path) -> None:
     async def test() -> None:
-        async with supervised(tmp_path) as one, Steady(one.port) as load:
+        async with supervised(tmp_path) as node, Steady(node.port) as load:
             for version in ("1.1", "1.0", "1.1"):
-                before = one.pids()["current"]
-                one.replace(version)
-                await one.until("steady", version)
-                assert gone(before) and set(one.pids()) == {"current"}
+                before = node.pids()["current"]
+                node.replace(version)
+                await node.until("steady", version)
+                assert has_exited(before) and set(node.pids()) == {"current"}
             await load.more(100)
             assert not load.lost, load.codes
 
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize(
-    ("version", "why"),
+    ("version", "reason"),
     [
         ("2.0", "exit code 1"),
         ("2.1", "not ready in 3 s"),
@@ -89,19 +89,19 @@
         ("2.4", "MiB of memory are in use"),
     ],
 )
-def test_a_bad_version_is_given_up(version: str, why: str, tmp_path: Path) -> None:
+def test_a_faulty_version_is_refused(version: str, reason: str, tmp_path: Path) -> None:
     async def test() -> None:
-        async with supervised(tmp_path, ready_s=3.0, prove_s=PROVE_S.get(version, 5.0)) as one:
-            before = one.pids()["current"]
-            async with Steady(one.port) as load:
-                one.replace(version)
+        async with supervised(tmp_path, ready_s=3.0, prove_s=PROVE_S.get(version, 5.0)) as node:
+            before = node.pids()["current"]
+            async with Steady(node.port) as load:
+                node.replace(version)
                 end = time.monotonic() + 60
-                while not (state := one.now().get("supervision", {})).get("refused"):
+                while not (state := node.now().get("supervision", {})).get("refused"):
                     assert time.monotonic() < end, state
                     await asyncio.sleep(0.02)
-                state = await one.until("steady", "1.0")
-                assert state["refused"] == [version] and why in state["reason"], state
-                assert one.pids() == {"current": before}
+                state = await node.until("steady", "1.0")
+                assert state["refused"] == [version] and reason in state["reason"], state
+                assert node.pids() == {"current": before}
                 await load.settled()
                 lost = load.lost
                 await load.more(100)
@@ -110,94 +110,96 @@
     run(test())
 
 
-def test_a_version_that_fails_is_given_up_however_little_it_was_asked_in_its_time(tmp_path: Path) -> None:
-    """The time of its proof is over before enough requests have ended."""
+def test_a_failing_version_is_refused_even_with_little_traffic_while_it_is_verified(tmp_path: Path) -> None:
+    """The verification time `prove_s` ends before enough requests have completed."""
 
     async def test() -> None:
-        async with supervised(tmp_path, ready_s=10.0, prove_s=4.0) as one, Steady(one.port, 0.3) as load:
+        async with supervised(tmp_path, ready_s=10.0, prove_s=4.0) as node, Steady(node.port, 0.3) as load:
             await load.more(50)
-            one.replace("2.2")
+            node.replace("2.2")
             end = time.monotonic() + 60
-            while not (state := one.now().get("supervision", {})).get("refused"):
+            while not (state := node.now().get("supervision", {})).get("refused"):
                 assert time.monotonic() < end, state
                 await asyncio.sleep(0.02)
-            assert "requests failed" in (await one.until("steady", "1.0"))["reason"]
+            assert "requests failed" in (await node.until("steady", "1.0"))["reason"]
 
     run(test())
 
 
-def test_a_file_that_cannot_be_used_changes_nothing(tmp_path: Path) -> None:
+def test_reloading_an_invalid_settings_file_changes_nothing(tmp_path: Path) -> None:
     async def test() -> None:
-        async with supervised(tmp_path) as one:
-            one.file.write_text('supervise {\n  version = "9"\n}\n', encoding="utf-8")
-            one.signal("hup")
-            async with Steady(one.port) as load:
+        async with supervised(tmp_path) as node:
+            node.file.write_text('supervise {\n  version = "9"\n}\n', encoding="utf-8")
+            node.signal("hup")
+            async with Steady(node.port) as load:
                 await load.more(300)
                 assert not load.lost
-            assert "there is no program 9" in (one.folder / "log").read_text()
-            assert (await one.until("steady", "1.0"))["wanted"] == "1.0"
+            assert "there is no program 9" in (node.folder / "log").read_text()
+            assert (await node.until("steady", "1.0"))["wanted"] == "1.0"
 
     run(test())
 
 
-def test_a_dead_process_is_followed_and_a_dead_supervisor_leaves_its_proxy(tmp_path: Path) -> None:
+def test_a_killed_process_is_restarted_and_a_killed_supervisor_leaves_its_processes_running(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
-        async with supervised(tmp_path) as one:
-            first = one.pids()["current"]
+        async with supervised(tmp_path) as node:
+            first = node.pids()["current"]
             os.kill(first, signal.SIGKILL)
             end = time.monotonic() + 20
-            while one.pids().get("current") in (None, first):
+            while node.pids().get("current") in (None, first):
                 assert time.monotonic() < end
                 await asyncio.sleep(0.02)
-            await one.until("steady", "1.0")
-            second = one.pids()["current"]
-            result = subprocess.run(  # one supervisor for a state file
-                (sys.executable, "-m", "gladegw", "supervise", str(one.file)),
+            await node.until("steady", "1.0")
+            second = node.pids()["current"]
+            result = subprocess.run(  # only one supervisor may use a state file
+                (sys.executable, "-m", "gladegw", "supervise", str(node.file)),
                 cwd=ROOT,
                 timeout=30,
-                env={**os.environ, "EDGE_CONFIG": str(one.folder / "config.json")},
+                env={**os.environ, "EDGE_CONFIG": str(node.folder / "config.json")},
                 capture_output=True,
                 text=True,
                 check=False,
             )
             assert result.returncode == 2 and "in use by another supervisor" in result.stderr
-            async with Steady(one.port) as load:
-                await one.abandon()
+            async with Steady(node.port) as load:
+                await node.abandon()
                 await load.more(60)
-                await one.start()
-                await one.until("steady", "1.0")
-                assert one.pids() == {"current": second}
-                one.replace("1.1")
-                await one.until("bringing up", "1.0")
-                await one.abandon()  # with two of them there
-                await one.start()
-                await one.until("steady", "1.1")
-                assert gone(second)
+                await node.start()
+                await node.until("steady", "1.0")
+                assert node.pids() == {"current": second}
+                node.replace("1.1")
+                await node.until("bringing up", "1.0")
+                await node.abandon()  # while two processes run
+                await node.start()
+                await node.until("steady", "1.1")
+                assert has_exited(second)
                 assert not load.lost, load.codes
-            last = one.pids()["current"]
-            await one.end(10.0)  # on SIGTERM it ends its processes
-            assert gone(last) and not one.state.exists()
+            last = node.pids()["current"]
+            await node.end(10.0)  # on SIGTERM the supervisor stops its processes
+            assert has_exited(last) and not node.state.exists()
 
     run(test())
 
 
-def test_one_that_hangs_is_killed_and_followed(tmp_path: Path) -> None:
+def test_a_hanging_process_is_killed_and_restarted(tmp_path: Path) -> None:
     async def test() -> None:
-        async with supervised(tmp_path, hang_s=2.0) as one:
-            first = one.pids()["current"]
+        async with supervised(tmp_path, hang_s=2.0) as node:
+            first = node.pids()["current"]
             os.kill(first, signal.SIGSTOP)
             end = time.monotonic() + 20
-            while one.pids().get("current") in (None, first):
+            while node.pids().get("current") in (None, first):
                 assert time.monotonic() < end
                 await asyncio.sleep(0.02)
-            await one.until("steady", "1.0")
-            assert gone(first)
+            await node.until("steady", "1.0")
+            assert has_exited(first)
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    ("text", "why"),
+    ("text", "message"),
     [
         ("supervise {\n}\n", ":1: supervise needs version"),
         ("x {\n}\n", ":1: unexpected block x; expected one supervise block"),
@@ -220,7 +222,7 @@
         ),
     ],
 )
-def test_a_bad_file_is_one_line(text: str, why: str, tmp_path: Path) -> None:
+def test_an_invalid_settings_file_is_reported_in_one_line(text: str, message: str, tmp_path: Path) -> None:
     file = tmp_path / "supervise.hcl"
     file.write_text(text, encoding="utf-8")
     result = subprocess.run(
@@ -231,4 +233,6 @@
         timeout=60,
         check=False,
     )
-    assert result.returncode == 2 and why in result.stderr and result.stderr.count("\n") == 1, result.stderr
+    assert (
+        result.returncode == 2 and message in result.stderr and result.stderr.count("\n") == 1
+    ), result.stderr
--- a/tests/support/garbage_probe.py
+++ b/tests/support/garbage_probe.py
@@ -1,4 +1,4 @@
-"""The program, with a thread that collects garbage and prints how many objects were only found by that."""
+"""Runs the program with a thread that prints how many objects only the garbage collector could free."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 INTERVAL_S = 0.3
 
 
-def collect() -> None:
+def collect_garbage() -> None:
     while True:
         time.sleep(INTERVAL_S)
         print(f"garbage={gc.collect()}", file=sys.stderr, flush=True)
 
 
 if __name__ == "__main__":
-    threading.Thread(target=collect, daemon=True).start()
+    threading.Thread(target=collect_garbage, daemon=True).start()
     sys.exit(main())
--- a/tests/support/proxies.py
+++ b/tests/support/proxies.py
@@ -1,4 +1,4 @@
-"""Several real proxies before the servers of the rig, each asked by clients of its own."""
+"""Several real proxies in front of the rig's servers, each with its own clients."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class WatchedDiscovery:
-    """A stand-in for discovery whose watches wait for a change, of which there is one at a time."""
+    """A fake discovery whose watches wait for the next change; it holds only the latest change."""
 
     def __init__(self) -> None:
         self.version = 1
         self.change = b""
         self.changed = asyncio.Condition()
-        self.watches = 0  # calls that wait
-        self.told_at = 0.0  # when the latest change was told to the last of them
+        self.watches = 0  # watch calls that are waiting
+        self.delivered_at = 0.0  # time at which a watch was last answered with a change
         self.address = ""
 
     async def start(self) -> Self:
@@ -43,26 +43,26 @@
         return self
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answers the calls of one connection."""
+        """Answer the calls of one connection."""
         raise NotImplementedError
 
     async def watch(self, target: str, ends: Callable[[], bool] = lambda: False) -> bytes:
-        """The answer to a call that asks for changes, once there are any, its wait is over or `ends`."""
+        """Return the response to a watch once there is a change, its wait is over or `ends` returns true."""
         query = dict(part.split("=") for part in target.partition("?")[2].split("&") if part)
-        version, hold = int(query["from"]), int(query["hold_ms"]) / 1000
+        version, wait_s = int(query["from"]), int(query["hold_ms"]) / 1000
         self.watches += 1
         try:
-            async with asyncio.timeout(hold), self.changed:
+            async with asyncio.timeout(wait_s), self.changed:
                 await self.changed.wait_for(lambda: self.version > version or ends())
         except TimeoutError:
             return response(200, json.dumps(listing(version, snapshot=False)).encode())
         finally:
             self.watches -= 1
         if not ends():
-            self.told_at = time.monotonic()
+            self.delivered_at = time.monotonic()
         return response(200, self.change)
 
-    async def tell(self, change: dict[str, object]) -> None:
+    async def publish(self, change: dict[str, object]) -> None:
         async with self.changed:
             self.version += 1
             self.change = json.dumps(change).encode()
@@ -70,7 +70,7 @@
 
 
 class Proxies:
-    """Real proxies before many servers, each asked by a client of its own."""
+    """Real proxies in front of many servers, and the status codes that their clients received."""
 
     def __init__(self, processes: list[asyncio.subprocess.Process], addresses: list[tuple[str, int]]) -> None:
         self.processes, self.addresses = processes, addresses
@@ -78,36 +78,41 @@
         self.callers: list[tuple[str, int]] = []
 
     async def ask(self, address: tuple[str, int], every: float) -> None:
-        name = len(self.callers)
+        client_number = len(self.callers)
         self.callers.append(address)
         number = 0
         caller = Caller(*await asyncio.open_connection(*address))
         while True:
             number += 1
-            began = time.monotonic()
-            reply = await caller.call("stock", f"{name:08x}{number:08x}")
+            started = time.monotonic()
+            reply = await caller.call("stock", f"{client_number:08x}{number:08x}")
             self.codes.append(reply.code)
-            await asyncio.sleep(max(0.0, began + every - time.monotonic()))
+            await asyncio.sleep(max(0.0, started + every - time.monotonic()))
 
 
 @contextlib.asynccontextmanager
 async def proxies(
     count: int, servers: ManyServers, discovery: WatchedDiscovery, **changes: Any
 ) -> AsyncIterator[Proxies]:
-    """Started, ready and watching discovery, with the features of the deployment. `changes`: of settings."""
+    """Start proxies with the deployment's features and yield them once all are ready and watch discovery.
+
+    `changes` are changes of settings.
+    """
     features = (ROOT / "deploy" / "malabar.hcl").read_text()
-    known = servers.listing(1)
+    endpoints = servers.listing(1)
     processes: list[asyncio.subprocess.Process] = []
     addresses: list[tuple[str, int]] = []
     with tempfile.TemporaryDirectory() as folder:
         try:
             for number in range(count):
                 listen = free_address()
-                raw = config(discovery.address, known, listen, **changes, balancers=count, me=number)
-                place = Path(folder) / str(number)
-                place.mkdir()
-                (place / "malabar.hcl").write_text(features)
-                processes.append(await start_program(raw, str(place), "-f", str(place / "malabar.hcl")))
+                raw = config(discovery.address, endpoints, listen, **changes, balancers=count, me=number)
+                directory = Path(folder) / str(number)
+                directory.mkdir()
+                (directory / "malabar.hcl").write_text(features)
+                processes.append(
+                    await start_program(raw, str(directory), "-f", str(directory / "malabar.hcl"))
+                )
                 host, _, port = listen.rpartition(":")
                 addresses.append((host, int(port)))
             for address in addresses:
--- a/tests/support/threaded_server.py
+++ b/tests/support/threaded_server.py
@@ -1,4 +1,4 @@
-"""A server in threads of its own, which goes on while the process under test is busy or stands still."""
+"""A server in its own threads, which keeps responding while the process under test is busy or stopped."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ThreadedServer:
-    """Hands each request, read in one piece, to `respond` with its connection."""
+    """Passes the connection and each request, read by a single `recv`, to `respond`."""
 
     def __init__(self, respond: Callable[[socket.socket, bytes], None]) -> None:
         self.respond = respond
