--- a/gladegw/net/access_log.py
+++ b/gladegw/net/access_log.py
@@ -1,4 +1,4 @@
-"""Access log: one line a request, for the features that identify clients."""
+"""Access log: one line per request, for the features that identify clients."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 log = logging.getLogger(__name__)
 
-MAX_TEXT_CHARS = 200  # characters of a peer's text
+MAX_PEER_TEXT_CHARS = 200  # for each text that a peer sent
 
 
 def quoted(text: str) -> str:
-    """Text of a peer as an ASCII JSON string on one line, truncated to MAX_TEXT_CHARS."""
-    return json.dumps(text[:MAX_TEXT_CHARS])
+    """Return text from a peer as an ASCII JSON string on one line, truncated to MAX_PEER_TEXT_CHARS."""
+    return json.dumps(text[:MAX_PEER_TEXT_CHARS])
 
 
 class AccessLog:
--- a/gladegw/net/tls.py
+++ b/gladegw/net/tls.py
@@ -1,4 +1,4 @@
-"""The feature `tls`: a further port with TLS, whose certificates are reloaded while serving."""
+"""The feature `tls`: an additional TLS port, whose certificate files are reloaded while it serves."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 log = logging.getLogger(__name__)
 
-VERSIONS = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
-CLIENT_CERT = {"off": ssl.CERT_NONE, "optional": ssl.CERT_OPTIONAL, "required": ssl.CERT_REQUIRED}
-SHORT = {
+TLS_VERSIONS = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
+CLIENT_CERT_MODES = {"off": ssl.CERT_NONE, "optional": ssl.CERT_OPTIONAL, "required": ssl.CERT_REQUIRED}
+SHORT_ATTRIBUTE_NAMES = {
     "commonName": "CN",
     "organizationName": "O",
     "organizationalUnitName": "OU",
@@ -27,12 +27,12 @@
     "domainComponent": "DC",
     "userId": "UID",
 }
-SPECIAL = ',+"\\<>;='
+ESCAPED_CHARS = ',+"\\<>;='
 
 
 @dataclass(frozen=True, slots=True)
 class TlsSettings:
-    """Settings of the block `tls`."""
+    """Settings in the `tls` block."""
 
     port: int | None = None
     cert: str | None = None
@@ -48,19 +48,23 @@
                 raise ValueError(f"{name} must be set")
         if not 1 <= (self.port or 0) <= 65535:
             raise ValueError(f"port must be 1 to 65535, not {self.port}")
-        if self.min_version not in VERSIONS:
-            raise ValueError(f"min_version must be one of {', '.join(VERSIONS)}, not {self.min_version!r}")
+        if self.min_version not in TLS_VERSIONS:
+            raise ValueError(
+                f"min_version must be one of {', '.join(TLS_VERSIONS)}, not {self.min_version!r}"
+            )
         if not 1 <= self.reload_s <= 86_400:
             raise ValueError(f"reload_s must be 1 to 86400, not {self.reload_s}")
-        if self.client_cert not in CLIENT_CERT:
-            raise ValueError(f"client_cert must be one of {', '.join(CLIENT_CERT)}, not {self.client_cert!r}")
+        if self.client_cert not in CLIENT_CERT_MODES:
+            raise ValueError(
+                f"client_cert must be one of {', '.join(CLIENT_CERT_MODES)}, not {self.client_cert!r}"
+            )
         if self.client_cert != "off" and self.client_ca is None:
             raise ValueError(f"client_cert {self.client_cert!r} needs client_ca")
 
 
-def _escaped(value: str) -> str:
+def _escape(value: str) -> str:
     """Escape an attribute value of a distinguished name (RFC 4514)."""
-    text = "".join("\\" + sign if sign in SPECIAL else sign for sign in value)
+    text = "".join("\\" + char if char in ESCAPED_CHARS else char for char in value)
     if text.startswith(("#", " ")):
         text = "\\" + text
     return text[:-1] + "\\ " if text.endswith(" ") and len(text) > 1 else text
@@ -69,27 +73,28 @@
 def subject(certificate: Any) -> str:
     """The subject of a certificate, such as `CN=dash-0412,O=dash-link`, or `-` if there is none.
 
-    The common name comes first, then the rest from the last part to the first, as in RFC 4514.
+    The common name comes first, then the other relative distinguished names in the reverse order of
+    the certificate, as in RFC 4514.
     """
     parts = [
-        "+".join(f"{SHORT.get(name, name)}={_escaped(value)}" for name, value in part)
+        "+".join(f"{SHORT_ATTRIBUTE_NAMES.get(name, name)}={_escape(value)}" for name, value in part)
         for part in reversed((certificate or {}).get("subject", ()))
     ]
     parts.sort(key=lambda part: not part.startswith("CN="))
     return ",".join(parts) or "-"
 
 
-def reason(fault: BaseException) -> str:
-    """Why a handshake failed, in one line."""
-    if isinstance(fault, ssl.SSLCertVerificationError):
-        return f"{fault.reason}: {fault.verify_message}"
-    if isinstance(fault, ssl.SSLError) and fault.reason:
-        return fault.reason
-    return " ".join(str(fault).split()) or type(fault).__name__
+def reason(error: BaseException) -> str:
+    """Describe in one line why a handshake failed or the files could not be loaded."""
+    if isinstance(error, ssl.SSLCertVerificationError):
+        return f"{error.reason}: {error.verify_message}"
+    if isinstance(error, ssl.SSLError) and error.reason:
+        return error.reason
+    return " ".join(str(error).split()) or type(error).__name__
 
 
 class TlsContext:
-    """The context of new handshakes; open connections retain the one that they started with.
+    """Holds the SSL context for new handshakes; open connections keep the one that they started with.
 
     Raises ConfigError if the files cannot be used.
     """
@@ -99,44 +104,45 @@
         files = (settings.cert, settings.key, settings.client_ca)
         self.files = [Path(name) for name in files if name is not None]
         try:
-            self.seen = self._digest()
+            self.last_digest = self._digest()
             self.context = self._build()
-        except (OSError, ValueError) as fault:
-            raise ConfigError(f"bad settings: tls: {reason(fault)}") from None
+        except (OSError, ValueError) as error:
+            raise ConfigError(f"bad settings: tls: {reason(error)}") from None
 
     def _digest(self) -> bytes:
-        digest = blake2b(digest_size=16)
+        hasher = blake2b(digest_size=16)
         for file in self.files:
-            digest.update(file.read_bytes() + b"\0")
-        return digest.digest()
+            hasher.update(file.read_bytes() + b"\0")
+        return hasher.digest()
 
     def _build(self) -> ssl.SSLContext:
-        """Create a new context, so that a failure half way leaves the current one intact."""
+        """Create a new context; if that fails, the current one remains unchanged."""
         settings = self.settings
         assert settings.cert is not None
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-        context.minimum_version = VERSIONS[settings.min_version]
-        context.load_cert_chain(settings.cert, settings.key, password="")  # one with a pass phrase is no use
+        context.minimum_version = TLS_VERSIONS[settings.min_version]
+        # The empty password makes an encrypted key an error instead of a prompt.
+        context.load_cert_chain(settings.cert, settings.key, password="")
         if settings.client_cert != "off":
             context.load_verify_locations(settings.client_ca)
-            context.verify_mode = CLIENT_CERT[settings.client_cert]
+            context.verify_mode = CLIENT_CERT_MODES[settings.client_cert]
         return context
 
     def reload_if_changed(self) -> None:
-        """Use changed files if they are consistent; otherwise log each change once."""
+        """Load the files if they have changed. If they cannot be used, keep the context and log that once."""
         try:
-            seen = self._digest()
-        except OSError as fault:
-            seen = str(fault).encode()
-        if seen == self.seen:
+            digest = self._digest()
+        except OSError as error:
+            digest = str(error).encode()
+        if digest == self.last_digest:
             return
-        self.seen = seen
+        self.last_digest = digest
         try:
             self.context = self._build()
-        except (OSError, ValueError) as fault:
-            log.error("tls: the changed certificate is not used, the old one stays: %s", reason(fault))
+        except (OSError, ValueError) as error:
+            log.error("tls: cannot load the changed certificate, keeping the previous one: %s", reason(error))
         else:
-            log.warning("tls: new connections get the changed certificate")
+            log.warning("tls: loaded the changed certificate for new connections")
 
     async def run(self) -> None:
         """Check for changed files periodically until cancelled."""
--- a/tests/net/test_tls.py
+++ b/tests/net/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS on the further port: certificates that change, clients that are refused, and the limits of the port."""
+"""The TLS port: certificates that change, handshakes that are refused, and the limits of the port."""
 
 from __future__ import annotations
 
@@ -18,68 +18,68 @@
 from gladegw.net.tls import TlsContext, TlsSettings, subject
 
 
-class Port:
-    """A TLS port's settings and its clients."""
+class TlsPort:
+    """The settings of a TLS port with its own certificate authority, and clients of the port."""
 
-    def __init__(self, folder: Path, **more: str) -> None:
+    def __init__(self, folder: Path, **changes: str) -> None:
         self.authority = Authority(folder)
         self.cert, self.key, self.serial = self.authority.issue("server", "edge", "gladegw")
-        self.number = free_port()
-        given = {"port": str(self.number), "cert": f'"{self.cert}"', "key": f'"{self.key}"', **more}
-        self.features = "tls {\n" + "".join(f"  {key} = {value}\n" for key, value in given.items()) + "}\n"
+        self.port = free_port()
+        settings = {"port": str(self.port), "cert": f'"{self.cert}"', "key": f'"{self.key}"', **changes}
+        self.features = "tls {\n" + "".join(f"  {key} = {value}\n" for key, value in settings.items()) + "}\n"
 
-    def client(self, pair: tuple[Path, Path] | None = None) -> ssl.SSLContext:
+    def client(self, certificate_and_key: tuple[Path, Path] | None = None) -> ssl.SSLContext:
         context = ssl.create_default_context(cafile=str(self.authority.file))
-        if pair is not None:
-            context.load_cert_chain(*pair)
+        if certificate_and_key is not None:
+            context.load_cert_chain(*certificate_and_key)
         return context
 
     async def caller(self, node: Proxy, context: ssl.SSLContext | None = None) -> Caller:
         async with asyncio.timeout(PATIENCE):
-            while True:  # the port opens right after the plain one
+            while True:  # the TLS port opens shortly after the plain one
                 with contextlib.suppress(ConnectionRefusedError):
-                    return await node.caller(self.number, ssl=context or self.client())
+                    return await node.caller(self.port, ssl=context or self.client())
                 await asyncio.sleep(0.01)
 
 
-def serial(caller: Caller) -> int:
-    told = caller.writer.get_extra_info("peercert")
-    return int(told["serialNumber"], 16)
+def certificate_serial(caller: Caller) -> int:
+    certificate = caller.writer.get_extra_info("peercert")
+    return int(certificate["serialNumber"], 16)
 
 
-def test_replaced_files_serve_new_connections_and_old_ones_go_on(tmp_path: Path) -> None:
-    """The operators' check. Half a replacement is no certificate."""
+def test_replaced_files_serve_new_connections_and_open_ones_continue(tmp_path: Path) -> None:
+    """A replaced certificate is not used until its key is replaced too."""
 
     async def test() -> None:
-        port = Port(tmp_path, reload_s="1")
+        port = TlsPort(tmp_path, reload_s="1")
         async with proxy({"s-1": Backend()}, features=port.features) as node:
             old = await port.caller(node)
-            assert serial(old) == port.serial
+            assert certificate_serial(old) == port.serial
             assert (await old.call("stock", "a" * 16)).code == 200
             cert, key, new_serial = port.authority.issue("next", "edge", "gladegw")
             port.cert.write_bytes(cert.read_bytes())
-            said = await node.line("tls:")
-            assert "the old one stays" in said and "KEY_VALUES_MISMATCH" in said
-            assert serial(await port.caller(node)) == port.serial
+            line = await node.line("tls:")
+            assert "keeping the previous one" in line and "KEY_VALUES_MISMATCH" in line
+            assert certificate_serial(await port.caller(node)) == port.serial
             port.key.write_bytes(key.read_bytes())
-            assert "new connections get the changed certificate" in await node.line("tls:")
+            assert "loaded the changed certificate for new connections" in await node.line("tls:")
             new = await port.caller(node)
-            assert serial(new) == new_serial != port.serial
+            assert certificate_serial(new) == new_serial != port.serial
             for caller in (old, new):
                 assert (await caller.call("stock", "b" * 16)).code == 200
             port.cert.write_text("no certificate")
-            assert "the old one stays" in await node.line("tls:")
-            assert serial(await port.caller(node)) == new_serial
+            assert "keeping the previous one" in await node.line("tls:")
+            assert certificate_serial(await port.caller(node)) == new_serial
 
     run(test())
 
 
 def test_a_change_that_fails_is_logged_once(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
-    port = Port(tmp_path)
-    tls = TlsContext(TlsSettings(port=port.number, cert=str(port.cert), key=str(port.key)))
+    port = TlsPort(tmp_path)
+    tls = TlsContext(TlsSettings(port=port.port, cert=str(port.cert), key=str(port.key)))
     first = tls.context
     with caplog.at_level(logging.WARNING):
-        for text in ("spoilt", "spoilt", "spoilt otherwise"):
+        for text in ("invalid", "invalid", "invalid in another way"):
             port.cert.write_text(text)
             tls.reload_if_changed()
             tls.reload_if_changed()
@@ -89,19 +89,19 @@
     assert len(caplog.records) == 3 and tls.context is first
 
 
-def test_the_subject_is_logged_and_a_client_without_one_is_a_dash(tmp_path: Path) -> None:
+def test_the_subject_is_logged_or_a_dash_for_a_client_without_certificate(tmp_path: Path) -> None:
     async def test() -> None:
         root = Authority(tmp_path, "dash root")
-        port = Port(tmp_path, client_ca=f'"{root.file}"', client_cert='"optional"')
+        port = TlsPort(tmp_path, client_ca=f'"{root.file}"', client_cert='"optional"')
         car = root.issue("car", "dash-0412", "dash-link")[:2]
         async with proxy({"s-1": Backend()}, features=port.features) as node:
-            known = await port.caller(node, port.client(car))
-            assert (await known.call("stock", "a" * 16, X_Caller='dash"link')).code == 200
+            with_certificate = await port.caller(node, port.client(car))
+            assert (await with_certificate.call("stock", "a" * 16, X_Caller='dash"link')).code == 200
             line = await node.line("gladegw.net.access_log", '"aaaaaaaaaaaaaaaa"')
             assert 'client_subject="CN=dash-0412,O=dash-link"' in line and "code=200" in line
             assert 'tenant="dash\\"link' in line
-            unknown = await port.caller(node)
-            assert (await unknown.call("stock", "b" * 16)).code == 200
+            without_certificate = await port.caller(node)
+            assert (await without_certificate.call("stock", "b" * 16)).code == 200
             assert 'client_subject="-"' in await node.line('"bbbbbbbbbbbbbbbb"')
 
     run(test())
@@ -109,8 +109,8 @@
 
 def test_the_common_name_comes_first_and_values_are_escaped() -> None:
     parts = ((("commonName", "dash-0412"),), (("organizationName", 'Dash, "Link"'),))
-    wanted = 'CN=dash-0412,O=Dash\\, \\"Link\\"'
-    assert subject({"subject": parts}) == subject({"subject": parts[::-1]}) == wanted
+    expected = 'CN=dash-0412,O=Dash\\, \\"Link\\"'
+    assert subject({"subject": parts}) == subject({"subject": parts[::-1]}) == expected
     assert subject({}) == subject(None) == "-"
 
 
@@ -118,31 +118,31 @@
 def test_a_handshake_that_is_refused_is_logged_with_its_reason(case: str, tmp_path: Path) -> None:
     async def test() -> None:
         root = Authority(tmp_path, "dash root")
-        port = Port(
+        port = TlsPort(
             tmp_path,
             client_ca=f'"{root.file}"',
             client_cert='"required"',
             min_version='"1.3"' if case == "too old" else '"1.2"',
         )
         client = port.client(root.issue("car", "dash-0412", "dash-link")[:2])
-        wanted = "UNSUPPORTED_PROTOCOL"
+        expected = "UNSUPPORTED_PROTOCOL"
         if case == "too old":
             client.maximum_version = ssl.TLSVersion.TLSv1_2
         elif case == "no certificate":
-            client, wanted = port.client(), "PEER_DID_NOT_RETURN_A_CERTIFICATE"
+            client, expected = port.client(), "PEER_DID_NOT_RETURN_A_CERTIFICATE"
         elif case == "unknown issuer":
-            stranger = Authority(tmp_path, "another root").issue("stranger", "x", "y")[:2]
-            client, wanted = port.client(stranger), "CERTIFICATE_VERIFY_FAILED"
+            unknown_pair = Authority(tmp_path, "another root").issue("stranger", "x", "y")[:2]
+            client, expected = port.client(unknown_pair), "CERTIFICATE_VERIFY_FAILED"
         backend = Backend()
         async with proxy({"s-1": backend}, features=port.features) as node:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 if case == "not TLS":
-                    wanted = "HTTP_REQUEST"
-                    await (await node.caller(port.number)).call("stock", "a" * 16)
+                    expected = "HTTP_REQUEST"
+                    await (await node.caller(port.port)).call("stock", "a" * 16)
                 else:
                     await (await port.caller(node, client)).call("stock", "a" * 16)
             line = await node.line("tls: handshake refused: client=127.0.0.1:")
-            assert wanted in line
+            assert expected in line
             assert backend.count == 0
             assert (await (await node.caller()).call("stock", "b" * 16)).code == 200
 
@@ -151,40 +151,40 @@
 
 def test_a_peer_that_is_silent_at_the_handshake_or_after_it_is_closed(tmp_path: Path) -> None:
     async def test() -> None:
-        port = Port(tmp_path)
+        port = TlsPort(tmp_path)
         async with proxy({"s-1": Backend()}, features=port.features) as node:
-            after = await port.caller(node)
-            begun = time.monotonic()
-            before = await node.caller(port.number)
-            assert await before.ended() and await after.ended()
-            assert time.monotonic() - begun < PATIENCE / 2  # 3 s are owed; a slow machine takes longer
+            after_handshake = await port.caller(node)
+            started = time.monotonic()
+            before_handshake = await node.caller(port.port)
+            assert await before_handshake.ended() and await after_handshake.ended()
+            assert time.monotonic() - started < PATIENCE / 2  # the limit is 3 s; a slow machine takes longer
             assert "reason=" in await node.line("tls: handshake refused")
 
     run(test())
 
 
-def test_a_crowd_of_silent_peers_keeps_no_client_out(tmp_path: Path) -> None:
+def test_many_silent_peers_do_not_prevent_a_client_from_connecting(tmp_path: Path) -> None:
     async def test() -> None:
-        port = Port(tmp_path)
+        port = TlsPort(tmp_path)
         async with proxy({"s-1": Backend()}, features=port.features, sockets=256) as node:
             await port.caller(node)
-            crowd = [await node.caller(port.number) for _ in range(60)]
+            silent_peers = [await node.caller(port.port) for _ in range(60)]
             assert (await (await port.caller(node)).call("stock", "a" * 16)).code == 200
-            for peer in crowd:
+            for peer in silent_peers:
                 assert await peer.ended()
 
     run(test())
 
 
-def test_a_drain_finishes_what_the_tls_port_has_taken(tmp_path: Path) -> None:
+def test_a_drain_finishes_requests_received_on_the_tls_port(tmp_path: Path) -> None:
     async def test() -> None:
-        go = asyncio.Event()
+        may_respond = asyncio.Event()
 
         async def behave(seen: Any, writer: asyncio.StreamWriter) -> None:
-            await go.wait()
+            await may_respond.wait()
             writer.write(response(200, b"late"))
 
-        backend, port = Backend(behave), Port(tmp_path)
+        backend, port = Backend(behave), TlsPort(tmp_path)
         async with proxy({"s-1": backend}, features=port.features) as node:
             caller = await port.caller(node)
             caller.send("canje", "a" * 16, budget="6000m")
@@ -193,11 +193,11 @@
             async with asyncio.timeout(PATIENCE):
                 while True:  # until the port is closed
                     try:
-                        (await node.caller(port.number)).writer.close()
+                        (await node.caller(port.port)).writer.close()
                     except ConnectionRefusedError:
                         break
                     await asyncio.sleep(0.02)
-            go.set()
+            may_respond.set()
             reply = await caller.answer()
             assert (reply.code, reply.body) == (200, b"late")
             assert reply.headers["connection"] == "close"
@@ -206,9 +206,9 @@
     run(test())
 
 
-def test_bad_input_over_tls_gets_its_answer(tmp_path: Path) -> None:
+def test_invalid_http_over_tls_gets_a_400_response(tmp_path: Path) -> None:
     async def test() -> None:
-        port = Port(tmp_path)
+        port = TlsPort(tmp_path)
         async with proxy({"s-1": Backend()}, features=port.features) as node:
             caller = await port.caller(node)
             assert (await caller.raw(b"\x00\x01 not HTTP\r\n\r\n")).code == 400
@@ -217,7 +217,7 @@
     run(test())
 
 
-def test_a_certificate_that_cannot_be_read_at_the_start_is_one_line_and_exit_2(tmp_path: Path) -> None:
+def test_an_unreadable_certificate_at_startup_prints_one_line_and_exits_with_2(tmp_path: Path) -> None:
     async def test() -> None:
         file = tmp_path / "malabar.hcl"
         file.write_text('tls {\n  port = 1\n  cert = "/none"\n  key = "/none"\n}\n')
@@ -225,9 +225,9 @@
 
         raw = config("127.0.0.1:1", listing(1), f"127.0.0.1:{free_port()}")
         process = await start_program(raw, str(tmp_path), "-f", str(file))
-        _, said = await process.communicate()
+        _, stderr = await process.communicate()
         assert process.returncode == 2
-        assert said.count(b"\n") == 1 and b"No such file" in said
+        assert stderr.count(b"\n") == 1 and b"No such file" in stderr
 
     run(test())
 
@@ -244,13 +244,13 @@
         {"client_cert": "maybe"},
     ],
 )
-def test_settings_out_of_range_are_refused(wrong: dict[str, Any]) -> None:
+def test_settings_out_of_range_are_rejected(wrong: dict[str, Any]) -> None:
     with pytest.raises(ValueError):
         TlsSettings(**{"port": 8443, "cert": "c", "key": "k", **wrong})
 
 
-def test_a_spoilt_certificate_at_the_start_is_a_config_error(tmp_path: Path) -> None:
-    port = Port(tmp_path)
+def test_an_invalid_key_at_startup_is_a_config_error(tmp_path: Path) -> None:
+    port = TlsPort(tmp_path)
     port.key.write_text("no key")
     with pytest.raises(ConfigError):
-        TlsContext(TlsSettings(port=port.number, cert=str(port.cert), key=str(port.key)))
+        TlsContext(TlsSettings(port=port.port, cert=str(port.cert), key=str(port.key)))
--- a/tests/support/certificates.py
+++ b/tests/support/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates made for one test."""
+"""A certificate authority for tests."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
         self.key = ec.generate_private_key(ec.SECP256R1())
         self.name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
         self.file = folder / f"{name.replace(' ', '-')}.pem"
-        self.file.write_bytes(self._signed(self.name, self.key.public_key(), ca=True)[0])
+        self.file.write_bytes(self._sign(self.name, self.key.public_key(), ca=True)[0])
 
-    def _signed(self, name: x509.Name, key: ec.EllipticCurvePublicKey, ca: bool) -> tuple[bytes, int]:
+    def _sign(self, name: x509.Name, key: ec.EllipticCurvePublicKey, ca: bool) -> tuple[bytes, int]:
         now = datetime.datetime.now(datetime.UTC)
         serial = x509.random_serial_number()
-        made = (
+        certificate = (
             x509.CertificateBuilder()
             .subject_name(name)
             .issuer_name(self.name)
@@ -39,10 +39,10 @@
             )
             .sign(self.key, hashes.SHA256())
         )
-        return made.public_bytes(serialization.Encoding.PEM), serial
+        return certificate.public_bytes(serialization.Encoding.PEM), serial
 
-    def issue(self, stem: str, common_name: str, organization: str) -> tuple[Path, Path, int]:
-        """The certificate's file, its key's file and its serial number."""
+    def issue(self, file_stem: str, common_name: str, organization: str) -> tuple[Path, Path, int]:
+        """Issue a certificate; return its file, the file of its key, and its serial number."""
         key = ec.generate_private_key(ec.SECP256R1())
         name = x509.Name(
             [
@@ -50,14 +50,14 @@
                 x509.NameAttribute(NameOID.COMMON_NAME, common_name),
             ]
         )
-        text, serial = self._signed(name, key.public_key(), ca=False)
-        cert, private = self.folder / f"{stem}.pem", self.folder / f"{stem}.key"
-        cert.write_bytes(text)
-        private.write_bytes(
+        certificate_pem, serial = self._sign(name, key.public_key(), ca=False)
+        cert_file, key_file = self.folder / f"{file_stem}.pem", self.folder / f"{file_stem}.key"
+        cert_file.write_bytes(certificate_pem)
+        key_file.write_bytes(
             key.private_bytes(
                 serialization.Encoding.PEM,
                 serialization.PrivateFormat.PKCS8,
                 serialization.NoEncryption(),
             )
         )
-        return cert, private, serial
+        return cert_file, key_file, serial
