--- a/gladegw/net/background_writer.py
+++ b/gladegw/net/background_writer.py
@@ -1,4 +1,4 @@
-"""Writing of lines by a thread, so that a full pipe or a slow disk does not block requests."""
+"""Writes lines on a background thread, so that a full pipe or a slow disk does not block requests."""
 
 from __future__ import annotations
 
@@ -10,80 +10,80 @@
 from collections.abc import Callable, Iterable, Sequence
 
 MAX_LOG_BYTES = 128 * 1024  # of queued log lines
-CHUNK_BYTES = 32 * 1024  # per write, so that other writers of the descriptor get their turn
+CHUNK_BYTES = 32 * 1024  # written per hold of the lock, so that other writers do not wait long
 
-Write = Callable[[Sequence[bytes]], int]  # takes lines, returns how many it could not hand on
+Write = Callable[[Sequence[bytes]], int]  # writes lines and returns how many were lost
 
-_write_lock = threading.Lock()  # lines of different writers do not mix
+_write_lock = threading.Lock()  # keeps lines of different writers from interleaving
 
 
 class BackgroundWriter:
-    """Queue of at most `max_bytes` bytes, written by a thread of its own.
+    """Queue of lines of at most `max_bytes` in total, written by its own thread.
 
-    If it is full, the oldest lines are dropped and counted.
+    When it is full, the oldest lines are dropped and counted.
     """
 
     def __init__(self, write: Write, max_bytes: int, name: str) -> None:
         self.write, self.max_bytes = write, max_bytes
         self.lines: deque[bytes] = deque()
-        self.size = self.writing = self.dropped = 0  # bytes held, bytes being written, lines lost
-        self.written = 0  # batches that went out whole
+        self.queued_bytes = self.writing_bytes = self.dropped_lines = 0
+        self.complete_batches = 0  # batches written without losing a line
         self.stopping = False
-        self.changed = threading.Condition()
+        self.condition = threading.Condition()
         self.thread = threading.Thread(target=self._run, name=name, daemon=True)
         self.thread.start()
 
     def put(self, lines: Iterable[bytes]) -> None:
-        """Append lines."""
-        with self.changed:
+        """Append lines, and drop the oldest queued lines beyond the size limit."""
+        with self.condition:
             for line in lines:
                 self.lines.append(line)
-                self.size += len(line)
-            while self.lines and self.size + self.writing > self.max_bytes:
-                self.size -= len(self.lines.popleft())
-                self.dropped += 1
-            self.changed.notify_all()
+                self.queued_bytes += len(line)
+            while self.lines and self.queued_bytes + self.writing_bytes > self.max_bytes:
+                self.queued_bytes -= len(self.lines.popleft())
+                self.dropped_lines += 1
+            self.condition.notify_all()
 
     def take_dropped(self) -> int:
         """Return the number of dropped lines and reset it."""
-        with self.changed:
-            dropped, self.dropped = self.dropped, 0
+        with self.condition:
+            dropped, self.dropped_lines = self.dropped_lines, 0
         return dropped
 
     def _run(self) -> None:
         while True:
-            with self.changed:
-                self.changed.wait_for(lambda: self.lines or self.stopping)
+            with self.condition:
+                self.condition.wait_for(lambda: self.lines or self.stopping)
                 if not self.lines:
                     return
                 batch = list(self.lines)
                 self.lines.clear()
-                self.writing, self.size = self.size, 0
+                self.writing_bytes, self.queued_bytes = self.queued_bytes, 0
             try:
                 lost = self.write(batch)
             except (OSError, ValueError):
                 lost = len(batch)
-            with self.changed:
-                self.writing = 0
-                self.dropped += lost
-                self.written += not lost
+            with self.condition:
+                self.writing_bytes = 0
+                self.dropped_lines += lost
+                self.complete_batches += not lost
 
     def close(self, timeout: float) -> None:
         """Write the queued lines as far as possible within `timeout` seconds."""
-        with self.changed:
+        with self.condition:
             self.stopping = True
-            self.changed.notify_all()
+            self.condition.notify_all()
         self.thread.join(timeout)
 
 
 def to_descriptor(descriptor: int) -> Write:
-    """A function that writes lines to a file descriptor, complete lines at a time."""
+    """Return a function that writes lines to a file descriptor, several complete lines at a time."""
 
     def write(lines: Sequence[bytes]) -> int:
         chunk = bytearray()
-        for place, line in enumerate(lines, 1):
+        for position, line in enumerate(lines, 1):
             chunk += line
-            if len(chunk) < CHUNK_BYTES and place < len(lines):
+            if len(chunk) < CHUNK_BYTES and position < len(lines):
                 continue
             with _write_lock:
                 view = memoryview(bytes(chunk))
--- a/gladegw/net/capture.py
+++ b/gladegw/net/capture.py
@@ -1,4 +1,4 @@
-"""The feature `capture`: the inputs of each decision as JSON lines, from which it can be replayed."""
+"""The feature `capture`: records the inputs of each decision as JSON lines, so that it can be replayed."""
 
 from __future__ import annotations
 
@@ -20,15 +20,19 @@
 
 log = logging.getLogger(__name__)
 
-VERSION = 1
-MAX_TEXT_CHARS = 200  # characters of a peer's text
-TABLE_TEXT_DIVISOR = 4  # of the ring, maximum size of a route table's text
-STATUS = {ServerState.SERVING: "Ready", ServerState.DRAINING: "Terminating", ServerState.REMOVED: "Gone"}
+VERSION = 1  # of the record format
+MAX_TEXT_CHARS = 200  # for each text that a peer sent
+TABLE_TEXT_DIVISOR = 4  # a route table's text is recorded up to ring size / TABLE_TEXT_DIVISOR
+STATUS_NAMES = {
+    ServerState.SERVING: "Ready",
+    ServerState.DRAINING: "Terminating",
+    ServerState.REMOVED: "Gone",
+}
 
 
 @dataclass(frozen=True, slots=True)
 class CaptureSettings:
-    """Settings of the block `capture`."""
+    """Settings in the `capture` block."""
 
     ring_kb: int = 512
     dir: str | None = None
@@ -46,10 +50,11 @@
             raise ValueError("dir must name a folder")
 
 
-def encoder() -> Callable[[Any], bytes]:
-    """A JSON encoder.
+def json_encoder() -> Callable[[Any], bytes]:
+    """Return a JSON encoder.
 
-    Imported only if a capture is configured. The standard library's took a quarter of a request's CPU time.
+    msgspec is imported only if a capture is configured. The standard library's encoder took a quarter of
+    a request's CPU time.
     """
     import msgspec
 
@@ -57,15 +62,15 @@
 
 
 class RequestRecord(bytes):
-    """The line of a request, with the lists that it refers to."""
+    """The encoded record of a request, with the endpoint lists and route table that its replay needs."""
 
-    lists: dict[int, bytes]
-    generation = 0  # of the table of routes that it was routed by
-    table = b""
+    lists: dict[int, bytes]  # by serial number
+    generation = 0  # of the route table that the request was routed by; 0: none
+    table = b""  # record of that route table
 
 
 class CaptureFiles:
-    """Writes records to files of which each can be replayed alone.
+    """Writes records to files, each of which can be replayed on its own.
 
     Each file begins with the start record, and contains each list before the first record that refers to it.
     Runs in the writer's thread.
@@ -74,131 +79,136 @@
     def __init__(self, settings: CaptureSettings, name: str, start: bytes) -> None:
         assert settings.dir is not None
         self.folder, self.files, self.max_bytes = Path(settings.dir), settings.files, settings.file_kb * 1024
-        self.stem = "capture-" + re.sub(r"[^A-Za-z0-9._-]", "_", name) + "-"
-        self.start = start
+        self.file_prefix = "capture-" + re.sub(r"[^A-Za-z0-9._-]", "_", name) + "-"
+        self.start_record = start
         self.path: Path | None = None
         self.size = 0
-        self.written: set[int] = set()  # lists that the file holds
-        self.generation = 0  # of the table of routes that it holds last
+        self.written_lists: set[int] = set()  # serial numbers of the lists in the current file
+        self.generation = 0  # of the last route table in the current file
         self.failing = False
 
-    def _present(self) -> list[Path]:
-        found = [path for path in self.folder.glob(self.stem + "*.jsonl") if self._number(path) > 0]
-        return sorted(found, key=self._number)
+    def _existing_files(self) -> list[Path]:
+        files = [path for path in self.folder.glob(self.file_prefix + "*.jsonl") if self._number(path) > 0]
+        return sorted(files, key=self._number)
 
     def _number(self, path: Path) -> int:
-        text = path.name[len(self.stem) : -len(".jsonl")]
+        text = path.name[len(self.file_prefix) : -len(".jsonl")]
         return int(text) if text.isdecimal() else 0
 
-    def _next(self) -> None:
-        present = self._present()
-        number = self._number(present[-1]) + 1 if present else 1
-        self.path = self.folder / f"{self.stem}{number:06d}.jsonl"
+    def _start_next_file(self) -> None:
+        existing = self._existing_files()
+        number = self._number(existing[-1]) + 1 if existing else 1
+        self.path = self.folder / f"{self.file_prefix}{number:06d}.jsonl"
         self.path.open("xb").close()
-        for old in present[: max(0, len(present) + 1 - self.files)]:
+        for old in existing[: max(0, len(existing) + 1 - self.files)]:
             old.unlink(missing_ok=True)
         self.size = 0
-        self.written = set()
+        self.written_lists = set()
         self.generation = 0
 
     def write(self, lines: Sequence[bytes]) -> int:
-        """Write records and return the number of those lost."""
+        """Write records and return how many were lost."""
         try:
-            part: list[bytes] = []
+            pending: list[bytes] = []
             for record in lines:
-                needed = record.lists if isinstance(record, RequestRecord) else {}
+                lists = record.lists if isinstance(record, RequestRecord) else {}
                 if self.path is None or self.size + len(record) > self.max_bytes or not self.path.exists():
-                    self._out(part)
-                    self._next()
-                    part = []
-                    self._add(part, self.start)
+                    self._flush(pending)
+                    self._start_next_file()
+                    pending = []
+                    self._append(pending, self.start_record)
                 if (
                     isinstance(record, RequestRecord)
                     and record.table
                     and record.generation != self.generation
                 ):
                     self.generation = record.generation
-                    self._add(part, record.table)
-                for serial, text in needed.items():
-                    if serial not in self.written:
-                        self.written.add(serial)
-                        self._add(part, text)
-                self._add(part, record)
-            self._out(part)
-        except OSError as fault:
-            self.path = None  # what is in it may end anywhere: the next record begins another file
+                    self._append(pending, record.table)
+                for serial, text in lists.items():
+                    if serial not in self.written_lists:
+                        self.written_lists.add(serial)
+                        self._append(pending, text)
+                self._append(pending, record)
+            self._flush(pending)
+        except OSError as error:
+            self.path = None  # it may end in an incomplete line, so the next record starts another file
             if not self.failing:
                 self.failing = True
-                log.warning("capture: records stay in memory, the folder can't be written: %s", fault)
+                log.warning("capture: the folder can't be written, keeping records in memory only: %s", error)
             return len(lines)
         self.failing = False
         return 0
 
-    def _add(self, part: list[bytes], text: bytes) -> None:
-        part.append(text)
+    def _append(self, pending: list[bytes], text: bytes) -> None:
+        pending.append(text)
         self.size += len(text)
 
-    def _out(self, part: list[bytes]) -> None:
-        if part and self.path is not None:
+    def _flush(self, pending: list[bytes]) -> None:
+        if pending and self.path is not None:
             with self.path.open("ab", buffering=0) as file:
-                left = memoryview(b"".join(part))
-                while left:
-                    left = left[file.write(left) or 0 :]
+                remaining = memoryview(b"".join(pending))
+                while remaining:
+                    remaining = remaining[file.write(remaining) or 0 :]
 
 
 class OpenRequest:
-    """A request without a response yet, with the decisions on it so far."""
+    """A request that has not ended, with the decisions on it so far."""
 
     __slots__ = ("arrival", "lists", "pool", "request", "size", "steps")
 
     def __init__(self, request: Request, arrival: Arrival) -> None:
         self.request, self.arrival = request, arrival
-        self.steps: list[tuple[bytes, bytes]] = []  # of a pick, what can stand on the record; the rest
-        self.lists: set[int] = set()
-        self.pool = ""  # that took it, where routes are on
-        self.size = 0
+        # For each step, the encoded fields of a pick (empty for other steps) and the remaining fields. The
+        # pick fields of the last pick are written on the request's record itself.
+        self.steps: list[tuple[bytes, bytes]] = []
+        self.lists: set[int] = set()  # serial numbers of the lists that its decisions used
+        self.pool = ""  # that the request was routed to; empty without routes
+        self.size = 0  # bytes of `steps`
 
 
 class Capture:
-    """Records decisions in a ring buffer in memory, and in files if configured."""
+    """Records decisions in a ring buffer in memory, and also in files if configured."""
 
     def __init__(self, settings: CaptureSettings, config: Config) -> None:
         self.settings = settings
         self.max_bytes = settings.ring_kb * 1024
-        self.encode = encoder()
-        self.start = self._line(
+        self.encode = json_encoder()
+        self.start_record = self._line(
             "start",
             seed=f"{config.seed:x}",
             name=config.name,
             at=time.monotonic(),
             settings=config.raw_settings,
         )
-        self.endpoints: dict[str, bytes] = {}  # of the list as it stands, encoded, by name
-        self.names: dict[int, str] = {}
-        self.removed: set[int] = set()  # by the latest list; a pick may still come from the one before
-        self.index = self.serial = 0
-        self.lists: dict[int, bytes] = {}  # the latest, and those that a record or an open request needs
-        self.uses: dict[int, int] = {}
-        self.tables: dict[int, bytes] = {}  # of routes, by generation: the latest, and those that are needed
-        self.generation = 0
-        self.generations_in_use: set[int] = set()  # generations that requests can still go by
-        self.reports: dict[int, tuple[str, float]] = {}  # as received, with the value that the balancer uses
-        self.open: dict[int, OpenRequest] = {}
+        self.endpoints: dict[str, bytes] = {}  # encoded entries of the current list, by name
+        self.names: dict[int, str] = {}  # by server
+        self.removed: set[int] = set()  # by the latest list; a pick may still be from the previous one
+        # Of the current list: its version, as given by discovery, and its serial number in this capture
+        self.list_version = self.list_serial = 0
+        self.lists: dict[int, bytes] = {}  # by serial: the latest, and those used by a record or open request
+        self.list_uses: dict[
+            int, int
+        ] = {}  # number of records and open requests that use each list, by serial
+        self.route_tables: dict[int, bytes] = {}  # by generation: the latest, and those still needed
+        self.generation = 0  # of the latest route table
+        self.generations_in_use: set[int] = set()  # of the route tables that can still route requests
+        self.reports: dict[int, tuple[str, float]] = {}  # by server: text, in-flight value
+        self.open_requests: dict[int, OpenRequest] = {}
         self.records: deque[RequestRecord] = deque()
-        self.size = len(self.start)
-        self.dumper = BackgroundWriter(to_descriptor(2), 2 * self.max_bytes, "capture-dump")
-        self.filer: BackgroundWriter | None = None
+        self.size = len(self.start_record)  # bytes retained
+        self.dump_writer = BackgroundWriter(to_descriptor(2), 2 * self.max_bytes, "capture-dump")
+        self.file_writer: BackgroundWriter | None = None
         if settings.dir is not None:
-            self.filer = BackgroundWriter(
-                CaptureFiles(settings, config.name, self.start).write, self.max_bytes, "capture-files"
+            self.file_writer = BackgroundWriter(
+                CaptureFiles(settings, config.name, self.start_record).write, self.max_bytes, "capture-files"
             )
 
     def _line(self, kind: str, **fields: Any) -> bytes:
         return self.encode({"v": VERSION, "kind": kind, **fields}) + b"\n"
 
-    # events of the driver
+    # Events from the driver
     def on_list(self, listing: Listing) -> None:
-        """Record a list, always as a full snapshot; only changed entries are encoded again."""
+        """Record an endpoint list as a full snapshot; only the entries in `listing` are encoded again."""
         for server in self.removed:
             del self.names[server]
         self.removed = {
@@ -214,104 +224,110 @@
                     "name": listed.name,
                     "zone": entry.zone,
                     "group": entry.cell,
-                    "status": STATUS[entry.state],
+                    "status": STATUS_NAMES[entry.state],
                     "weight": entry.weight,
                 }
             )
-        before = self.serial
-        self.serial += 1
-        self.index = listing.version
-        head = self._line("list", list=self.serial, index=self.index)[:-2]
+        previous = self.list_serial
+        self.list_serial += 1
+        self.list_version = listing.version
+        head = self._line("list", list=self.list_serial, index=self.list_version)[:-2]
         text = head + b',"endpoints":[' + b",".join(self.endpoints.values()) + b"]}\n"
-        self.lists[self.serial] = text
+        self.lists[self.list_serial] = text
         self.size += len(text)
-        self._forget_list(before)
+        self._discard_unused_list(previous)
         for listed in listing.backends:
             if listed.entry.state is ServerState.REMOVED:
                 del self.endpoints[listed.name]
                 self.reports.pop(listed.entry.server, None)
         if listing.complete:
             self.reports = {server: report for server, report in self.reports.items() if server in self.names}
-        self._shrink()
+        self._enforce_size_limit()
 
     def on_load_report(self, server: int, text: bytes) -> None:
-        """Retain a load report for the decisions that use it."""
-        figure = (read_report(text) or {}).get("busy_reqs")
-        if figure is not None and server in self.names:
-            self.reports[server] = text.decode("ascii").strip()[:MAX_TEXT_CHARS], figure
+        """Keep a load report for the records of the decisions that use it."""
+        in_flight = (read_report(text) or {}).get("busy_reqs")
+        if in_flight is not None and server in self.names:
+            self.reports[server] = text.decode("ascii").strip()[:MAX_TEXT_CHARS], in_flight
 
     def on_request(self, request: Request, arrival: Arrival, pool: str = "") -> None:
         """Start the record of a request."""
-        opened = self.open[arrival.call] = OpenRequest(request, arrival)
+        opened = self.open_requests[arrival.call] = OpenRequest(request, arrival)
         opened.pool = pool
 
     def on_routes(self, generation: int, digest: str, file: str, text: str, epoch: int | None = None) -> None:
         """Record a route table, with its text if that is not too large."""
         retained_text = text if len(text) <= self.max_bytes // TABLE_TEXT_DIVISOR else None
-        ruled = {} if epoch is None else {"epoch": epoch}
+        epoch_field = {} if epoch is None else {"epoch": epoch}
         line = self._line(
-            "routes", generation=generation, digest=digest, file=file, text=retained_text, **ruled
+            "routes", generation=generation, digest=digest, file=file, text=retained_text, **epoch_field
         )
-        before, self.tables[generation] = self.generation, line
+        previous, self.route_tables[generation] = self.generation, line
         self.generation = generation
         self.size += len(line)
-        self._forget_table(before)
-        self._shrink()
+        self._discard_unused_table(previous)
+        self._enforce_size_limit()
 
     def retain_generations(self, generations: set[int]) -> None:
         """Set the route tables in use; others are retained only while a record refers to them."""
-        left, self.generations_in_use = self.generations_in_use - generations, generations
-        for generation in left:
-            self._forget_table(generation)
+        released, self.generations_in_use = self.generations_in_use - generations, generations
+        for generation in released:
+            self._discard_unused_table(generation)
 
-    def on_decision(self, number: int, step: str, used: dict[str, Any], verdict: Any) -> None:
+    def on_decision(self, number: int, step: str, inputs: dict[str, Any], verdict: Any) -> None:
         """Record a decision of the balancer on a request: its inputs and its result."""
         try:
-            self._step(number, step, used, verdict)
+            self._record_step(number, step, inputs, verdict)
         except Exception:  # a faulty record must not fail the request
             log.exception("capture: a decision could not be recorded")
-            opened = self.open.pop(number, None)
+            opened = self.open_requests.pop(number, None)
             if opened is not None:
                 self.size -= opened.size
-                self._unuse(list(opened.lists))
+                self._release_lists(list(opened.lists))
 
-    def _step(self, number: int, step: str, used: dict[str, Any], verdict: Any) -> None:
-        opened = self.open.get(number)
+    def _record_step(self, number: int, step: str, inputs: dict[str, Any], verdict: Any) -> None:
+        opened = self.open_requests.get(number)
         if opened is None:
             return
-        top = b""
+        pick_fields = b""
         if step == "pick":
-            top = self.encode(self._pick(used, verdict))[1:-1]
-            self._use(opened)
+            pick_fields = self.encode(self._pick(inputs, verdict))[1:-1]
+            self._use_current_list(opened)
             verdict = None
         elif step == "admit":
             milliseconds = opened.request.budget * 1000
             budget = opened.arrival.budget
-            used["spent"] = milliseconds / 1000 - budget
-            if milliseconds / 1000 - used["spent"] != budget:
-                used["budget"] = budget
-        rest = {"step": step, **used} if verdict is None else {"step": step, **used, "said": verdict}
-        text = self.encode(rest)[1:-1]
-        opened.steps.append((top, text))
-        size = len(top) + len(text)
+            inputs["spent"] = milliseconds / 1000 - budget
+            if milliseconds / 1000 - inputs["spent"] != budget:
+                inputs["budget"] = budget
+        step_fields = (
+            {"step": step, **inputs} if verdict is None else {"step": step, **inputs, "said": verdict}
+        )
+        text = self.encode(step_fields)[1:-1]
+        opened.steps.append((pick_fields, text))
+        size = len(pick_fields) + len(text)
         opened.size += size
         self.size += size
-        self._shrink()
+        self._enforce_size_limit()
 
-    def _pick(self, used: dict[str, Any], verdict: int) -> dict[str, Any]:
+    def _pick(self, inputs: dict[str, Any], verdict: int) -> dict[str, Any]:
         inflight, load, servers = {}, {}, {}
-        for server, known in used["servers"].items():
+        for server, server_inputs in inputs["servers"].items():
             name = self.names[server]
-            inflight[name] = known.pop("out", 0)
+            inflight[name] = server_inputs.pop("out", 0)
             report = self.reports.get(server)
-            if report is not None and "reported_at" in known and report[1] == known.get("last_report", 0.0):
-                known.pop("last_report", None)
+            if (
+                report is not None
+                and "reported_at" in server_inputs
+                and report[1] == server_inputs.get("last_report", 0.0)
+            ):
+                server_inputs.pop("last_report", None)
                 load[name] = report[0]
-            servers[name] = known
-        used["servers"] = servers
+            servers[name] = server_inputs
+        inputs["servers"] = servers
         return {
-            "index": self.index,
-            "list": self.serial,
+            "index": self.list_version,
+            "list": self.list_serial,
             "inflight": inflight,
             "load": load,
             "server": self.names[verdict],
@@ -319,11 +335,11 @@
 
     def on_end(self, number: int, code: int | None) -> None:
         """Complete the record of a request; `code` is None if the client disconnected."""
-        opened = self.open.pop(number, None)
+        opened = self.open_requests.pop(number, None)
         if opened is None:
             return
-        self._use(opened)
-        picks = [place for place, (top, _) in enumerate(opened.steps) if top]
+        self._use_current_list(opened)
+        picks = [position for position, (pick_fields, _) in enumerate(opened.steps) if pick_fields]
         last = picks[-1] if picks else -1
         request = opened.request
         budget_ms = request.budget * 1000
@@ -337,15 +353,20 @@
         }
         if request.routed is not None:
             head["route"] = request.routed.capture_fields(opened.pool)
-        unpicked = b'"index":%d,"list":%d,"inflight":{},"load":{},"server":null' % (self.index, self.serial)
+        no_pick_fields = b'"index":%d,"list":%d,"inflight":{},"load":{},"server":null' % (
+            self.list_version,
+            self.list_serial,
+        )
         steps = [
-            b"{" + top + b"," + rest + b"}" if top and place != last else b"{" + rest + b"}"
-            for place, (top, rest) in enumerate(opened.steps)
+            b"{" + pick_fields + b"," + step_fields + b"}"
+            if pick_fields and position != last
+            else b"{" + step_fields + b"}"
+            for position, (pick_fields, step_fields) in enumerate(opened.steps)
         ]
         record = RequestRecord(
             self.encode(head)[:-1]
             + b","
-            + (opened.steps[last][0] if picks else unpicked)
+            + (opened.steps[last][0] if picks else no_pick_fields)
             + b',"answer":'
             + (b"null" if code is None else b"%d" % code)
             + b',"steps":['
@@ -355,72 +376,72 @@
         record.lists = {serial: self.lists[serial] for serial in sorted(opened.lists)}
         if request.routed is not None:
             record.generation = request.routed.generation
-            record.table = self.tables.get(record.generation, b"")
+            record.table = self.route_tables.get(record.generation, b"")
         self.size += len(record) - opened.size
         self.records.append(record)
-        if self.filer is not None:
-            self.filer.put([record])
-        self._shrink()
+        if self.file_writer is not None:
+            self.file_writer.put([record])
+        self._enforce_size_limit()
 
-    # the ring
-    def _forget_table(self, generation: int) -> None:
+    # Ring buffer
+    def _discard_unused_table(self, generation: int) -> None:
         """Discard a route table that is neither in use nor referred to."""
         if generation and generation != self.generation and generation not in self.generations_in_use:
             needed = any(record.generation == generation for record in self.records)
             needed = needed or any(
                 opened.request.routed is not None and opened.request.routed.generation == generation
-                for opened in self.open.values()
+                for opened in self.open_requests.values()
             )
             if not needed:
-                self.size -= len(self.tables.pop(generation, b""))
+                self.size -= len(self.route_tables.pop(generation, b""))
 
-    def _use(self, opened: OpenRequest) -> None:
-        if self.serial not in opened.lists and self.serial in self.lists:
-            opened.lists.add(self.serial)
-            self.uses[self.serial] = self.uses.get(self.serial, 0) + 1
+    def _use_current_list(self, opened: OpenRequest) -> None:
+        if self.list_serial not in opened.lists and self.list_serial in self.lists:
+            opened.lists.add(self.list_serial)
+            self.list_uses[self.list_serial] = self.list_uses.get(self.list_serial, 0) + 1
 
-    def _unuse(self, serials: Sequence[int]) -> None:
+    def _release_lists(self, serials: Sequence[int]) -> None:
         for serial in serials:
-            self.uses[serial] -= 1
-            self._forget_list(serial)
+            self.list_uses[serial] -= 1
+            self._discard_unused_list(serial)
 
-    def _forget_list(self, serial: int) -> None:
-        if serial != self.serial and not self.uses.get(serial):
-            self.uses.pop(serial, None)
+    def _discard_unused_list(self, serial: int) -> None:
+        if serial != self.list_serial and not self.list_uses.get(serial):
+            self.list_uses.pop(serial, None)
             self.size -= len(self.lists.pop(serial, b""))
 
-    def _shrink(self) -> None:
-        """Discard the oldest records, then the steps of the oldest open request, down to the size limit."""
-        while self.size > self.max_bytes and (self.records or self.open):
+    def _enforce_size_limit(self) -> None:
+        """Discard the oldest records, then the oldest open requests, until the size limit is met."""
+        while self.size > self.max_bytes and (self.records or self.open_requests):
             if self.records:
                 record = self.records.popleft()
                 self.size -= len(record)
-                self._unuse(list(record.lists))
+                self._release_lists(list(record.lists))
                 if record.generation != self.generation:
-                    self._forget_table(record.generation)
+                    self._discard_unused_table(record.generation)
             else:
-                opened = self.open.pop(next(iter(self.open)))
+                opened = self.open_requests.pop(next(iter(self.open_requests)))
                 self.size -= opened.size
-                self._unuse(list(opened.lists))
+                self._release_lists(list(opened.lists))
 
     def dump(self) -> None:
-        """Write the ring buffer to standard error: start record, lists, request records."""
-        if self.dumper.size or self.dumper.writing:
-            log.warning("capture: the last dump is still being written")
+        """Write the ring buffer to standard error: start record, lists, route tables and request records."""
+        if self.dump_writer.queued_bytes or self.dump_writer.writing_bytes:
+            log.warning("capture: the previous dump is still being written; no new one is started")
             return
-        lines = [self.start, *self.lists.values()]
-        if len(self.tables) == 1:
-            lines += self.tables.values()
+        lines = [self.start_record, *self.lists.values()]
+        if len(self.route_tables) == 1:
+            lines += self.route_tables.values()
         generation = 0
         for record in self.records:
-            if len(self.tables) > 1 and record.table and record.generation != generation:
+            if len(self.route_tables) > 1 and record.table and record.generation != generation:
                 generation = record.generation
                 lines.append(record.table)
             lines.append(record)
-        self.dumper.put(lines)
+        self.dump_writer.put(lines)
 
     def close(self, timeout: float) -> None:
         """Stop the writers, waiting for each up to `timeout` seconds."""
-        for writer in (self.dumper, self.filer):
+        for writer in (self.dump_writer, self.file_writer):
             if writer is not None:
                 writer.close(timeout)
--- a/gladegw/net/metrics.py
+++ b/gladegw/net/metrics.py
@@ -20,10 +20,10 @@
 
 log = logging.getLogger(__name__)
 
-OTHER = "other"  # tag of classes and tenants that are not configured, which limits the number of tags
-NO_ANSWER = "none"  # code of a request whose client disconnected
-DATAGRAM = 1400  # bytes: with its headers it stays within one packet of an ordinary network
-SINKS = {"stderr": 2, "stdout": 1, "none": None}
+OTHER_TAG = "other"  # tag for classes and tenants that are not configured; bounds the number of tags
+NO_RESPONSE_CODE = "none"  # code tag of a request whose client disconnected
+MAX_DATAGRAM_BYTES = 1400  # with its headers, a datagram fits into one packet on ordinary networks
+SINK_DESCRIPTORS = {"stderr": 2, "stdout": 1, "none": None}
 STATSD_SPECIAL = re.compile(r"[\s|#:,@\x00-\x1f\x7f]")
 LINE_SPECIAL = re.compile(r"([,= ])")
 CONTROL = re.compile(r"[\x00-\x1f\x7f\\]")
@@ -33,20 +33,20 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricsSettings:
-    """Settings of the block `figures`."""
+    """Settings in the `figures` block."""
 
     format: str = "statsd"
     sink: str = "stderr"
     flush_ms: int = 1000
-    buffer_kb: int = 256  # for each target
+    buffer_kb: int = 256  # per target
     udp: str | None = None
     file: str | None = None
 
     def __post_init__(self) -> None:
         if self.format not in ("statsd", "line"):
             raise ValueError(f"format must be statsd or line, not {self.format!r}")
-        if self.sink not in SINKS:
-            raise ValueError(f"sink must be one of {', '.join(SINKS)}, not {self.sink!r}")
+        if self.sink not in SINK_DESCRIPTORS:
+            raise ValueError(f"sink must be one of {', '.join(SINK_DESCRIPTORS)}, not {self.sink!r}")
         if not 10 <= self.flush_ms <= 600_000:
             raise ValueError(f"flush_ms must be 10 to 600000, not {self.flush_ms}")
         if not 4 <= self.buffer_kb <= 65_536:
@@ -89,7 +89,7 @@
     """Encoder of the InfluxDB line format."""
 
     def __init__(self) -> None:
-        self.stamp = 0
+        self.last_timestamp = 0
 
     @staticmethod
     def tags(tags: Tags) -> str:
@@ -98,10 +98,10 @@
         return ",".join(name + "=" + LINE_SPECIAL.sub(r"\\\1", value) for name, value in values)
 
     def _line(self, name: str, field: str, value: int, tags: str) -> bytes:
-        # Two points with the same name, tags and time would be one: each gets a time of its own.
-        self.stamp = max(self.stamp + 1, time.time_ns())
+        # InfluxDB merges points with the same name, tags and time, so each point gets a unique time.
+        self.last_timestamp = max(self.last_timestamp + 1, time.time_ns())
         name = "gladegw_" + name.replace(".", "_")
-        return f"{name}{',' if tags else ''}{tags} {field}={value}i {self.stamp}\n".encode()
+        return f"{name}{',' if tags else ''}{tags} {field}={value}i {self.last_timestamp}\n".encode()
 
     def count(self, name: str, value: int, tags: str) -> bytes:
         """Encode a counter."""
@@ -117,36 +117,36 @@
 
 
 def to_file(path: Path) -> Write:
-    """A function that appends lines to a file."""
+    """Return a function that appends lines to a file."""
 
     def write(lines: Sequence[bytes]) -> int:
-        # Opened anew each time: a descriptor that is held goes on taking lines after its folder is deleted.
+        # Reopened for each batch: an open descriptor would still accept lines after its folder is deleted.
         with path.open("ab", buffering=0) as file:
-            left = memoryview(b"".join(lines))
-            while left:
-                left = left[file.write(left) or 0 :]
+            remaining = memoryview(b"".join(lines))
+            while remaining:
+                remaining = remaining[file.write(remaining) or 0 :]
         return 0
 
     return write
 
 
 def to_udp(host: str, port: int) -> Write:
-    """A function that sends lines as UDP datagrams."""
+    """Return a function that sends lines as UDP datagrams."""
     family = socket.AF_INET6 if ipaddress.ip_address(host).version == 6 else socket.AF_INET
-    sender = socket.socket(family, socket.SOCK_DGRAM)
+    udp_socket = socket.socket(family, socket.SOCK_DGRAM)
     connected = False
 
     def write(lines: Sequence[bytes]) -> int:
         nonlocal connected
         if not connected:
-            sender.connect((host, port))  # so that a target that refuses is noticed
+            udp_socket.connect((host, port))  # a connected socket reports a target that refuses datagrams
             connected = True
         lost = 0
-        for datagram in datagrams(lines):
+        for datagram in pack_datagrams(lines):
             try:
-                if sum(map(len, datagram)) > DATAGRAM:
+                if sum(map(len, datagram)) > MAX_DATAGRAM_BYTES:
                     raise OSError("too long for a datagram")
-                sender.send(b"".join(datagram))
+                udp_socket.send(b"".join(datagram))
             except OSError:
                 lost += len(datagram)
         return lost
@@ -154,18 +154,18 @@
     return write
 
 
-def datagrams(lines: Iterable[bytes]) -> Iterable[list[bytes]]:
-    """Group lines into datagrams of at most DATAGRAM bytes."""
-    together: list[bytes] = []
+def pack_datagrams(lines: Iterable[bytes]) -> Iterable[list[bytes]]:
+    """Group lines into datagrams of at most MAX_DATAGRAM_BYTES bytes."""
+    datagram: list[bytes] = []
     size = 0
     for line in lines:
-        if together and size + len(line) > DATAGRAM:
-            yield together
-            together, size = [], 0
-        together.append(line)
+        if datagram and size + len(line) > MAX_DATAGRAM_BYTES:
+            yield datagram
+            datagram, size = [], 0
+        datagram.append(line)
         size += len(line)
-    if together:
-        yield together
+    if datagram:
+        yield datagram
 
 
 class Target:
@@ -175,95 +175,97 @@
         self.name = name
         self.writer = BackgroundWriter(write, max_bytes, f"figures-{name}")
         self.failing = False
-        self.written = 0  # batches that had gone out when lines were last lost
+        self.batches_at_last_loss = 0  # the writer's complete batches when lines were last lost
 
-    def lost(self) -> int:
-        """The number of lines lost since the last call."""
+    def take_lost(self) -> int:
+        """Return the number of lines lost since the last call; log a loss or recovery."""
         lost = self.writer.take_dropped()
         if lost:
-            self.written = self.writer.written
+            self.batches_at_last_loss = self.writer.complete_batches
         if lost and not self.failing:
             self.failing = True
-            log.warning("figures: %s does not take all figures", self.name)
-        elif self.failing and self.writer.written > self.written:
+            log.warning("figures: target %s loses lines", self.name)
+        elif self.failing and self.writer.complete_batches > self.batches_at_last_loss:
             self.failing = False
-            log.warning("figures: %s takes figures again", self.name)
+            log.warning("figures: target %s accepts lines again", self.name)
         return lost
 
 
 class Metrics:
-    """Request observer that passes a batch of metrics to each target at each flush."""
+    """Request observer that sends a batch of metrics to each target at each flush."""
 
-    def __init__(self, settings: MetricsSettings, served: Settings) -> None:
+    def __init__(self, settings: MetricsSettings, balancer_settings: Settings) -> None:
         self.settings = settings
-        self.classes = {cls.name for cls in served.classes}
-        self.tenants = {tenant.name for tenant in served.tenants}
+        self.classes = {cls.name for cls in balancer_settings.classes}
+        self.tenants = {tenant.name for tenant in balancer_settings.tenants}
         self.format: StatsD | LineFormat = StatsD() if settings.format == "statsd" else LineFormat()
-        self.max_entries = settings.buffer_kb * 1024
+        self.max_bytes = settings.buffer_kb * 1024
         self.targets: list[Target] = []
-        descriptor = SINKS[settings.sink]
+        descriptor = SINK_DESCRIPTORS[settings.sink]
         if descriptor is not None:
-            self.targets.append(Target(settings.sink, to_descriptor(descriptor), self.max_entries))
+            self.targets.append(Target(settings.sink, to_descriptor(descriptor), self.max_bytes))
         if settings.udp is not None:
-            self.targets.append(Target("udp", to_udp(*address(settings.udp)), self.max_entries))
+            self.targets.append(Target("udp", to_udp(*address(settings.udp)), self.max_bytes))
         if settings.file is not None:
-            self.targets.append(Target("file", to_file(Path(settings.file)), self.max_entries))
-        self.times: deque[bytes] = deque()  # timer lines since the last flush
-        self.size = 0
+            self.targets.append(Target("file", to_file(Path(settings.file)), self.max_bytes))
+        self.timer_lines: deque[bytes] = deque()  # since the last flush
+        self.timer_bytes = 0
         self.dropped = 0
-        self.requests: dict[str, int] = {}  # ended since the last flush, by tags
-        self.answers: dict[str, int] = {}
-        self.inflight: dict[tuple[str, str], int] = {}
-        self.changed_gauges: set[tuple[str, str]] = set()  # whose gauge has changed since the last flush
-        self.rendered: dict[tuple[str, str, str], str] = {}
-
-    def _tags_of(self, request: RequestInfo) -> tuple[str, str]:
-        """The class and tenant tags of a request."""
+        self.request_counts: dict[str, int] = {}  # requests ended since the last flush, by encoded tags
+        self.response_counts: dict[str, int] = {}  # of these, the requests with a response
+        self.inflight: dict[tuple[str, str], int] = {}  # by class and tenant tag
+        self.changed_gauges: set[tuple[str, str]] = set()  # changed since the last flush
+        self.encoded_tags: dict[tuple[str, str, str], str] = {}
+
+    def _gauge_key(self, request: RequestInfo) -> tuple[str, str]:
+        """Return the class and tenant tags of a request, which identify its in-flight gauge."""
         return (
-            request.cls if request.cls in self.classes else OTHER,
-            request.tenant if request.tenant in self.tenants else OTHER,
+            request.cls if request.cls in self.classes else OTHER_TAG,
+            request.tenant if request.tenant in self.tenants else OTHER_TAG,
         )
 
     def on_start(self, request: RequestInfo) -> None:
         """Count a request in flight."""
-        key = self._tags_of(request)
-        self.inflight[key] = self.inflight.get(key, 0) + 1
-        self.changed_gauges.add(key)
+        gauge_key = self._gauge_key(request)
+        self.inflight[gauge_key] = self.inflight.get(gauge_key, 0) + 1
+        self.changed_gauges.add(gauge_key)
 
     def on_end(self, request: RequestInfo, code: int | None) -> None:
         """Record an ended request; `code` is None if it got no response."""
-        who = self._tags_of(request)
-        self.inflight[who] -= 1
-        self.changed_gauges.add(who)
-        key = (*who, str(code or NO_ANSWER))
-        tags = self.rendered.get(key)
+        gauge_key = self._gauge_key(request)
+        self.inflight[gauge_key] -= 1
+        self.changed_gauges.add(gauge_key)
+        key = (*gauge_key, str(code or NO_RESPONSE_CODE))
+        tags = self.encoded_tags.get(key)
         if tags is None:
             tags = self.format.tags((("class", key[0]), ("tenant", key[1]), ("code", key[2])))
-            self.rendered[key] = tags
-        self.requests[tags] = self.requests.get(tags, 0) + 1
+            self.encoded_tags[key] = tags
+        self.request_counts[tags] = self.request_counts.get(tags, 0) + 1
         if code is not None:
-            self.answers[tags] = self.answers.get(tags, 0) + 1
+            self.response_counts[tags] = self.response_counts.get(tags, 0) + 1
         line = self.format.timer("request", round((time.monotonic() - request.received_at) * 1000), tags)
-        self.times.append(line)
-        self.size += len(line)
-        while self.size > self.max_entries:
-            self.size -= len(self.times.popleft())
+        self.timer_lines.append(line)
+        self.timer_bytes += len(line)
+        while self.timer_bytes > self.max_bytes:
+            self.timer_bytes -= len(self.timer_lines.popleft())
             self.dropped += 1
 
     def flush(self) -> None:
-        """Pass the metrics since the last flush to the targets."""
-        batch = list(self.times)
-        self.times.clear()
-        self.size = 0
-        batch += [self.format.count("requests", count, tags) for tags, count in self.requests.items()]
-        batch += [self.format.count("answers", count, tags) for tags, count in self.answers.items()]
-        self.requests.clear()
-        self.answers.clear()
-        for who in self.changed_gauges | {who for who, count in self.inflight.items() if count}:
-            tags = self.format.tags((("class", who[0]), ("tenant", who[1])))
-            batch.append(self.format.gauge("inflight", self.inflight[who], tags))
+        """Send the metrics since the last flush to the targets."""
+        batch = list(self.timer_lines)
+        self.timer_lines.clear()
+        self.timer_bytes = 0
+        batch += [self.format.count("requests", count, tags) for tags, count in self.request_counts.items()]
+        batch += [self.format.count("answers", count, tags) for tags, count in self.response_counts.items()]
+        self.request_counts.clear()
+        self.response_counts.clear()
+        for gauge_key in self.changed_gauges | {
+            gauge_key for gauge_key, count in self.inflight.items() if count
+        }:
+            tags = self.format.tags((("class", gauge_key[0]), ("tenant", gauge_key[1])))
+            batch.append(self.format.gauge("inflight", self.inflight[gauge_key], tags))
         self.changed_gauges.clear()
-        self.dropped += sum(target.lost() for target in self.targets)
+        self.dropped += sum(target.take_lost() for target in self.targets)
         if self.dropped:
             batch.append(self.format.count("figures.dropped", self.dropped, ""))
             self.dropped = 0
