--- a/benchmarks/stamps.py
+++ b/benchmarks/stamps.py
@@ -32,7 +32,9 @@
     def route_by(*asked: Any) -> Any:
         return SimpleNamespace(pool="back", headers=list(asked[3]))
 
-    return SimpleNamespace(now="table", route_by=route_by, take=lambda *_: None, keep=lambda *_: None)
+    return SimpleNamespace(
+        current="table", route_by=route_by, activate=lambda *_: None, retain=lambda *_: None
+    )
 
 
 def stamped(**settings: Any) -> PolicyRouter:
--- a/gladegw/net/policy_router.py
+++ b/gladegw/net/policy_router.py
@@ -1,4 +1,8 @@
-"""Routing under a policy: requests are served only while a policy is usable, by the policy of their epoch."""
+"""Routing under a policy.
+
+Requests are served only while the serving lease is open. A request with a policy epoch from a trusted source
+is routed by the table of that epoch, any other request by the current table.
+"""
 
 from __future__ import annotations
 
@@ -23,9 +27,9 @@
 from gladegw.net.routes import Generation, PoolRouter
 from gladegw.routing.matcher import Table
 
-RETRY_AFTER_S = b"1"  # s
-NEVER_RAN = (b"x-rejected", b"1")  # to a proxy, which may try it elsewhere
-PreparedTable = tuple[Table, str]
+RETRY_AFTER_S = b"1"
+NOT_EXECUTED_HEADER = (b"x-rejected", b"1")  # tells a proxy that it may retry at another instance
+PreparedTable = tuple[Table, str]  # and its text
 
 
 class PolicyRouter:
@@ -35,16 +39,19 @@
         self, pools: PoolRouter, serving_lease: ServingLease, settings: PolicySettings, may_advise: bool
     ) -> None:
         self.pools, self.serving_lease, self.settings = pools, serving_lease, settings
-        self.advice = ((b"retry-after", RETRY_AFTER_S),) if may_advise else ()
+        self.retry_after_headers = ((b"retry-after", RETRY_AFTER_S),) if may_advise else ()
         self.retention = TableRetention(float(settings.hold_s))
-        self.tables: dict[PolicyEpoch, Generation] = {}  # retained beside the one in use
-        self.prepared_table: PreparedTable | None = None  # prepared table, until first requested
-        self.trusted = tuple(network(text) for text in settings.stamp_from)
-        self.trusts = lru_cache(maxsize=1024)(self._trusts)
+        self.tables: dict[PolicyEpoch, Generation] = {}  # usable tables, without the current one
+        self.prepared_table: PreparedTable | None = None  # its generation is created on the first request
+        self.trusted_networks = tuple(network(text) for text in settings.stamp_from)
+        self.is_trusted = lru_cache(maxsize=1024)(self._is_trusted)
 
     # policy changes
     def on_prepared(self, epoch: int, digest: str, ready: PreparedTable | None) -> None:
-        """A policy was prepared but is not active yet; `ready` is None if it was withdrawn."""
+        """Record the table of a policy that is prepared but not active yet.
+
+        `ready` is None if the policy was withdrawn.
+        """
         self._drop_prepared()
         if ready is not None and self.settings.stamp_from:
             self.retention.on_prepared(PolicyEpoch(epoch, digest))
@@ -52,16 +59,17 @@
 
     def activate(self, epoch: int, digest: str, ready: PreparedTable | None) -> None:
         """Activate a policy; `ready` is None if the proxy's own file is in use."""
-        stamp, last = PolicyEpoch(epoch, digest), self.retention.in_use
-        made = self.tables.pop(stamp, None)
+        policy_epoch, previous = PolicyEpoch(epoch, digest), self.retention.in_use
+        created = self.tables.pop(policy_epoch, None)
         self._drop_prepared()
-        self.retention.activate(stamp, time.monotonic())
-        if ready is None:  # by the own file
+        self.retention.activate(policy_epoch, time.monotonic())
+        if ready is None:
             return
-        if last is not None and last != stamp and self.settings.stamp_from:  # not within an epoch
-            self.tables[last] = self.pools.now
+        # The former table is retained only if the epoch has changed.
+        if previous is not None and previous != policy_epoch and self.settings.stamp_from:
+            self.tables[previous] = self.pools.current
             self.pools.loop.call_later(self.retention.retention_s, self._expire_tables)
-        self.pools.take(ready, epoch, made, list(self.tables.values()))
+        self.pools.activate(ready, epoch, created, list(self.tables.values()))
         self._expire_tables()
 
     def _drop_prepared(self) -> None:
@@ -76,42 +84,44 @@
         """Discard tables whose retention has ended."""
         for epoch in self.retention.expire(time.monotonic()):
             self.tables.pop(epoch, None)
-        self.pools.keep(list(self.tables.values()))
+        self.pools.retain(list(self.tables.values()))
 
     # requests
-    def _trusts(self, source: str) -> bool:
+    def _is_trusted(self, source: str) -> bool:
         """Whether policy epoch headers from this address are accepted."""
         try:
             address = plain(ipaddress.ip_address(source))
         except ValueError:
             return False
-        return any(address in known for known in self.trusted)
+        return any(address in trusted for trusted in self.trusted_networks)
 
-    def _requested_epoch(self, found: list[bytes], source: Callable[[], str]) -> PolicyEpoch | None:
-        """The policy epoch that the request carries; None if it comes from an untrusted address.
+    def _requested_epoch(self, values: list[bytes], source: Callable[[], str]) -> PolicyEpoch | None:
+        """The policy epoch of a request, from its header's `values`; None if its source is not trusted.
 
-        Raises BadRequestError if the header is malformed.
+        Raises BadRequestError if the header is repeated or malformed.
         """
-        if not self.trusts(source()):
+        if not self.is_trusted(source()):
             return None
-        if len(found) > 1:
+        if len(values) > 1:
             raise BadRequestError(400, "more than one stamp of a policy")
         try:
-            return parse_epoch(found[0])
+            return parse_epoch(values[0])
         except ValueError as fault:
             raise BadRequestError(400, str(fault)) from None
 
     def _generation(self, epoch: PolicyEpoch) -> Generation:
-        """The tables of a policy epoch; raises BadRequestError if they are not usable."""
+        """The generation of a policy epoch; raises BadRequestError if it is not usable."""
         state = self.retention.state_of(epoch, time.monotonic())
         if state not in USABLE_STATES:
-            raise BadRequestError(503, f"policy {epoch} is {state.value} here", (*self.advice, NEVER_RAN))
+            raise BadRequestError(
+                503, f"policy {epoch} is {state.value} here", (*self.retry_after_headers, NOT_EXECUTED_HEADER)
+            )
         if state is TableState.IN_USE:
-            return self.pools.now
-        if epoch not in self.tables:  # prepared, requested for the first time
+            return self.pools.current
+        if epoch not in self.tables:  # prepared, and requested for the first time
             assert self.prepared_table is not None
-            self.tables[epoch] = self.pools.make(*self.prepared_table, epoch.epoch)
-            self.pools.keep(list(self.tables.values()))
+            self.tables[epoch] = self.pools.create_generation(*self.prepared_table, epoch.epoch)
+            self.pools.retain(list(self.tables.values()))
         return self.tables[epoch]
 
     def __call__(
@@ -119,19 +129,19 @@
     ) -> RoutedRequest:
         """Route a request.
 
-        Raises BadRequestError, marked as never run, while the serving lease is closed, and for a policy epoch
-        that is not available.
+        Raises BadRequestError while the serving lease is closed, and for a policy epoch that is not usable.
+        If the request has a trusted policy epoch, the response carries `NOT_EXECUTED_HEADER`.
         """
         forwarded = [pair for pair in headers if pair[0] != HEADER]
         epoch = None
         if len(forwarded) != len(headers):
             epoch = self._requested_epoch([value for name, value in headers if name == HEADER], source)
         if not self.serving_lease.open:
-            marks = () if epoch is None else (NEVER_RAN,)
-            raise BadRequestError(503, "no policy in force here", (*self.advice, *marks))
-        generation = self.pools.now if epoch is None else self._generation(epoch)
+            not_executed = () if epoch is None else (NOT_EXECUTED_HEADER,)
+            raise BadRequestError(503, "no policy in force here", (*self.retry_after_headers, *not_executed))
+        generation = self.pools.current if epoch is None else self._generation(epoch)
         routed = self.pools.route_by(generation, method, target, forwarded, budget, source)
         if any(fnmatchcase(routed.pool, pattern) for pattern in self.settings.stamp_pools):
-            told = str(epoch or self.retention.in_use).encode()
-            routed.headers.append((HEADER, told))
+            value = str(epoch or self.retention.in_use).encode()
+            routed.headers.append((HEADER, value))
         return routed
--- a/gladegw/net/route_tables.py
+++ b/gladegw/net/route_tables.py
@@ -1,4 +1,4 @@
-"""Construction of a serving route table from its text."""
+"""Construction of a route table for serving from the text of a route file."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from gladegw.routing.split import hasher
 
 
-def prepared(text: str, file: str, classes: Sequence[api.RequestClass]) -> Table:
+def build_table(text: str, file: str, classes: Sequence[api.RequestClass]) -> Table:
     """Parse and check a route text, and return its table.
 
     Raises RoutingError.
@@ -28,16 +28,19 @@
         )
         for cls in classes
     }
-    # A route's time and attempts are bounded when they are used; what they should be is the tool's to say.
-    found = [one for one in check_classes(description.routes, rules) if one.code in ("R202", "R402")]
-    findings = [*tied(table), *found, *unhashed(description)]
+    # Findings about a route's timeout and attempts do not prevent serving: both are bounded for each request,
+    # and `gladegw routes` reports them to operators.
+    errors = [
+        finding for finding in check_classes(description.routes, rules) if finding.code in ("R202", "R402")
+    ]
+    findings = [*tied(table), *errors, *missing_hash_findings(description)]
     if findings:
         raise RoutingError(findings)
     return table
 
 
-def unhashed(description: Description) -> list[Finding]:
-    """Findings for features that need a hash function whose library is missing.
+def missing_hash_findings(description: Description) -> list[Finding]:
+    """Findings for parts of the table that need a hash function, if its library is not installed.
 
     They are reported when the table is read, rather than at the first request.
     """
@@ -48,8 +51,8 @@
         if places:
             hasher()
     except ModuleNotFoundError:
-        what = "splits, subsets and shares of mirrors need xxhash: pip install 'gladegw[routes]'"
-        return [Finding("R008", place, what) for place in places]
+        message = "splits, subsets and shares of mirrors need xxhash: pip install 'gladegw[routes]'"
+        return [Finding("R008", place, message) for place in places]
     return []
 
 
@@ -61,5 +64,5 @@
     try:
         return Path(path).read_bytes().decode("utf-8")
     except (OSError, UnicodeDecodeError) as fault:
-        why = fault.strerror if isinstance(fault, OSError) else "not UTF-8"
-        raise ConfigError(f"bad settings: {path}: {why}") from None
+        reason = fault.strerror if isinstance(fault, OSError) else "not UTF-8"
+        raise ConfigError(f"bad settings: {path}: {reason}") from None
--- a/gladegw/net/routes.py
+++ b/gladegw/net/routes.py
@@ -1,7 +1,7 @@
 """The feature `routes`: a route table and its pools, each with a balancer of its own.
 
-Decisions are in the package `routing`. This module passes requests to the table, lists to the pools, and
-files to new tables.
+The package `routing` makes the decisions. This module routes requests by the table, updates the members of
+the pools from endpoint lists, and builds new tables from changed files.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 from gladegw.net.features import RoutesSettings
 from gladegw.net.interfaces import FlowControl, ResponseSink
 from gladegw.net.request import BadRequestError, Headers, Request, RoutedRequest
-from gladegw.net.route_actions import edit, fixed, redirected, rewritten
-from gladegw.net.route_tables import prepared, read_file
+from gladegw.net.route_actions import edit_headers, fixed_response, redirect_response, rewrite_target
+from gladegw.net.route_tables import build_table, read_file
 from gladegw.net.shared_resources import PendingRequest, SharedResources
 from gladegw.operators.commands import BackendCounts
 from gladegw.routing.findings import RoutingError
@@ -46,14 +46,14 @@
 log = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 0.25  # between checks of quotas, spill-over and ejected members
-MAX_MIGRATIONS = 4  # between pools, of one request
-NO_MEMBER_RETRY_AFTER_S = 1.0  # for clients of a pool without members
-STATUS = {
+MAX_MIGRATIONS = 4  # moves of one request to a fallback pool
+NO_MEMBER_RETRY_AFTER_S = 1.0  # Retry-After of responses for a pool without members
+ENDPOINT_STATUS = {
     api.ServerState.SERVING: "Ready",
     api.ServerState.DRAINING: "Terminating",
     api.ServerState.REMOVED: "Gone",
 }
-UNRECORDED_HEADERS = frozenset({"x-call-id", "idempotency-key", "x-budget"})  # never recorded
+UNRECORDED_HEADERS = frozenset({"x-call-id", "idempotency-key", "x-budget"})  # left out of captures
 
 
 class ServedPool:
@@ -96,24 +96,24 @@
 class MigratingRequest:
     """A request of a route with fallbacks.
 
-    If its pool loses its last member before anything was sent, the rejection is not passed on: the request
-    moves to the fallback pool, within its own deadline.
+    If its pool loses its last member before any attempt was sent, the client does not get the rejection: the
+    request moves to a fallback pool, within its original deadline.
     """
 
-    __slots__ = ("call", "migrations", "name", "pools", "reply", "request", "served")
+    __slots__ = ("call", "migrations", "pool_name", "pool_router", "reply", "request", "served")
 
     def __init__(
-        self, pools: PoolRouter, request: Request, reply: ResponseSink, served: dict[str, ServedPool]
+        self, pool_router: PoolRouter, request: Request, reply: ResponseSink, served: dict[str, ServedPool]
     ) -> None:
-        self.pools, self.request, self.reply, self.served = pools, request, reply, served
+        self.pool_router, self.request, self.reply, self.served = pool_router, request, reply, served
         self.call: PendingRequest | None = None
-        self.name = ""
+        self.pool_name = ""
         self.migrations = 0
 
-    def open(self, name: str) -> None:
+    def forward_to(self, pool_name: str) -> None:
         """Pass the request to a pool."""
-        self.name, self.call = name, None
-        self.call = self.pools.forward(self.served[name], self.request, self)
+        self.pool_name, self.call = pool_name, None
+        self.call = self.pool_router.forward(self.served[pool_name], self.request, self)
 
     def hung_up(self) -> bool:
         """Whether the client has closed its connection."""
@@ -126,13 +126,13 @@
             code == 503
             and unsent
             and self.migrations < MAX_MIGRATIONS
-            and not self.served[self.name].members.usable
+            and not self.served[self.pool_name].members.usable
         ):
             assert self.request.routed is not None
             name = available_pool(self.request.routed, self.served)
-            if name is not None and name != self.name:
+            if name is not None and name != self.pool_name:
                 self.migrations += 1
-                self.open(name)
+                self.forward_to(name)
                 return
         self.reply.answer(code, headers, body)
 
@@ -149,13 +149,13 @@
         self.reply.finish()
 
     def abort(self) -> None:
-        """Break off the streamed response."""
+        """Abort the streamed response."""
         self.reply.abort()
 
 
 def available_pool(routed: RoutedRequest, served: Mapping[str, ServedPool]) -> str | None:
     """The first pool of the route and its fallbacks that has a usable member; None if there is none."""
-    pools = {name: one.pool for name, one in served.items()}
+    pools = {name: served_pool.pool for name, served_pool in served.items()}
     return standing_in(
         routed.pool, routed.route.fallback, pools, lambda pool: served[pool].members.usable > 0
     )
@@ -163,13 +163,13 @@
 
 @dataclass(slots=True)
 class Generation:
-    """One route table with its pools; requests that it routed stay with it."""
+    """A route table with its pools; a request stays with the generation that routed it."""
 
     number: int
     table: Table
-    served: dict[str, ServedPool]
-    looked_at: tuple[str, ...]  # headers
-    epoch: int | None = None  # of the policy that it is, where there are policies
+    served: dict[str, ServedPool]  # by name
+    recorded_headers: tuple[str, ...]  # headers that routing depends on, written to captures
+    epoch: int | None = None  # of the policy that contains the table; None without a policy
 
 
 class PoolRouter:
@@ -187,67 +187,69 @@
         self.endpoints: list[Endpoint] = []
         self.version = 0
         self.watching = False
-        self.retired: list[ServedPool] = []  # of older tables, as long as something of them is open
+        self.retired: list[ServedPool] = []  # of former tables, until their requests and exchanges end
         self.mirrored: set[PendingRequest] = set()
-        self.refused_digest = ""  # of the text that was last found invalid
-        self.table_rules = False  # by a policy that all proxies have, whatever the file says
-        self.beside: list[Generation] = []  # not in use, retained for requests with their policy epoch
+        self.invalid_digest = ""  # of the last invalid route text, so that it is logged once
+        self.policy_active = False  # a policy supplies the table for all proxies; the file is ignored
+        self.retained: list[Generation] = []  # not current, but usable by requests with their policy epoch
         inventory = EndpointInventory()
-        known = Driver.known_list(config, inventory)
-        version, within = known.version if config.known else None, config.settings.max_poll_gap
+        known_listing = Driver.known_list(config, inventory)
+        version, max_poll_gap = known_listing.version if config.known else None, config.settings.max_poll_gap
         self.discovery = Discovery(
-            config.discovery, version, within, self._on_list, self._on_failed, inventory
+            config.discovery, version, max_poll_gap, self._on_list, self._on_failed, inventory
         )
-        self._take(known)
+        self._apply_listing(known_listing)
         text = read_file(settings.file)
         try:
-            table = prepared(text, settings.file, config.settings.classes)
+            table = build_table(text, settings.file, config.settings.classes)
         except RoutingError as fault:
             raise ConfigError(f"bad settings: {fault}") from None
         self.digest = digest_of(text)
-        self.now = Generation(0, Table(Description()), {}, ())
-        self.made = 0
-        self._use(self.make(table, text))
+        self.current = Generation(0, Table(Description()), {}, ())
+        self.last_number = 0
+        self._make_current(self.create_generation(table, text))
 
-    # tables
-    def make(self, table: Table, text: str, epoch: int | None = None) -> Generation:
+    # route tables
+    def create_generation(self, table: Table, text: str, epoch: int | None = None) -> Generation:
         """Create a generation; unchanged pools retain their drivers."""
-        old, description = self.now, table.description
+        old, description = self.current, table.description
         changes = change(old.table.description, description)
         served: dict[str, ServedPool] = {}
-        begun: list[ServedPool] = []
+        new_pools: list[ServedPool] = []
         for pool in description.pools:
             if pool.name in changes.kept and pool.name in old.served:
                 served[pool.name] = old.served[pool.name]
                 continue
             driver = Driver(self.config, self.capture, self.shared, self, pool.name)
-            me = f"{self.config.name}#{self.config.settings.instance}"
-            served[pool.name] = ServedPool(pool, driver, Membership(pool, self.config.settings.zone, me))
-            begun.append(served[pool.name])
+            instance = f"{self.config.name}#{self.config.settings.instance}"
+            served[pool.name] = ServedPool(
+                pool, driver, Membership(pool, self.config.settings.zone, instance)
+            )
+            new_pools.append(served[pool.name])
         matches = [match for route in description.routes for match in route.matches]
-        headers = {text.name for match in matches for text in match.headers}
+        headers = {condition.name for match in matches for condition in match.headers}
         splits = {route.split.by.partition(":")[2] for route in description.routes if route.split}
-        looked_at = tuple(sorted((headers | splits | {TENANT_HEADER}) - UNRECORDED_HEADERS - {""}))
-        self.made += 1
+        recorded_headers = tuple(sorted((headers | splits | {TENANT_HEADER}) - UNRECORDED_HEADERS - {""}))
+        self.last_number += 1
         if self.capture is not None:
-            self.capture.on_routes(self.made, digest_of(text), self.settings.file, text, epoch)
-        for one in begun:
-            self._notify(one, api.ListKind.CACHED)
-            one.driver.start()
+            self.capture.on_routes(self.last_number, digest_of(text), self.settings.file, text, epoch)
+        for served_pool in new_pools:
+            self._notify(served_pool, api.ListKind.CACHED)
+            served_pool.driver.start()
             for other in old.served.values():
-                one.driver.inherit_freshness(other.driver)
-        return Generation(self.made, table, served, looked_at, epoch)
+                served_pool.driver.inherit_freshness(other.driver)
+        return Generation(self.last_number, table, served, recorded_headers, epoch)
 
-    def _use(self, new: Generation, beside: Sequence[Generation] = ()) -> None:
-        """Make a generation the one in use.
+    def _make_current(self, new: Generation, retained: Sequence[Generation] = ()) -> None:
+        """Make a generation the current one.
 
-        Requests with the policy epoch of one of `beside` still use that one.
+        Those in `retained` still serve the requests that carry their policy epoch.
         """
-        old, served = self.now, new.served
+        old, served = self.current, new.served
         changes = change(old.table.description, new.table.description)
         for pool in new.table.description.pools:
             served[pool.name].pool = served[pool.name].membership.pool = pool
-        self.now = new
+        self.current = new
         self.division = Division(
             tuple(served),
             {
@@ -255,85 +257,95 @@
                 for tenant in self.config.settings.tenants
             },
         )
-        self.keep(beside, old, new)
-        self._divide()
-        for one in served.values():
-            self._notify(one, api.ListKind.FULL)
+        self.retain(retained, old, new)
+        self._update_quotas()
+        for served_pool in served.values():
+            self._notify(served_pool, api.ListKind.FULL)
         log.warning("routes: generation %d (%s) in use: %s", new.number, self.digest, changes)
 
-    def keep(self, beside: Sequence[Generation], *known: Generation) -> None:
-        """Retain the generations `beside` the one in use, and retire the pools that belong to none."""
-        before = [*self.beside, *known]
-        self.beside = list(beside)
-        retained = [self.now, *beside]
-        used = {id(one) for generation in retained for one in generation.served.values()}
-        ended = {
-            id(one): one for generation in before for one in generation.served.values() if id(one) not in used
+    def retain(self, retained: Sequence[Generation], *others: Generation) -> None:
+        """Retain the generations `retained` and the current one, and no others.
+
+        The pools of the generations retained before, and of `others`, are retired if they are not used any
+        more.
+        """
+        candidates = [*self.retained, *others]
+        self.retained = list(retained)
+        live = [self.current, *retained]
+        used = {id(served_pool) for generation in live for served_pool in generation.served.values()}
+        unused = {
+            id(served_pool): served_pool
+            for generation in candidates
+            for served_pool in generation.served.values()
+            if id(served_pool) not in used
         }
-        for one in ended.values():
-            one.driver.retired = True
-        self._retire(list(ended.values()))
+        for served_pool in unused.values():
+            served_pool.driver.retired = True
+        self._retire(list(unused.values()))
         if self.capture is not None:
-            self.capture.retain_generations({generation.number for generation in retained})
+            self.capture.retain_generations({generation.number for generation in live})
 
     def prepare(self, name: str, text: str) -> tuple[Table, str]:
-        """Check a route text for `take`; may be called in any thread.
+        """Check a route text and build its table for `activate`; may be called from any thread.
 
         Raises RoutingError.
         """
-        return prepared(text, name, self.config.settings.classes), text
+        return build_table(text, name, self.config.settings.classes), text
 
-    def take(
-        self, ready: tuple[Table, str], epoch: int, made: Generation | None, beside: Sequence[Generation]
+    def activate(
+        self, ready: tuple[Table, str], epoch: int, created: Generation | None, retained: Sequence[Generation]
     ) -> None:
         """Use the route table of a policy; the proxy's own file is not read any more.
 
-        `made` is its generation, if that was created before.
+        `created` is the table's generation if requests have already used it, else None.
         """
         table, text = ready
-        self.digest, self.table_rules = digest_of(text), True
-        self._use(made or self.make(table, text, epoch), beside)
+        self.digest, self.policy_active = digest_of(text), True
+        self._make_current(created or self.create_generation(table, text, epoch), retained)
 
     async def reload(self) -> None:
-        """Read the file again.
+        """Read the route file again and use its table.
 
-        A file that is invalid changes nothing and is logged once.
+        An invalid file changes nothing, and its error is logged once.
         """
-        if self.table_rules:
+        if self.policy_active:
             return
         digest = ""
         try:
             text = await asyncio.to_thread(read_file, self.settings.file)
             digest = digest_of(text)
-            if digest in (self.digest, self.refused_digest):
+            if digest in (self.digest, self.invalid_digest):
                 return
-            table = await asyncio.to_thread(prepared, text, self.settings.file, self.config.settings.classes)
+            table = await asyncio.to_thread(
+                build_table, text, self.settings.file, self.config.settings.classes
+            )
         except (ConfigError, RoutingError) as fault:
-            if not digest or digest != self.refused_digest:
-                log.error("routes: generation %d goes on: %s", self.now.number, fault)
-            self.refused_digest = digest
+            if not digest or digest != self.invalid_digest:
+                log.error("routes: generation %d remains active: %s", self.current.number, fault)
+            self.invalid_digest = digest
             return
-        self.digest, self.refused_digest = digest, ""
-        self._use(self.make(table, text))
+        self.digest, self.invalid_digest = digest, ""
+        self._make_current(self.create_generation(table, text))
 
     async def run(self) -> None:
         """Reload the file when it changes, if watching is configured."""
-        seen = self._stamp()
+        last_signature = self._file_signature()
         while self.settings.watch_ms:
             await asyncio.sleep(self.settings.watch_ms / 1000)
-            stamp = self._stamp()
-            if stamp != seen:
-                seen = stamp
+            signature = self._file_signature()
+            if signature != last_signature:
+                last_signature = signature
                 await self.reload()
 
-    def _stamp(self) -> tuple[int, int, int]:
+    def _file_signature(self) -> tuple[int, int, int]:
+        """Inode, modification time and size, which change with the file; zeros if it cannot be read."""
         try:
-            found = Path(self.settings.file).stat()
+            status = Path(self.settings.file).stat()
         except OSError:
             return (0, 0, 0)
-        return (found.st_ino, found.st_mtime_ns, found.st_size)
+        return (status.st_ino, status.st_mtime_ns, status.st_size)
 
-    # lists
+    # endpoint lists
     def watch(self, on: bool) -> None:
         """Start the watch that serves all pools."""
         if on and not self.watching:
@@ -344,7 +356,7 @@
         """Request a full snapshot from discovery."""
         self.discovery.fetch()
 
-    def _take(self, listing: Listing) -> None:
+    def _apply_listing(self, listing: Listing) -> None:
         if listing.complete:
             self.backends = {}
         for listed in listing.backends:
@@ -362,69 +374,85 @@
                 listed.entry.zone,
                 listed.entry.kind,
                 listed.entry.cell,
-                STATUS[listed.entry.state],
+                ENDPOINT_STATUS[listed.entry.state],
                 listed.entry.weight,
             )
             for name, listed in self.backends.items()
         ]
 
     def _on_list(self, listing: Listing) -> None:
-        self._take(listing)
-        for one in self._every():
-            self._notify(one, api.ListKind.FULL, listing)
+        self._apply_listing(listing)
+        for served_pool in self._all_pools():
+            self._notify(served_pool, api.ListKind.FULL, listing)
 
     def _on_failed(self, failure: api.DiscoveryFailure) -> None:
         self.watching = False
-        for one in self._every():
-            one.driver.list_failed(failure)
+        for served_pool in self._all_pools():
+            served_pool.driver.list_failed(failure)
 
     def on_discovery_address_change(self) -> None:
-        """A new configuration may contain another address of discovery."""
-        for one in self._every():
-            one.driver.on_discovery_address_change()
-
-    def _every(self) -> list[ServedPool]:
-        found = {id(one): one for one in (*self.now.served.values(), *self.retired)}
-        for generation in self.beside:
-            found |= {id(one): one for one in generation.served.values()}
-        return list(found.values())
-
-    def _retire(self, more: list[ServedPool]) -> None:
-        self.retired = [one for one in self.retired + more if one.driver.calls or one.driver.in_flight]
+        """Tell the pools that the configuration, and with it the discovery address, may change."""
+        for served_pool in self._all_pools():
+            served_pool.driver.on_discovery_address_change()
+
+    def _all_pools(self) -> list[ServedPool]:
+        """All pools of the current and the retained generations, and those being retired."""
+        by_id = {
+            id(served_pool): served_pool for served_pool in (*self.current.served.values(), *self.retired)
+        }
+        for generation in self.retained:
+            by_id |= {id(served_pool): served_pool for served_pool in generation.served.values()}
+        return list(by_id.values())
+
+    def _retire(self, added: list[ServedPool]) -> None:
+        """Track `added` as retired, and forget the retired pools that have nothing open."""
+        self.retired = [
+            served_pool
+            for served_pool in self.retired + added
+            if served_pool.driver.calls or served_pool.driver.in_flight
+        ]
 
-    def _notify(self, one: ServedPool, kind: api.ListKind, listing: Listing | None = None) -> None:
+    def _notify(self, served_pool: ServedPool, kind: api.ListKind, listing: Listing | None = None) -> None:
         """Update the members of a pool.
 
-        `listing` is the list just received from discovery; without it the update does not count as fresh.
+        `listing` is the list just received from discovery. Without it, the update does not count as fresh
+        information about the endpoints.
         """
-        one.members = one.membership.look(self.endpoints, time.monotonic(), self._ejected(one.driver))
-        entries = [self.backends[name].entry for name in sorted(one.members.names)]
-        if listing is not None or entries != one.notified_members:
-            one.notified_members = entries
+        served_pool.members = served_pool.membership.look(
+            self.endpoints, time.monotonic(), self._ejected(served_pool.driver)
+        )
+        entries = [self.backends[name].entry for name in sorted(served_pool.members.names)]
+        if listing is not None or entries != served_pool.notified_members:
+            served_pool.notified_members = entries
             current, age = (listing.current, listing.age) if listing is not None else (False, 0.0)
-            one.driver.on_pool_members(entries, self.version, kind, current, age)
+            served_pool.driver.on_pool_members(entries, self.version, kind, current, age)
 
     def _ejected(self, driver: Driver) -> frozenset[str]:
         """Backends that the pool's balancer has ejected."""
-        out = {server.id for server in driver.balancer.servers.avoided()}
-        if not out:
+        avoided = {server.id for server in driver.balancer.servers.avoided()}
+        if not avoided:
             return frozenset()
-        return frozenset(name for name, listed in self.backends.items() if listed.entry.server in out)
+        return frozenset(name for name, listed in self.backends.items() if listed.entry.server in avoided)
 
     def _check_pools(self) -> None:
-        for one in self.now.served.values():
-            before = one.members
-            self._notify(one, api.ListKind.FULL)
-            if before.spilled != one.members.spilled:
-                change_text = "all zones serve" if one.members.spilled else "the zone serves alone"
-                log.warning("routes: pool %s: %s: %s", one.pool.name, change_text, one.members.reason)
-        self._divide()
+        for served_pool in self.current.served.values():
+            before = served_pool.members
+            self._notify(served_pool, api.ListKind.FULL)
+            if before.spilled != served_pool.members.spilled:
+                change_text = (
+                    "now uses all zones" if served_pool.members.spilled else "now uses its own zone only"
+                )
+                log.warning(
+                    "routes: pool %s %s: %s", served_pool.pool.name, change_text, served_pool.members.reason
+                )
+        self._update_quotas()
         self._retire([])
         self.loop.call_later(CHECK_INTERVAL_S, self._check_pools)
 
-    def _divide(self) -> None:
+    def _update_quotas(self) -> None:
+        """Divide the tenants' quotas among the pools, by the requests that each one gets."""
         for pool, parts in self.division.parts(time.monotonic()).items():
-            self.now.served[pool].driver.balancer.quota.update(parts)
+            self.current.served[pool].driver.balancer.quota.update(parts)
 
     # requests
     def start(self) -> None:
@@ -438,12 +466,12 @@
     @property
     def calls(self) -> int:
         """The number of requests whose response is pending, without mirrored ones."""
-        open_ones = sum(len(one.driver.calls) for one in self._every())
-        return open_ones - sum(call.open for call in self.mirrored)
+        open_requests = sum(len(served_pool.driver.calls) for served_pool in self._all_pools())
+        return open_requests - sum(call.open for call in self.mirrored)
 
     def listed_backends(self) -> BackendCounts:
-        """Counts of backends for operators; one that any pool avoids counts as skipped."""
-        drivers = [one.driver for one in list(self.now.served.values())]
+        """Counts of backends for operators; a backend that any pool avoids counts as skipped."""
+        drivers = [served_pool.driver for served_pool in list(self.current.served.values())]
         avoided = {server.id for driver in drivers for server in driver.balancer.servers.avoided()}
         return self.shared.backends(avoided)
 
@@ -458,11 +486,11 @@
 
         Raises BadRequestError for a response that the route gives itself, and if no route matches.
         """
-        return self.route_by(self.now, method, target, headers, budget, source)
+        return self.route_by(self.current, method, target, headers, budget, source)
 
     def route_by(
         self,
-        by: Generation,
+        generation: Generation,
         method: bytes,
         target: bytes,
         headers: Headers,
@@ -470,28 +498,28 @@
         source: Callable[[], str],
     ) -> RoutedRequest:
         """Route a request by a given generation; raises BadRequestError as `route` does."""
-        found = dict(headers)
+        header_values = dict(headers)
         ask = Ask(
             method.decode("latin-1"),
             target.decode("latin-1"),
-            found.get(b"host", b"").decode("latin-1"),
+            header_values.get(b"host", b"").decode("latin-1"),
             headers,
             budget * 1000,
-            found.get(b"x-caller", b"").decode("latin-1"),
+            header_values.get(b"x-caller", b"").decode("latin-1"),
             source(),
-            found.get(b"x-call-id", b"").decode("latin-1"),
+            header_values.get(b"x-call-id", b"").decode("latin-1"),
         )
-        entry = by.table.find(ask)
+        entry = generation.table.find(ask)
         if entry is None:
             raise BadRequestError(404, "no route")
         route = entry.route
         if route.answer is not None:
-            raise fixed(route.answer)
+            raise fixed_response(route.answer)
         if route.redirect is not None:
-            raise redirected(route.redirect, ask)
-        edited = edit(headers, route) if route.edits else headers
+            raise redirect_response(route.redirect, ask)
+        edited = edit_headers(headers, route) if route.edits else headers
         if route.rewrite is not None:
-            target = rewritten(route.rewrite, entry.match.path.value, ask).encode("latin-1")
+            target = rewrite_target(route.rewrite, entry.match.path.value, ask).encode("latin-1")
         return RoutedRequest(
             route.cls,
             target,
@@ -501,10 +529,10 @@
             route,
             first_pool(route, ask),
             ask,
-            by.number,
-            by.looked_at,
-            by.served,
-            by.epoch,
+            generation.number,
+            generation.recorded_headers,
+            generation.served,
+            generation.epoch,
         )
 
     def on_request(self, request: Request, reply: ResponseSink) -> PendingRequest | MigratingRequest | None:
@@ -529,40 +557,46 @@
         call: PendingRequest | MigratingRequest | None
         if routed.route.fallback or served[routed.pool].pool.fallback:
             call = MigratingRequest(self, request, reply, served)
-            call.open(name)
+            call.forward_to(name)
         else:
             call = self.forward(served[name], request, reply)
         if routed.route.mirror is not None and call is not None:
             self._mirror(request, routed, served)
         return call
 
-    def forward(self, one: ServedPool, request: Request, reply: ResponseSink) -> PendingRequest | None:
+    def forward(
+        self, served_pool: ServedPool, request: Request, reply: ResponseSink
+    ) -> PendingRequest | None:
         """Pass a request to the driver of a pool."""
-        if one.driver.retired and one not in self.retired:  # read before the table changed
-            self.retired.append(one)
-            self._notify(one, api.ListKind.FULL)
-        return one.driver.on_request(request, reply)
+        # The table may have changed since the request was routed, and its pool may have been forgotten.
+        if served_pool.driver.retired and served_pool not in self.retired:
+            self.retired.append(served_pool)
+            self._notify(served_pool, api.ListKind.FULL)
+        return served_pool.driver.on_request(request, reply)
 
     def on_body_complete(self, call: PendingRequest | MigratingRequest) -> None:
         """The streamed body of the request has been received completely."""
-        now = call.call if isinstance(call, MigratingRequest) else call
-        if now is not None:
-            now.driver.on_body_complete(now)
+        pending = call.call if isinstance(call, MigratingRequest) else call
+        if pending is not None:
+            pending.driver.on_body_complete(pending)
 
     def on_disconnect(self, call: PendingRequest | MigratingRequest) -> None:
         """Cancel the request of a client that disconnected."""
-        now = call.call if isinstance(call, MigratingRequest) else call
-        if now is not None:
-            now.driver.on_disconnect(now)
+        pending = call.call if isinstance(call, MigratingRequest) else call
+        if pending is not None:
+            pending.driver.on_disconnect(pending)
 
     def _mirror(self, request: Request, routed: RoutedRequest, served: Mapping[str, ServedPool]) -> None:
-        """Send a copy whose response is discarded; skipped if too many are open."""
+        """Send a copy of the request to the mirror pool, whose response is discarded.
+
+        Only idempotent requests are copied, and none while the maximum of open copies is reached.
+        """
         mirror = routed.route.mirror
         assert mirror is not None
         target = served.get(mirror.pool)
         self.mirrored = {call for call in self.mirrored if call.open}
-        safe = self.effects.get(request.cls) is api.Effect.IDEMPOTENT
-        if target is None or not safe or len(self.mirrored) >= self.settings.mirrors:
+        idempotent = self.effects.get(request.cls) is api.Effect.IDEMPOTENT
+        if target is None or not idempotent or len(self.mirrored) >= self.settings.mirrors:
             return
         if mirror.share < 1 and unit(routed.ask.call_id, "mirror") >= mirror.share:
             return
