--- a/gladegw/net/drain.py
+++ b/gladegw/net/drain.py
@@ -9,30 +9,30 @@
 from gladegw.net.downstream.server import DownstreamServer
 from gladegw.operators.lifecycle import State
 
-ACCEPT_AFTER_TERM_S = 0.45  # while the load balancer in front notices
-LAST_ACCEPT_S = 0.6  # after SIGTERM, when the listener and idle connections close
+ACCEPT_AFTER_TERM_S = 0.45  # normal service until the load balancer in front notices the drain
+LISTENER_CLOSE_DELAY_S = 0.6  # from SIGTERM until the listener and the last idle connections close
 POLL_INTERVAL_S = 0.01  # between checks for pending responses
 DRAIN_POLL_INTERVAL_S = 0.1  # between checks of connections accepted while draining
-UNUSED_CONNECTION_S = 1.0  # for the first request of a connection accepted while draining
-LAST_BYTES_S = 1.0  # for the last responses to be received
+FIRST_REQUEST_TIMEOUT_S = 1.0  # of a connection accepted while draining
+FINAL_DELIVERY_TIMEOUT_S = 1.0  # for clients to receive the last responses
 
 
 class Drain:
-    """Follows the life cycle: draining, ready again, or shutting down.
+    """Drains the downstream connections as the lifecycle state requires, and resumes service.
 
-    `has_pending` returns the number of pending responses.
+    `count_pending` returns the number of pending responses.
     """
 
-    def __init__(self, server: DownstreamServer, has_pending: Callable[[], int]) -> None:
-        self.server, self.has_pending = server, has_pending
+    def __init__(self, server: DownstreamServer, count_pending: Callable[[], int]) -> None:
+        self.server, self.count_pending = server, count_pending
         self.drain_task: asyncio.Task[None] | None = None
 
     def on_state(self, state: State) -> None:
         """Handle a state change; may be called from any thread."""
-        self.server.loop.call_soon_threadsafe(self.follow, state)
+        self.server.loop.call_soon_threadsafe(self.apply_state, state)
 
-    def follow(self, state: State) -> None:
-        """Start or cancel draining on the event loop."""
+    def apply_state(self, state: State) -> None:
+        """Start or cancel draining; called on the event loop."""
         if state is State.DRAINING and self.drain_task is None:
             self.drain_task = self.server.loop.create_task(self._drain())
         elif state is State.READY or state is State.STARTING:
@@ -45,7 +45,7 @@
             self.drain_task = None
 
     async def _drain(self) -> None:
-        """Drain while the process and its listener stay.
+        """Drain while the process keeps running and its listener stays open.
 
         The load balancer in front may still send requests, and the drain may be cancelled.
         """
@@ -54,14 +54,14 @@
         self.server.close_idle()
         while True:
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
-            self.server.close_idle(time.monotonic() - UNUSED_CONNECTION_S)
+            self.server.close_idle(time.monotonic() - FIRST_REQUEST_TIMEOUT_S)
 
     async def shut_down(self) -> None:
         """Shut down gracefully.
 
-        Clients continue to use a connection that stays open, and would lose what is pending at the end. Hence
-        each response first closes its own connection, then idle ones are closed, and the process ends when
-        nothing is pending.
+        Clients continue to use connections that stay open, and would lose the requests that are pending when
+        the process ends. Hence each response closes its own connection first, then idle connections are
+        closed, and the process ends when nothing is pending.
         """
         self._stop()
         server = self.server
@@ -69,14 +69,14 @@
             await asyncio.sleep(ACCEPT_AFTER_TERM_S)
         server.drain()
         server.close_idle()
-        await asyncio.sleep(LAST_ACCEPT_S - ACCEPT_AFTER_TERM_S)
+        await asyncio.sleep(LISTENER_CLOSE_DELAY_S - ACCEPT_AFTER_TERM_S)
         await server.acceptor.close()
-        answered_at = time.monotonic()
-        while server.connections or self.has_pending():
+        last_pending_at = time.monotonic()
+        while server.connections or self.count_pending():
             server.close_idle(partial=True)
-            if self.has_pending() or server.has_pending:
-                answered_at = time.monotonic()
-            elif time.monotonic() > answered_at + LAST_BYTES_S:
-                break  # the peers of the last responses had their time
+            if self.count_pending() or server.has_pending:
+                last_pending_at = time.monotonic()
+            elif time.monotonic() > last_pending_at + FINAL_DELIVERY_TIMEOUT_S:
+                break
             await asyncio.sleep(POLL_INTERVAL_S)
         server.abort()
--- a/gladegw/net/serve.py
+++ b/gladegw/net/serve.py
@@ -15,7 +15,7 @@
 
 from gladegw.limits.descriptor_budget import FLEET_MEMBER_DESCRIPTORS
 from gladegw.net import discovery, listener
-from gladegw.net import driver as decisions
+from gladegw.net import driver as driver_module
 from gladegw.net import features as settings_file
 from gladegw.net.access_log import AccessLog
 from gladegw.net.addresses import Addresses
@@ -41,9 +41,9 @@
     from gladegw.net.timing import RequestTiming
 
 LOG_FLUSH_TIMEOUT_S = 0.5  # for each target of metrics or logs at shutdown
-POLL_INTERVAL_S = 0.02  # between checks
+POLL_INTERVAL_S = 0.02  # between readiness checks when replacing a process
 REREAD_INTERVAL_S = 0.1  # between attempts to read an invalid configuration
-MAX_REREADS = 30  # updates at a new address count as known 4 s after the signal
+MAX_REREADS = 30  # ends within 4 s of the signal, when updates at a new discovery address count as known
 FIRST_LIST_TIMEOUT_S = 3.0  # for the first list and the first response of a backend, when replacing a process
 
 log = logging.getLogger(__name__)
@@ -78,7 +78,7 @@
     task.add_done_callback(running.remove)
 
 
-def pools(settings: RoutesSettings, config: Config, capture: Capture | None) -> PoolRouter:
+def create_pool_router(settings: RoutesSettings, config: Config, capture: Capture | None) -> PoolRouter:
     """Create the router of the feature `routes`, whose code is imported only if configured."""
     from gladegw.net.routes import PoolRouter
 
@@ -113,7 +113,7 @@
 
 
 def request_timing(features: Features, config: Config) -> RequestTiming | None:
-    """The request observer of the feature `rollout`; None if that is not configured."""
+    """The request observer of the feature `rollout`; None if it is not configured."""
     if features.rollout is None:
         return None
     from gladegw.net.timing import RequestTiming
@@ -122,7 +122,7 @@
 
 
 async def wait_for_first_list(driver: Driver | PoolRouter, term: asyncio.Event) -> None:
-    """Wait until discovery and a backend have answered, while an older process still serves.
+    """Wait until discovery and a backend have responded, while the process to be replaced still serves.
 
     Returns after FIRST_LIST_TIMEOUT_S in any case, or when `term` is set.
     """
@@ -142,19 +142,21 @@
 async def serve(config: Config, features: Features) -> None:
     """Serve until SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
-    if features.coordination is not None:  # its descriptors are not shared out
+    if features.coordination is not None:  # reserve the descriptors of the fleet member
         config = dataclasses.replace(config, sockets=config.sockets - FLEET_MEMBER_DESCRIPTORS)
     term = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, term.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, term.set)
     capture = Capture(features.capture, config) if features.capture is not None else None
     if capture is not None:
         loop.add_signal_handler(signal.SIGUSR2, capture.dump)
     running: list[asyncio.Task[None]] = []
     admin = CommandServer(config.admin) if config.admin is not None else None
-    replaces = listener.is_taken(*config.listen)
+    replaces_process = listener.is_taken(*config.listen)
     driver: Driver | PoolRouter = (
-        Driver(config, capture) if features.routes is None else pools(features.routes, config, capture)
+        Driver(config, capture)
+        if features.routes is None
+        else create_pool_router(features.routes, config, capture)
     )
     loop.add_signal_handler(signal.SIGHUP, on_hangup, driver, running)
     lifecycle, counters = Lifecycle(), driver.shared.counters
@@ -204,10 +206,10 @@
             ),
             driver.shared.budget.operators,
         )
-    if replaces:
+    if replaces_process:
         await wait_for_first_list(driver, term)
         while member is not None and not member.may_serve and not term.is_set():
-            await asyncio.sleep(POLL_INTERVAL_S)  # from then on this process gets every new connection
+            await asyncio.sleep(POLL_INTERVAL_S)  # once it listens, this process gets every new connection
     server.acceptor.listen(*config.listen)
     if metrics is not None:
         running.append(loop.create_task(metrics.run()))
@@ -217,7 +219,8 @@
     if tls is not None:
         server.acceptor.listen(config.listen[0], tls.settings.port or 0, tls)
         running.append(loop.create_task(tls.run()))
-    # What is alive now stays alive: it need not be looked at again and again in pauses that calls wait for.
+    # Objects alive now live as long as the process. Freezing them exempts them from later collections, whose
+    # pauses delay requests.
     gc.collect()
     gc.freeze()
     gc.set_threshold(50_000, 20, 50)
@@ -239,7 +242,10 @@
 
 
 def run(file: str | None) -> int:
-    """Serve by EDGE_CONFIG with the features of the settings file, and return the exit code."""
+    """Serve with the configuration of EDGE_CONFIG and the features of the settings file.
+
+    Returns the exit code.
+    """
     logs: BackgroundWriter | None = None
     log_format = "%(levelname)s %(name)s: %(message)s"
     try:
@@ -248,7 +254,7 @@
         if features:
             logs = BackgroundWriter(to_descriptor(sys.stderr.fileno()), MAX_LOG_BYTES, "log")
             logging.basicConfig(handlers=[LogHandler(logs)], format=log_format)
-            for module in (discovery, decisions):  # discovery calls, lists applied, servers withheld
+            for module in (discovery, driver_module):  # discovery calls, lists applied, servers withheld
                 logging.getLogger(module.__name__).setLevel(logging.INFO)
         else:
             logging.basicConfig(stream=sys.stderr, format=log_format)
