--- a/gladegw/net/acceptor.py
+++ b/gladegw/net/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepting of downstream connections: listeners, the descriptor limit, and what precedes HTTP."""
+"""Accepting of downstream connections: listeners, the descriptor limit, address headers, TLS handshakes."""
 
 from __future__ import annotations
 
@@ -25,47 +25,46 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ACCEPTED_PER_TURN = 32  # so that others get their turn in the event loop
-MAX_EXAMINED_PER_TURN = 128  # the same, including those closed unread
-HANDSHAKE_FRACTION = 0.1  # of the descriptor limit, for handshakes
-RESUME_INTERVAL_S = 0.02  # until the next check, if no connection ends
+MAX_ACCEPTED_PER_TURN = 32  # bounds how long other callbacks of the event loop wait
+MAX_EXAMINED_PER_TURN = 128  # the same, counting also the connections that are closed unread
+HANDSHAKE_FRACTION = 0.1  # of the descriptor limit, for address headers and TLS handshakes
+RESUME_INTERVAL_S = 0.02  # until a paused listener resumes, if no connection ends before
 LOG_INTERVAL_S = 5.0  # between log lines about failures to accept
-TLS_CLOSE_TIMEOUT_S = 1.0  # for the peer's closing alert
+TLS_CLOSE_TIMEOUT_S = 1.0  # for the peer's close_notify alert
 FINAL_ACCEPT_S = 0.3  # to accept queued connections before closing
 
-MakeProtocol = Callable[[ClientIdentity | None, float], asyncio.BaseProtocol]  # who, and when it came
+MakeProtocol = Callable[[ClientIdentity | None, float], asyncio.BaseProtocol]  # client, time of connecting
 
 
 class Acceptor:
     """Accepts connections while fewer than `max_descriptors` descriptors are in use.
 
-    Near that limit `evict` is called with the number of connections to evict. `make_protocol` creates the
-    protocol of an accepted connection.
+    Near that limit, `evict` is called with the number of connections to evict. `make_protocol` creates the
+    protocol of an accepted connection, and `count_connections` returns the number of open connections.
     """
 
     def __init__(
         self,
         make_protocol: MakeProtocol,
         max_descriptors: int,
-        connections_open: Callable[[], int],
+        count_connections: Callable[[], int],
         evict: Callable[[int], None],
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self.make_protocol, self.max_descriptors, self.connections_open, self.evict = (
+        self.make_protocol, self.max_descriptors, self.count_connections, self.evict = (
             make_protocol,
             max_descriptors,
-            connections_open,
+            count_connections,
             evict,
         )
         self.max_served = max(1, int(max_descriptors * SERVED_FRACTION))
         self.flood = ConnectionFlood(self.max_served)
         self.identifier: ClientIdentifier | None = None
         self.listeners: dict[socket.socket, Certificates | None] = {}
-        self.paused: set[socket.socket] = set()  # listeners not being accepted from
+        self.paused: set[socket.socket] = set()  # listeners from which connections are not accepted
         self.handshakes: set[asyncio.Task[None]] = set()
-        self.identifying: dict[
-            asyncio.Task[None], None
-        ] = {}  # those at a door or a handshake, the oldest first
+        # Those of the handshakes that wait for the client's address header or TLS messages, oldest first:
+        self.identifying: dict[asyncio.Task[None], None] = {}
         self.last_logged = 0.0
 
     def listen(self, host: str, port: int, certificates: Certificates | None = None) -> None:
@@ -80,13 +79,13 @@
     @property
     def descriptors_in_use(self) -> int:
         """The number of descriptors of downstream connections."""
-        return self.connections_open() + len(self.handshakes)
+        return self.count_connections() + len(self.handshakes)
 
     def reserve_descriptor(self) -> bool:
-        """Whether one more descriptor may be used.
+        """Evict a connection if necessary, and return whether one more descriptor may be used.
 
-        Near the limit it replaces that of an evicted connection, which closes in the next iteration of the
-        event loop, or belongs to a client whose request will be shed.
+        Near the limit the new descriptor replaces that of an evicted connection, which closes in the next
+        iteration of the event loop, or it serves a client whose request will be shed.
         """
         in_use = self.descriptors_in_use
         if in_use >= self.max_served:
@@ -96,8 +95,9 @@
     def _accept(self, sock: socket.socket) -> None:
         """Accept queued connections.
 
-        Near the limit, queued connections that lag as those of a connection flood do are closed unread, so
-        that other clients do not wait behind them; each one accepted replaces an evicted one.
+        Near the limit, queued connections that send as slowly as those of a connection flood are closed
+        unread, so that other clients do not wait behind them. Each connection accepted there replaces an
+        evicted one.
         """
         in_use = before = self.descriptors_in_use
         examined, full = 0, False
@@ -114,7 +114,7 @@
                     self._log_fault(fault)
                     self.evict(1)
                     return self._pause_listener(sock)
-                examined += 1  # it failed before it was accepted; others may be queued behind it
+                examined += 1  # the connection failed in the queue; others may be queued behind it
                 continue
             examined += 1
             accepted_at = time.monotonic()
@@ -136,7 +136,7 @@
     def _is_lagging(self, client: socket.socket, queued: listener.QueuedConnection, tls: bool) -> bool:
         """Whether a queued connection has sent too little, or a part of a head and then nothing.
 
-        A client of TLS waits for this side after its first message.
+        TLS clients are exempt from the second rule: after its first message, a client waits for the server.
         """
         if is_lagging(queued.received, queued.age, self.flood.silence_timeout):
             return True
@@ -144,10 +144,10 @@
         return is_stalled and not listener.has_complete_head(client)
 
     def _log_fault(self, fault: OSError) -> None:
-        """Log a fault of accepting, at most once in LOG_INTERVAL_S."""
+        """Log a failure to accept, at most once in LOG_INTERVAL_S."""
         if time.monotonic() > self.last_logged + LOG_INTERVAL_S:
             self.last_logged = time.monotonic()
-            log.warning("connections can't be accepted: %s", fault)
+            log.warning("cannot accept connections: %s", fault)
 
     def _pause_listener(self, sock: socket.socket) -> None:
         """Stop accepting from a listener for RESUME_INTERVAL_S, or until a connection ends."""
@@ -164,22 +164,25 @@
                 self.loop.add_reader(sock, self._accept, sock)
 
     def _admit(self, client: socket.socket, certificates: Certificates | None, accepted_at: float) -> None:
-        """Start the handshake of an accepted socket."""
+        """Start the handshake of an accepted socket.
+
+        If too many clients are being identified, the oldest handshake is cancelled.
+        """
         client.setblocking(False)
         task = self.loop.create_task(self._handshake(client, certificates, accepted_at))
         self.handshakes.add(task)
         task.add_done_callback(self.handshakes.discard)
         if self.identifier is not None or certificates is not None:
             if len(self.identifying) >= max(1, int(self.max_descriptors * HANDSHAKE_FRACTION)):
-                next(iter(self.identifying)).cancel()  # the oldest one
+                next(iter(self.identifying)).cancel()
             self.identifying[task] = None
             task.add_done_callback(self.identifying.pop)
 
     async def _handshake(
         self, sock: socket.socket, certificates: Certificates | None, accepted_at: float
     ) -> None:
-        """Perform everything that precedes HTTP, within the timeout of a first request."""
-        handed_on = False
+        """Read the address header and do the TLS handshake, within the timeout of a request's head."""
+        socket_handed_over = False
         client = "unknown"
         peer: ClientIdentity | None = None
         try:
@@ -196,7 +199,7 @@
                     "ssl_shutdown_timeout": TLS_CLOSE_TIMEOUT_S,
                     "ssl_handshake_timeout": accepted_at + HEAD_TIMEOUT_S - time.monotonic(),
                 }
-            handed_on = True
+            socket_handed_over = True
             await self.loop.connect_accepted_socket(
                 partial(self.make_protocol, peer, accepted_at), sock, **options
             )
@@ -204,14 +207,14 @@
             if str(fault):
                 log.warning("connection closed: client=%s reason=%s", client, fault)
         except OSError as fault:
-            if handed_on and certificates is not None:
+            if socket_handed_over and certificates is not None:
                 log.warning("tls: handshake refused: client=%s reason=%s", client, reason(fault))
             elif isinstance(fault, TimeoutError):
-                log.warning("connection closed: client=%s reason=nothing came in time", client)
+                log.warning("connection closed: client=%s reason=timed out before identification", client)
         except Exception:
-            log.exception("a connection could not be taken")
+            log.exception("unexpected error while accepting a connection")
         finally:
-            if not handed_on:
+            if not socket_handed_over:
                 sock.close()
 
     async def close(self) -> None:
@@ -231,7 +234,7 @@
                     self._admit(sock.accept()[0], certificates, time.monotonic())
                 except BlockingIOError:  # the queue is empty
                     break
-                except OSError:  # temporary, or of one connection only: others can be accepted
+                except OSError:  # temporary, or it concerns one connection only
                     await asyncio.sleep(RESUME_INTERVAL_S / 4)
             sock.close()
         self.listeners = {}
--- a/tests/net/test_addresses.py
+++ b/tests/net/test_addresses.py
@@ -230,7 +230,7 @@
             silent, half = await node.caller(), await started(node, b"PROXY TCP4 203.")
             assert await silent.ended() and await half.ended()
             assert time.monotonic() - begun < PATIENCE / 2  # 3 s are owed; a slow machine takes longer
-            await node.line("connection closed", "nothing came in time")
+            await node.line("connection closed", "reason=timed out before identification")
 
     run(test())
 
