--- a/tests/net/test_routes_sockets.py
+++ b/tests/net/test_routes_sockets.py
@@ -380,8 +380,9 @@
         settings = RoutesSettings(file=str(tmp_path / "routes.hcl"))
         pools = PoolRouter(settings, load({"EDGE_CONFIG": str(path)}))
         before = {name: served.driver for name, served in pools.current.served.items()}
-        changed = first_table.replace('names = ["n-*"]', 'names = ["m-*"]')
-        changed = changed.replace('pool "none"', 'pool "nobody"')
+        changed = first_table.replace('names = ["n-*"]', 'names = ["m-*"]').replace(
+            'pool "none"', 'pool "nobody"'
+        )
         (tmp_path / "routes.hcl").write_text(changed)
         await pools.reload()
         after = {name: served.driver for name, served in pools.current.served.items()}
