--- a/gladegw/coordination/blackout_windows.py
+++ b/gladegw/coordination/blackout_windows.py
@@ -1,7 +1,7 @@
 """Blackout windows: times of the week in which a rollout does not advance.
 
-Operators write them in UTC, as `16:00 - 18:30` for each day or as `Fri 16:00 - Mon 06:00`. Without I/O; the
-time is an argument.
+Operators write them in UTC: `16:00 - 18:30` applies to each day, `Fri 16:00 - Mon 06:00` to each week. This
+module does no I/O and reads no clock: the time is an argument.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 
 DAYS = ("Mon", "Tue", "Wed", "Thu", "Fri", "Sat", "Sun")
 MINUTES_PER_DAY, MINUTES_PER_WEEK = 24 * 60, 7 * 24 * 60
-_END = r"(?:(\w+) +)?(\d\d?):(\d\d)"
-_WINDOW = re.compile(rf"{_END} *- *{_END}", re.ASCII)
+_BOUNDARY = r"(?:(\w+) +)?(\d\d?):(\d\d)"
+_WINDOW = re.compile(rf"{_BOUNDARY} *- *{_BOUNDARY}", re.ASCII)
 
 
 class BlackoutWindowError(ValueError):
-    """A text that is no blackout window; the message names the text and the reason."""
+    """The text is not a valid blackout window; the message names the text and the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class BlackoutWindow:
     """One recurring window, in minutes: from `first` up to but not including `end`.
 
-    `end` is smaller than `first` for a window over midnight or over Sunday. `period` is the length of the
-    cycle, a day or a week.
+    `end` is smaller than `first` if the window extends past midnight or past the end of the week. `period` is
+    the time after which the window recurs: a day or a week.
     """
 
     first: int
@@ -33,7 +33,7 @@
     period: int
 
     def contains(self, minute: int) -> bool:
-        """Whether the window includes this minute of the week."""
+        """Whether the window includes this minute, counted from Monday 00:00 UTC."""
         return (minute - self.first) % self.period < (self.end - self.first) % self.period
 
 
@@ -61,7 +61,7 @@
 
 
 def in_blackout(windows: Iterable[str], seconds: float) -> bool:
-    """Whether one of the windows includes this time, in s since the Unix epoch.
+    """Whether one of the windows includes this time, given in s since the Unix epoch.
 
     A window that cannot be parsed counts as active, so that no rollout advances by mistake.
     """
--- a/gladegw/coordination/duty.py
+++ b/gladegw/coordination/duty.py
@@ -3,7 +3,8 @@
 The holder's key exists under its lease; the fencing token is the key's create revision, which only grows (the
 etcd election recipe, etcd.io/docs "Interacting with etcd: leases and elections"). A member never infers
 ownership from a request it has sent, only from the store: from a transaction's response or from its own key
-in a watch. Each effect is started only while `may_act` is true, and compares the token where it writes.
+in a watch. An effect is anything that only the holder may do. It is started only while `may_act` is true, and
+the resource that it changes compares the token.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
     CLAIMING = "asking"  # a claim is in flight
     UNCERTAIN = "unsure"  # the claim's result is unknown, so the key is read
     HELD = "holding"
-    RELEASING = "leaving"  # no effect is started any more
+    RELEASING = "leaving"  # the key is being deleted; no new effect is started
 
 
 class Event(Enum):
@@ -33,8 +34,8 @@
     OWNED_BY_OTHER = "other"  # the store has another member's key
     VACANT = "nobody"  # the store has no key
     UNKNOWN = "unknown"  # a request got no response
-    EXPIRED = "expired"  # by the member's own clock, or the store has no such lease
-    RELEASE = "leave"  # on SIGTERM, LAMEDUCK, or a newer process of the same name
+    EXPIRED = "expired"  # the lease: by the member's own clock, or because the store does not have it
+    RELEASE = "leave"  # the member gives it up: on SIGTERM, LAMEDUCK, or a newer process of the same name
 
 
 class Action(Enum):
@@ -48,7 +49,7 @@
 
 
 P, E, A = Phase, Event, Action
-# A pair without an entry changes nothing.
+# By phase and event: the next phase and the actions to take. A pair without an entry causes no transition.
 TRANSITIONS: dict[tuple[Phase, Event], tuple[Phase, tuple[Action, ...]]] = {
     (P.IDLE, E.CLAIM_DUE): (P.CLAIMING, (A.CLAIM,)),
     (P.IDLE, E.OWNED): (P.HELD, (A.START,)),  # a claim presumed lost has succeeded
@@ -81,15 +82,15 @@
 
     phase: Phase = Phase.IDLE
     token: int = 0  # fencing token; 0 while the duty is not held
-    seen_revision: int = 0  # of the newest store update that was applied
+    seen_revision: int = 0  # store revision of the newest update that was applied
 
 
 def step(duty: Duty, event: Event, token: int = 0, revision: int = 0) -> tuple[Duty, tuple[Action, ...]]:
     """Apply an event and return the new state with the actions to take.
 
-    `token` belongs to OWNED; `revision` is the store's at the time of its update, 0 for events from
-    elsewhere. An update older than one already applied changes nothing, since responses and watch events
-    arrive out of order.
+    `token` is given with OWNED only. `revision` is the store revision that the event reports, or 0 if the
+    event does not come from the store. An update older than one already applied changes nothing, since
+    responses and watch events arrive out of order.
     """
     if revision and revision < duty.seen_revision:
         return duty, ()
@@ -97,7 +98,7 @@
     if event is Event.OWNED and duty.phase is P.HELD:
         if token == duty.token:
             return updated, ()
-        return replace(updated, token=token), (A.STOP, A.START)  # the own key was recreated
+        return replace(updated, token=token), (A.STOP, A.START)  # this member's key was deleted and recreated
     transition = TRANSITIONS.get((duty.phase, event))
     if transition is None:
         return updated, ()
@@ -106,7 +107,7 @@
 
 
 def event_of_key(token: int, lease_of_key: int, lease: Lease) -> Event:
-    """Return the event that the state of the duty's key in the store means to a member.
+    """Return the event for a member that results from the duty's key as read from the store.
 
     Only a key under the member's current lease is its own. One under an older lease of the same process is
     not, because the member no longer tracks that lease's expiry. `token` 0 means that there is no key.
@@ -132,12 +133,12 @@
 def release(key: bytes, lease: int, also: tuple[Operation, ...] = ()) -> Txn:
     """Return the transaction that deletes the duty's key, with the operations in `also`.
 
-    A key that another member has by now stays. The lease is compared, since a claim whose response is
-    outstanding has no token yet.
+    It leaves the key in place if another member owns it by now. It compares the lease instead of the token,
+    which is not known yet while the response to the claim is outstanding.
     """
     return Txn((Compare(key, Target.LEASE, "=", lease),), (Delete(key), *also), (Get(key),))
 
 
 def fenced(key: bytes, token: int, *effects: Operation, compares: tuple[Compare, ...] = ()) -> Txn:
-    """Return the transaction that writes `effects` only while the token and `compares` hold."""
+    """Return the transaction that writes `effects` if the key has this token and `compares` hold."""
     return Txn((Compare(key, Target.CREATE, "=", token), *compares), effects, (Get(key),))
--- a/gladegw/coordination/lease.py
+++ b/gladegw/coordination/lease.py
@@ -1,10 +1,10 @@
-"""A store lease as its holder can prove it by its own clock alone.
+"""A store lease with an expiry that its holder computes from its own clock alone.
 
 By its own clock, the store expires a lease one time to live after the last renewal arrived. The holder cannot
-observe that moment. It counts from before the renewal was sent, which is earlier, and subtracts a fraction
-for clock drift. Its expiry therefore lies before the store's as long as the clock rates differ by less than
-that fraction; no clock has to show the right time (C. Gray and D. Cheriton, "Leases", SOSP 1989, section 2).
-The holder's clock must also count the time for which the machine was suspended.
+observe that moment. It counts from the moment before it sent the renewal, which is earlier, and subtracts a
+fraction for clock drift. Its expiry therefore lies before the store's as long as the clock rates differ by
+less than that fraction; no clock has to show the right time (C. Gray and D. Cheriton, "Leases", SOSP 1989,
+section 2). The holder's clock must also count the time for which the machine was suspended.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import math
 from dataclasses import dataclass
 
-MAX_CLOCK_DRIFT = 0.15  # fraction of a time to live: a clock 10 % slow against one 5 % fast
+MAX_CLOCK_DRIFT = 0.15  # fraction of the time to live; covers a clock 10 % slow against one 5 % fast
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
 
 
 def granted(id: int, sent: float, ttl: float, drift: float = MAX_CLOCK_DRIFT) -> Lease:
-    """Return the lease of an answered grant.
+    """Return the lease after a response to its grant.
 
     `sent` is when the request was sent, not when its response arrived. Times in s.
     """
@@ -39,10 +39,10 @@
 
 
 def renewed(lease: Lease, id: int, sent: float, ttl: float, drift: float = MAX_CLOCK_DRIFT) -> Lease:
-    """Return the lease after an answered renewal.
+    """Return the lease after a response to a renewal.
 
     Responses may arrive late and out of order, so `until` never decreases. A `ttl` of 0 means that the store
-    has no such lease: it has ended, whatever its expiry was. A response for another lease changes nothing.
+    has no such lease, so it is over whatever its expiry was. A response for another lease changes nothing.
     """
     if id != lease.id or not id:
         return lease
@@ -52,18 +52,18 @@
 
 
 def renewal_due(lease: Lease, ttl: float, drift: float = MAX_CLOCK_DRIFT) -> float:
-    """Return when to send the next renewal: at a third of the validity after an answered one."""
+    """Return when to send the next renewal: a third of the validity after the last answered one was sent."""
     return lease.until - ttl * (1.0 - drift) * 2 / 3
 
 
 class StaleTokenError(Exception):
-    """An effect with an older token than one that was accepted; the message names both."""
+    """An effect has an older token than one accepted before; the message names both tokens."""
 
 
 class Fence:
     """The guard of a resource outside the store against former holders of a duty.
 
-    It retains the highest fencing token and rejects lower ones. Writes to the store need none: their
+    It stores the highest fencing token and rejects lower ones. Writes to the store need no Fence, since their
     transaction compares the token.
     """
 
--- a/gladegw/coordination/policy_commit.py
+++ b/gladegw/coordination/policy_commit.py
@@ -1,9 +1,9 @@
 """Two-phase commit of policy changes: the participant's state machine and the coordinator's decision.
 
-Without I/O. The votes and the decision are in the store, so the loss of a coordinator blocks nothing: whoever
-holds the duty decides by one transaction, and until then nothing has changed (two phases as in J. Gray,
-"Notes on data base operating systems", 1978, section 5.8.3.3). docs/design/policy.md has the invariants and
-the transition table.
+Without I/O. The votes and the decision are in the store, so the loss of a coordinator blocks nothing:
+whichever member holds the duty next decides in one transaction, and until then nothing has changed (two
+phases as in J. Gray, "Notes on data base operating systems", 1978, section 5.8.3.3). docs/design/policy.md
+has the invariants and the transition table.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
     PREPARE = "prepare"  # fetch, check and compile the bundle `preparing`
     VOTE_YES = "yes"
     VOTE_NO = "no"
-    ACTIVATE = "take"  # serve by `digest` from here on
-    PREPARE_FALLBACK = "spare"  # the baseline's bundle, to leave the stage without a delay
+    ACTIVATE = "take"  # serve by `digest` from now on
+    PREPARE_FALLBACK = "spare"  # prepare the baseline's bundle, to leave the stage without a delay
     DISCARD_PREPARED = "drop"
 
 
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenChange:
-    """A change that is open; `id` is the create revision of its key."""
+    """An open change; `id` is the create revision of its key."""
 
     id: int
     epoch: int
@@ -73,23 +73,23 @@
 class Participant:
     """A member's state in the two-phase commit.
 
-    `epoch` and `digest` are those it serves by, `prepared` and `fallback` digests of bundles that are ready
-    beside that one: for the open change, and for leaving the stage. `joined` means that it has served under
-    this membership, so it goes on while a change is open. `reverted_epoch` is the epoch in which it left the
-    stage by itself; -1 if none.
+    `epoch` and `digest` name the policy it serves by. `prepared` and `fallback` are digests of further
+    bundles that are compiled: for the open change, and for leaving the stage. `joined` means that it has
+    served since it registered, so it keeps serving while a change is open. `reverted_epoch` is the epoch in
+    which it left the stage by itself; -1 if none.
     """
 
     phase: Phase = Phase.UNKNOWN
     epoch: int = -1
     digest: str = ""
     prepared: str = ""
-    preparing: str = ""  # digest
+    preparing: str = ""  # digest of the bundle that is being prepared
     open_change: OpenChange | None = None
     committed: CommittedPolicy = field(default_factory=CommittedPolicy)
     joined: bool = False
     fallback: str = ""
     reverted_epoch: int = -1
-    seen_revision: int = 0  # of the newest store update that was applied
+    seen_revision: int = 0  # store revision of the newest update that was applied
 
     @property
     def may_serve(self) -> bool:
@@ -161,7 +161,7 @@
 
 
 def revert_unconfirmed(member: Participant) -> tuple[Participant, Actions]:
-    """Leave a stage whose rollout sends no heartbeats, for the rest of this epoch.
+    """Leave the stage for the rest of this epoch, because its rollout sends no heartbeats.
 
     The member then serves by the baseline, which was committed together with the stage.
     """
@@ -174,7 +174,7 @@
         return member, ()
     reverted = replace(member, reverted_epoch=committed.epoch)
     baseline = CommittedPolicy(committed.epoch, committed.baseline)
-    if member.fallback == committed.baseline:  # a vote it has given stands, with the bundle prepared for it
+    if member.fallback == committed.baseline:  # a vote already sent stays valid, and so does its bundle
         return replace(reverted, committed=baseline, digest=baseline.digest, fallback=""), (A.ACTIVATE,)
     after, actions = _on_commit(replace(reverted, prepared=""), baseline)
     return after, _discard_prepared(member) + actions
@@ -197,7 +197,7 @@
 
 
 def on_prepare_result(member: Participant, digest: str, able: bool) -> tuple[Participant, Actions]:
-    """Apply the result of a PREPARE; the result of one that is obsolete changes nothing."""
+    """Apply the result of a PREPARE action; the result of an obsolete one is ignored."""
     if digest != member.preparing or member.phase not in (P.PREPARING, P.BEHIND):
         return member, ()
     if member.phase is P.PREPARING:
@@ -225,8 +225,8 @@
     """Reset a member that lost its lease and has registered again.
 
     It may have missed commits, and its vote under the old lease is gone. `keep_serving` means that nothing
-    can be committed without this member, so that it serves on while it reads the store; it does not after a
-    yes vote, with which a commit may have happened.
+    can be committed without this member, so it keeps serving while it reads the store. After a yes vote it
+    does not, since the change may have been committed with that vote.
     """
     keep_serving = keep_serving and member.may_serve and not in_doubt(member)
     return replace(member, phase=P.UNKNOWN, open_change=None, prepared="", preparing="", joined=keep_serving)
@@ -235,8 +235,8 @@
 def in_doubt(member: Participant) -> bool:
     """Whether another policy may have been committed without the member's knowledge.
 
-    That is so after a yes vote. Until it knows the outcome, the member may serve only while it is connected
-    to the store, whatever the setting `when_cut_off` says.
+    That is possible once it has voted yes. Until it knows the outcome, the member may serve only while it is
+    connected to the store, whatever the setting `when_cut_off` says.
     """
     return member.phase is P.VOTED_YES
 
@@ -280,8 +280,8 @@
     """Decide an open change from the votes.
 
     `proposed_with` has the processes registered at the proposal and `signed_off` those of them that left
-    gracefully. `unreached` has known names without a process, where they block a commit (`when_cut_off` is
-    `serve`).
+    gracefully. `unreached` has the known names without a process if those block a commit (`when_cut_off` is
+    `serve`), and is empty otherwise.
     """
     present = set(registered)
     if change.epoch != committed.epoch + 1:
@@ -290,13 +290,13 @@
     if lost:
         return Decision(Outcome.ABORT, f"lost while it was open: {', '.join(lost)}")
     valid = {
-        who: vote
-        for who, vote in votes.items()
-        if who in present and vote.change == change.id and vote.digest == change.digest
+        name: vote
+        for name, vote in votes.items()
+        if name in present and vote.change == change.id and vote.digest == change.digest
     }
-    against = sorted(who for who, vote in valid.items() if not vote.yes)
-    if against:
-        return Decision(Outcome.ABORT, "; ".join(f"{who}: {valid[who].reason}" for who in against))
+    rejecting = sorted(name for name, vote in valid.items() if not vote.yes)
+    if rejecting:
+        return Decision(Outcome.ABORT, "; ".join(f"{name}: {valid[name].reason}" for name in rejecting))
     missing = sorted(unreached)
     if missing:
         return Decision(Outcome.ABORT, f"not reached: {', '.join(missing)}")
--- a/gladegw/coordination/policy_epochs.py
+++ b/gladegw/coordination/policy_epochs.py
@@ -1,8 +1,8 @@
 """The policy epoch header, by which all proxies on a request's path decide by the same policy.
 
-The first proxy adds the header. It names the epoch and the bundle's digest, so it means the same to each
-proxy, whatever updates that one has received. A proxy without the named table sheds the request, since any
-other table would apply a second policy to it.
+The first proxy adds the header, which names the epoch and the bundle's digest. It thus means the same policy
+to each proxy, whatever updates that proxy has received. A proxy without the named table sheds the request,
+since with any other table the request would be subject to two policies.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 HEADER = b"x-policy-epoch"
 PATTERN = re.compile(rb"(0|[1-9]\d{0,11})-([0-9a-f]{0,64})")
-MAX_RETAINED_TABLES = 4  # bounds the memory, whatever the retention time
+MAX_RETAINED_TABLES = 4  # besides the one in use; bounds the memory, whatever the retention time
 
 
 class PolicyEpochError(ValueError):
-    """A header value that is no policy epoch."""
+    """The header's value is not a valid policy epoch."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,8 +46,8 @@
     """The state at one proxy of the table that a policy epoch names."""
 
     IN_USE = "in use"
-    RETAINED = "held"  # was in use before
-    PREPARED = "prepared"  # committed already, since another proxy sent its epoch
+    RETAINED = "held"  # was in use before, and can still be used
+    PREPARED = "prepared"  # and committed already, since another proxy sent its epoch
     RETIRED = "retired"
     UNKNOWN = "unknown"
 
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class TableRetention:
-    """The tables that a proxy can decide by.
+    """The route tables by which a proxy can decide requests.
 
     `retention_s` is how long a table is retained after it was in use; it must exceed the longest time that a
     request takes from the first proxy to the last.
@@ -68,42 +68,42 @@
     retained: dict[PolicyEpoch, float] = field(default_factory=dict)  # expiry times in s
     prepared: PolicyEpoch | None = None
 
-    def on_prepared(self, stamp: PolicyEpoch | None) -> None:
-        """Record the table to be voted for, before the vote is sent; None once the change has ended."""
-        newer = stamp is not None and (self.in_use is None or stamp.epoch > self.in_use.epoch)
-        self.prepared = stamp if newer else None
+    def on_prepared(self, policy_epoch: PolicyEpoch | None) -> None:
+        """Record the prepared table before the yes vote is sent, or None once the change is closed."""
+        newer = policy_epoch is not None and (self.in_use is None or policy_epoch.epoch > self.in_use.epoch)
+        self.prepared = policy_epoch if newer else None
 
-    def activate(self, stamp: PolicyEpoch, now: float) -> None:
+    def activate(self, policy_epoch: PolicyEpoch, now: float) -> None:
         """Put a table in use and retain the one before it."""
-        if stamp == self.in_use:
+        if policy_epoch == self.in_use:
             return
-        self.retained.pop(stamp, None)
+        self.retained.pop(policy_epoch, None)
         if self.in_use is not None:
             self.retained[self.in_use] = now + self.retention_s
-        self.in_use = stamp
-        if self.prepared is not None and self.prepared.epoch <= stamp.epoch:
+        self.in_use = policy_epoch
+        if self.prepared is not None and self.prepared.epoch <= policy_epoch.epoch:
             self.prepared = None
 
-    def state_of(self, stamp: PolicyEpoch, now: float) -> TableState:
+    def state_of(self, policy_epoch: PolicyEpoch, now: float) -> TableState:
         """Return the state of the table that a request's policy epoch names."""
-        if stamp == self.in_use:
+        if policy_epoch == self.in_use:
             return TableState.IN_USE
-        if now < self.retained.get(stamp, now):
+        if now < self.retained.get(policy_epoch, now):
             return TableState.RETAINED
-        if stamp == self.prepared:
+        if policy_epoch == self.prepared:
             return TableState.PREPARED
-        if self.in_use is None or stamp.epoch > self.in_use.epoch:
+        if self.in_use is None or policy_epoch.epoch > self.in_use.epoch:
             return TableState.UNKNOWN
         return TableState.RETIRED
 
     def expire(self, now: float) -> list[PolicyEpoch]:
-        """Drop tables past their retention and return them, each once."""
-        order = sorted(self.retained, key=lambda stamp: self.retained[stamp])
+        """Drop the tables that are no longer retained, and return their policy epochs."""
+        order = sorted(self.retained, key=lambda policy_epoch: self.retained[policy_epoch])
         expired = [
-            stamp
-            for number, stamp in enumerate(order)
-            if self.retained[stamp] <= now or number < len(order) - MAX_RETAINED_TABLES
+            policy_epoch
+            for number, policy_epoch in enumerate(order)
+            if self.retained[policy_epoch] <= now or number < len(order) - MAX_RETAINED_TABLES
         ]
-        for stamp in expired:
-            del self.retained[stamp]
+        for policy_epoch in expired:
+            del self.retained[policy_epoch]
         return expired
--- a/gladegw/coordination/records.py
+++ b/gladegw/coordination/records.py
@@ -16,7 +16,7 @@
 
 
 class RecordError(ValueError):
-    """A record that cannot be decoded; the message has its kind and the reason in one line."""
+    """The record cannot be decoded; the message names the kind of record and the reason, in one line."""
 
 
 class Record(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=False):
@@ -34,20 +34,20 @@
     zone: str = ""
     version: str = ""  # of the program
     can: tuple[str, ...] = ()  # the duties that it can hold
-    knows: tuple[str, ...] = ()  # features of duties that an older program lacks
-    state: str = "ready"  # of the life cycle
-    epoch: int = -1  # of the policy it serves by; -1: none
+    knows: tuple[str, ...] = ()  # features of duties that this program has and older ones lack
+    state: str = "ready"  # of its life cycle
+    epoch: int = -1  # of the policy by which it serves; -1: none
     digest: str = ""  # of that policy's bundle
-    since: float = 0.0  # s since 1970 by its own clock, for display only
+    since: float = 0.0  # s since 1970 by its own clock; only displayed
 
 
 class KnownMemberRecord(Record, frozen=True, kw_only=True):
-    """A member that should have a process: `told/known/NAME`, under no lease."""
+    """A member that is expected to have a process: `told/known/NAME`, under no lease."""
 
     name: str
     zone: str = ""
     lost: float = 0.0  # s since 1970, when its loss was observed; 0: not lost
-    left: bool = False  # gracefully
+    left: bool = False  # it has left gracefully
 
 
 class DutyHolderRecord(Record, frozen=True, kw_only=True):
@@ -56,13 +56,13 @@
     The fencing token is the key's create revision.
     """
 
-    holder: str
+    holder: str  # name of the member
     incarnation: str
     since: float = 0.0
 
 
 class SuccessorRecord(Record, frozen=True, kw_only=True):
-    """The successor named by a duty's last holder: `live/heirs/NAME`; a preference, which may be stale."""
+    """The successor that a duty's last holder named: `live/heirs/NAME`; a preference, maybe stale."""
 
     name: str
 
@@ -79,20 +79,20 @@
 
 
 class FleetSummaryRecord(Record, frozen=True, kw_only=True):
-    """A summary of all members' metrics: `told/fleet/digest`, by the holder of the duty `digest`."""
+    """A summary of all members' metrics: `told/fleet/digest`, written by the holder of the duty `digest`."""
 
     token: int
     members: int
     totals: dict[str, int] = {}
     worst: tuple[tuple[str, float], ...] = ()  # members by fraction of requests not served
-    silent: tuple[str, ...] = ()
+    silent: tuple[str, ...] = ()  # members that reported no metrics
 
 
 class ConfigDriftRecord(Record, frozen=True, kw_only=True):
     """Members whose configuration differs: `told/fleet/compare`."""
 
     token: int
-    discovery: dict[str, tuple[str, ...]] = {}  # names by digest, if there are several digests
+    discovery: dict[str, tuple[str, ...]] = {}  # names by digest; empty if all have the same digest
     routes: dict[str, tuple[str, ...]] = {}
     since: float = 0.0  # s since 1970, when they began to differ; 0: they agree
 
@@ -100,8 +100,8 @@
 class PolicyRecord(Record, frozen=True, kw_only=True):
     """A committed policy: `live/policy/force` and `told/policy/history/EPOCH`.
 
-    In a rollout's stage the members in `named` serve by `new`, and revert by themselves after `confirm_s`
-    without a heartbeat.
+    In a rollout's stage the members in `named` serve by the bundle `new` instead of `digest`. They revert by
+    themselves after `confirm_s` without a heartbeat of the rollout.
     """
 
     epoch: int
@@ -118,8 +118,8 @@
 class PolicyChangeRecord(Record, frozen=True, kw_only=True):
     """An open change of policy: `live/policy/change`, under a lease as long as its deadline.
 
-    `members` has the processes registered at the proposal. With `everyone`, known names without a process
-    block the change.
+    `members` has the processes registered at the proposal. With `everyone`, a known member without a process
+    blocks the change.
     """
 
     id: str
@@ -138,7 +138,7 @@
 
 
 class VoteRecord(Record, frozen=True, kw_only=True):
-    """A vote: `told/policy/votes/NAME/INCARNATION`, under the member's lease.
+    """A vote on a change: `told/policy/votes/NAME/INCARNATION`, under the member's lease.
 
     `change` is the create revision of the change's key.
     """
@@ -164,10 +164,10 @@
 
 
 class BundleAttemptsRecord(Record, frozen=True, kw_only=True):
-    """Attempts with a bundle: `kept/tries/DIGEST/NAME`.
+    """A member's attempts to activate a bundle: `kept/tries/DIGEST/NAME`.
 
-    `count` is how many processes of that name activated the bundle and sent no update afterwards; `last` is
-    the incarnation counted last, so that none is counted twice.
+    `count` is how many processes of that name activated the bundle and sent no update afterwards. `last` is
+    the incarnation that was counted last, so that none is counted twice.
     """
 
     count: int
@@ -188,8 +188,8 @@
 class RolloutRecord(Record, frozen=True, kw_only=True):
     """A rollout: `live/policy/rollout`, and `told/rollout/ended/ID` once it has ended.
 
-    `old` and `new` are digests of bundles or versions of the program; for the latter `deadline_s` is how long
-    a stage's processes may take to start.
+    `old` and `new` are digests of bundles, or versions of the program. In a rollout of the program
+    `deadline_s` is how long a stage's processes may take to start.
     """
 
     id: str
@@ -202,7 +202,7 @@
     confirm_s: int
     deadline_s: int
     everyone: bool
-    on_thin: str = "stop"
+    on_thin: str = "stop"  # if the evidence is still insufficient after `most_s`: `stop` or `go on`
     hold: bool = False
     stage: int = 0
     phase: str = "moving"
@@ -219,7 +219,7 @@
 class ProgramRecord(Record, frozen=True, kw_only=True):
     """The program's version in force: `live/policy/program`, with fields as in PolicyRecord.
 
-    There is no vote on it; each member's supervisor starts it beside the serving process.
+    It is not voted on. Each member's supervisor starts the version beside the process that serves.
     """
 
     epoch: int
@@ -242,13 +242,13 @@
     name: str
     version: str
     state: str
-    coming: str = ""
-    wanted: str = ""
-    refused: tuple[str, ...] = ()
+    coming: str = ""  # version of the process that may replace the serving one
+    wanted: str = ""  # requested version
+    refused: tuple[str, ...] = ()  # versions that failed
     reason: str = ""
     restarts: int = 0  # since the version was requested
     epoch: int = -1
-    alone: bool = False  # it reverted by itself
+    alone: bool = False  # it reverted by itself, without heartbeats of the rollout
 
 
 class HeartbeatRecord(Record, frozen=True, kw_only=True):
@@ -258,21 +258,21 @@
 
 
 class EvidenceRecord(Record, frozen=True, kw_only=True):
-    """The evidence so far: `told/rollout/weighed`, as `coordination.canary_analysis.Evidence`."""
+    """A rollout's evidence so far: `told/rollout/weighed`, as `coordination.canary_analysis.Evidence`."""
 
     rollout: str
     stage: int
     baked_s: float = 0.0  # of the stage
     wagers: dict[str, tuple[float, ...]] = {}
     peaks: dict[str, float] = {}
-    base: dict[str, dict[str, tuple[float, int]]] = {}
-    usual: dict[str, tuple[int, int]] = {}
-    pool: dict[str, tuple[float, ...]] = {}
+    base: dict[str, dict[str, tuple[float, int]]] = {}  # baseline_levels
+    usual: dict[str, tuple[int, int]] = {}  # baseline_rates
+    pool: dict[str, tuple[float, ...]] = {}  # residuals
     requests: int = 0
     windows: int = 0
-    apart: int = 0
-    past: tuple[FleetWindow, ...] = ()
-    lately: tuple[FleetWindow, ...] = ()
+    apart: int = 0  # divergent_windows
+    past: tuple[FleetWindow, ...] = ()  # history
+    lately: tuple[FleetWindow, ...] = ()  # recent
 
 
 class TimelinePointRecord(Record, frozen=True, kw_only=True):
@@ -293,12 +293,12 @@
 R = TypeVar("R", bound=Record)
 
 
-def encode(record: Record, over: bytes = b"") -> bytes:
-    """Encode a record; unknown fields of the record `over` that it replaces are preserved."""
+def encode(record: Record, replaced: bytes = b"") -> bytes:
+    """Encode a record; unknown fields of the encoded record `replaced` are preserved."""
     fields: dict[str, Any] = msgspec.to_builtins(record)
-    if over:
+    if replaced:
         try:
-            old = msgspec.json.decode(over)
+            old = msgspec.json.decode(replaced)
         except msgspec.DecodeError:
             old = None
         if isinstance(old, dict):
@@ -307,10 +307,10 @@
     return msgspec.json.encode(fields)
 
 
-def decode(raw: bytes, form: type[R]) -> R:
-    """Decode a record of the type `form`; raises RecordError."""
+def decode(raw: bytes, record_type: type[R]) -> R:
+    """Decode a record of the type `record_type`; raises RecordError."""
     try:
-        return msgspec.json.decode(raw, type=form)
-    except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-        kind = form.__name__.removesuffix("Record").lower()
-        raise RecordError(f"{kind}: {' '.join(str(fault).split())}") from None
+        return msgspec.json.decode(raw, type=record_type)
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        kind = record_type.__name__.removesuffix("Record").lower()
+        raise RecordError(f"{kind}: {' '.join(str(error).split())}") from None
--- a/gladegw/coordination/serving_lease.py
+++ b/gladegw/coordination/serving_lease.py
@@ -1,7 +1,7 @@
 """The time until which this process may answer requests.
 
-The thread of the store's client writes it and the serving loop reads it before each request. It is a single
-float, so no lock is needed.
+The thread of the store client writes it, and the event loop that serves requests reads it before each of
+them. It is a single float, so no lock is needed.
 """
 
 from __future__ import annotations
@@ -13,8 +13,9 @@
 class ServingLease:
     """The right to serve requests, which expires by itself.
 
-    It is closed until `until` is set, in s of `clock`. Because it expires without an event, a process that
-    was suspended answers none of the requests queued in its sockets before it has renewed.
+    It is valid until `until`, in s of `clock`, and not valid before `until` is first set. Because it expires
+    without an event, a process that was suspended answers none of the requests queued in its sockets before
+    it has renewed.
     """
 
     __slots__ = ("clock", "until")
--- a/gladegw/coordination/store.py
+++ b/gladegw/coordination/store.py
@@ -2,7 +2,8 @@
 
 The contract is that of the etcd v3 API (etcd.io/docs, "API reference", "API guarantees"): keys with
 revisions, transactions that compare and then write, leases, and the events of a watch. A write makes the
-store's next revision; all writes of a transaction share one. The limits are a server's published defaults.
+store's next revision; all writes of a transaction share one. The limits are the documented defaults of an
+etcd server, with the server's flag in parentheses.
 """
 
 from __future__ import annotations
@@ -13,12 +14,12 @@
 from enum import Enum
 from typing import Literal
 
-MAX_TXN_OPERATIONS = 128  # of one transaction (--max-txn-ops)
-MAX_REQUEST_BYTES = 1_572_864  # of one request, 1.5 MiB (--max-request-bytes)
+MAX_TXN_OPERATIONS = 128  # per transaction (--max-txn-ops)
+MAX_REQUEST_BYTES = 1_572_864  # per request; 1.5 MiB (--max-request-bytes)
 
 
 class StoreError(Exception):
-    """A request that the store rejected without any effect."""
+    """The store rejected a request, which had no effect."""
 
 
 class CompactedError(StoreError):
@@ -56,7 +57,7 @@
 
 
 class Target(Enum):
-    """What a Compare reads of a key."""
+    """The attribute of a key that a Compare reads."""
 
     VERSION = "version"
     CREATE = "create_revision"
@@ -69,7 +70,7 @@
 class Compare:
     """A condition of a transaction.
 
-    A missing key has 0 for all numbers; no comparison of its value holds.
+    For a missing key all numbers are 0, and any comparison of its value is false.
     """
 
     key: bytes
@@ -82,8 +83,8 @@
 class Get:
     r"""A read of one key or a range.
 
-    An empty `end` means the single key, b"\0" all keys from `key` on, any other the keys below `end`.
-    `revision` 0 means the current one.
+    With an empty `end` it reads the single key, with b"\0" all keys from `key` on, else those from `key` up
+    to but not including `end`. `revision` 0 means the current revision.
     """
 
     key: bytes
@@ -124,7 +125,8 @@
 class TxnResult:
     """The result of a transaction.
 
-    `found` has one entry for each operation: the keys of a Get, those removed by a Delete, empty for a Put.
+    `found` has one entry for each operation: the keys that a Get has read, those that a Delete has removed,
+    or an empty one for a Put.
     """
 
     revision: int
@@ -134,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreEvent:
-    """A put or a deletion; of a deletion `kv` has only the key and the revision.
+    """A put or a deletion; after a deletion `kv` has only the key and the revision.
 
     `before` is the key's previous state, if there was one.
     """
@@ -174,9 +176,9 @@
         self.revision = 1
         self.compacted = 0
         self.keys: dict[bytes, KeyValue] = {}
-        self.sorted_keys: list[bytes] = []  # of `keys`
+        self.sorted_keys: list[bytes] = []  # the keys of `keys`
         self.keys_by_lease: dict[int, set[bytes]] = {}
-        self.log: list[StoreEvent] = []  # by revision, after `compacted`
+        self.log: list[StoreEvent] = []  # events after revision `compacted`, in order
         self.leases: dict[int, GrantedLease] = {}
         self.min_ttl, self.quota = min_ttl, quota
         self.next_lease = 1
@@ -237,23 +239,23 @@
                 raise LeaseNotFoundError
             if isinstance(operation, Put) and 0 < self.quota < self.size:
                 raise QuotaExceededError
-        own = self.revision + 1
+        new_revision = self.revision + 1
         found: list[tuple[KeyValue, ...]] = []
         changed = False
         for operation in chosen:
             if isinstance(operation, Get):
                 found.append(self.get(operation))
             elif isinstance(operation, Put):
-                self._put(operation, own)
+                self._put(operation, new_revision)
                 found.append(())
                 changed = True
             else:
                 removed = self.get(Get(operation.key, operation.end))
-                self._delete(removed, own)
+                self._delete(removed, new_revision)
                 found.append(removed)
                 changed |= bool(removed)
         if changed:
-            self.revision = own
+            self.revision = new_revision
         return TxnResult(self.revision, succeeded, tuple(found))
 
     def _check(self, branch: Sequence[Operation]) -> None:
@@ -329,9 +331,9 @@
                 del self.keys_by_lease[kv.lease]
 
     def compact(self, revision: int) -> None:
-        """Drop the events up to a revision.
+        """Drop the events up to and including a revision.
 
-        Raises CompactedError if it was compacted already, StoreError if it is a future one.
+        Raises CompactedError if it was compacted already, and StoreError if it is in the future.
         """
         if revision <= self.compacted:
             raise CompactedError(self.compacted)
@@ -385,9 +387,9 @@
         return expired
 
     def extend_all(self, now: float) -> None:
-        """Extend each lease by its time to live, as a new leader does.
+        """Extend each lease to a full time to live, as a new leader of an etcd cluster does.
 
-        It cannot know when a lease was last renewed.
+        The new leader cannot know when a lease was last renewed.
         """
         for lease in self.leases.values():
             lease.expires_at = max(lease.expires_at, now + lease.ttl)
