--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -17,7 +17,7 @@
 from gladegw.apps.check import check
 from gladegw.apps.read import read_texts
 from gladegw.apps.sidecar import sidecar
-from gladegw.apps.write import file_of
+from gladegw.apps.write import sidecar_file
 from gladegw.routing.checks import check_table
 from gladegw.routing.matcher import Table
 from gladegw.routing.model import Ask
@@ -111,7 +111,7 @@
     read = time.perf_counter()
     findings += [found for found in check(landscape) if found.code != "R302"]
     checked = time.perf_counter()
-    files = [file_of(app, sidecar(app, landscape)) for app in landscape.apps]
+    files = [sidecar_file(app, sidecar(app, landscape)) for app in landscape.apps]
     end = time.perf_counter()
     assert not findings, findings[0]
     return {
--- a/examples/malabar/apps/platform.hcl
+++ b/examples/malabar/apps/platform.hcl
@@ -1,4 +1,4 @@
-# What holds for all applications of the charger finder.
+# Settings that apply to all applications of the charger finder.
 platform {
   attempts_over_tiers = 12
   unchanged           = true
--- a/gladegw/apps/__init__.py
+++ b/gladegw/apps/__init__.py
@@ -1,1 +1,1 @@
-"""Descriptions of applications, and the sidecar configuration that follows from them."""
+"""Application descriptions and the sidecar configuration generated from them."""
--- a/gladegw/apps/layout.py
+++ b/gladegw/apps/layout.py
@@ -1,5 +1,5 @@
-"""Lays a file out: two blanks a level, one blank line at most, equal signs of neighbouring lines aligned.
-Comments stay; nothing but blanks is changed."""
+"""Formats an HCL file: two spaces of indentation per level, at most one blank line in a row, and aligned
+equal signs of adjacent settings. Only white space changes; comments stay."""
 
 from __future__ import annotations
 
@@ -11,70 +11,71 @@
 OPEN, CLOSE = "{[", "}]"
 
 
-def _spaced(words: list[str]) -> str:
-    """The words of a line with one blank where one belongs."""
+def _join_tokens(tokens: list[str]) -> str:
+    """Joins the tokens of a line, with one space wherever a space belongs."""
     out = ""
-    before = ""
-    for word in words:
-        tight = not out or word in (",", "]") or before == "["
-        if word == "}" and before == "{":
+    previous = ""
+    for token in tokens:
+        tight = not out or token in (",", "]") or previous == "["
+        if token == "}" and previous == "{":
             tight = True
-        out += word if tight else " " + word
-        before = word
+        out += token if tight else " " + token
+        previous = token
     return out
 
 
-def _lines(text: str, file: str) -> list[list[str]]:
-    """The words of each line; a comment over several lines stays one word."""
+def _tokens_by_line(text: str, file: str) -> list[list[str]]:
+    """The tokens of each line. A comment that spans several lines is one token."""
     lines: list[list[str]] = [[]]
-    at = 0
-    while at < len(text):
-        found = TOKEN.match(text, at)
-        if found is None:
-            place = Place(file, text.count("\n", 0, at) + 1, at - text.rfind("\n", 0, at))
-            raise RoutingError([Finding("R001", place, f"unexpected {text[at]!r}")])
-        if found.lastgroup == "line":
+    offset = 0
+    while offset < len(text):
+        match = TOKEN.match(text, offset)
+        if match is None:
+            place = Place(file, text.count("\n", 0, offset) + 1, offset - text.rfind("\n", 0, offset))
+            raise RoutingError([Finding("R001", place, f"unexpected {text[offset]!r}")])
+        if match.lastgroup == "line":
             lines.append([])
-        elif found.lastgroup != "blank":
-            lines[-1].append(found[0].rstrip())
-        at = found.end()
+        elif match.lastgroup != "blank":
+            lines[-1].append(match[0].rstrip())
+        offset = match.end()
     return lines
 
 
-def laid_out(text: str, file: str = "") -> str:
-    """Raises RoutingError for what is no HCL."""
+def format_hcl(text: str, file: str = "") -> str:
+    """The formatted text. Raises RoutingError for a character that starts no HCL token."""
     depth = 0
-    made: list[tuple[int, list[str]]] = []
-    for words in _lines(text, file):
+    indented: list[tuple[int, list[str]]] = []
+    for tokens in _tokens_by_line(text, file):
         closing = 0
-        for word in words:
-            if word not in CLOSE:
+        for token in tokens:
+            if token not in CLOSE:
                 break
             closing += 1
-        made.append((max(0, depth - closing), words))
-        depth += sum((word in OPEN) - (word in CLOSE) for word in words if word)
-    return _aligned(made)
+        indented.append((max(0, depth - closing), tokens))
+        depth += sum((token in OPEN) - (token in CLOSE) for token in tokens if token)
+    return _align(indented)
 
 
-def _aligned(lines: list[tuple[int, list[str]]]) -> str:
+def _align(lines: list[tuple[int, list[str]]]) -> str:
     out: list[str] = []
-    for kind, group in groupby(lines, key=_kind):
-        some = list(group)
-        if kind is None:
-            for level, words in some:
-                text = "  " * level + _spaced(words) if words else ""
+    for alignment_level, group in groupby(lines, key=_alignment_level):
+        block = list(group)
+        if alignment_level is None:
+            for level, tokens in block:
+                text = "  " * level + _join_tokens(tokens) if tokens else ""
                 if text or (out and out[-1]):
                     out.append(text)
             continue
-        width = max(len(words[0]) for _, words in some)
-        out += ["  " * level + f"{words[0]:<{width}} " + _spaced(words[1:]) for level, words in some]
+        width = max(len(tokens[0]) for _, tokens in block)
+        out += ["  " * level + f"{tokens[0]:<{width}} " + _join_tokens(tokens[1:]) for level, tokens in block]
     while out and not out[-1]:
         out.pop()
     return "\n".join(out) + "\n"
 
 
-def _kind(line: tuple[int, list[str]]) -> int | None:
-    """Lines that are aligned with their neighbours have the same; None: those that are not."""
-    level, words = line
-    setting = len(words) > 2 and words[1] == "=" and words[-1] not in OPEN
-    return level if setting else None
+def _alignment_level(line: tuple[int, list[str]]) -> int | None:
+    """The indentation level of a setting, whose equal sign is aligned with its neighbours on that level.
+    None for any other line."""
+    level, tokens = line
+    is_setting = len(tokens) > 2 and tokens[1] == "=" and tokens[-1] not in OPEN
+    return level if is_setting else None
--- a/gladegw/apps/model.py
+++ b/gladegw/apps/model.py
@@ -1,4 +1,4 @@
-"""What a set of descriptions says: applications with what they claim and call, and what holds for all."""
+"""The model of a set of descriptions: the applications, and the settings that apply to all of them."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from gladegw.routing.findings import Place
 from gladegw.routing.model import NO_PLACE, ClassRule, Endpoint, Pool, Route
 
-MOST_ATTEMPTS = 16  # of one request over all tiers, where the platform says nothing
+DEFAULT_ATTEMPTS_OVER_TIERS = 16  # attempts that one request may cause over all tiers together
 
 
 @dataclass(frozen=True, slots=True)
 class App:
-    """One application: the routes by which others reach it, and whom it calls itself."""
+    """One application: the routes by which others reach it, and the applications that it calls."""
 
     name: str
     owner: str = ""
     calls: tuple[str, ...] = ()
-    retries: tuple[tuple[str, int], ...] = ()  # attempts that it allows itself, by class
+    retries: tuple[tuple[str, int], ...] = ()  # class and the attempts its own calls may take
     classes: tuple[ClassRule, ...] = ()
     tenants: tuple[tuple[str, Place], ...] = ()
     pools: tuple[Pool, ...] = ()
     routes: tuple[Route, ...] = ()
     expects: tuple[Expectation, ...] = ()
-    digest: str = ""  # of its file
+    digest: str = ""  # of the file that describes it
     place: Place = field(default=NO_PLACE, compare=False)
     retries_place: Place = field(default=NO_PLACE, compare=False)
     calls_place: Place = field(default=NO_PLACE, compare=False)
@@ -34,10 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Platform:
-    """What holds for all applications."""
+    """Settings that apply to all applications."""
 
-    attempts_over_tiers: int = MOST_ATTEMPTS
-    unchanged: bool = True  # method, path and query reach the backends as they came
+    attempts_over_tiers: int = DEFAULT_ATTEMPTS_OVER_TIERS
+    unchanged: bool = True  # routes must pass method, path and query to the backends unmodified
     place: Place = field(default=NO_PLACE, compare=False)
 
 
@@ -47,14 +47,14 @@
 
     apps: tuple[App, ...] = ()
     platform: Platform = field(default_factory=Platform)
-    endpoints: tuple[Endpoint, ...] | None = None  # a list to check selectors against
+    endpoints: tuple[Endpoint, ...] | None = None  # None: selectors are not checked
 
     def app(self, name: str) -> App | None:
         return self.by_name.get(name)
 
     @cached_property
     def by_name(self) -> dict[str, App]:
-        """The first of each name."""
+        """Applications by name; the first one read wins where a name is used twice."""
         return {app.name: app for app in reversed(self.apps)}
 
     @cached_property
--- a/gladegw/apps/read.py
+++ b/gladegw/apps/read.py
@@ -1,4 +1,4 @@
-"""Texts of descriptions to a Landscape; what is wrong in one file does not hide what is wrong in another."""
+"""Parses description files into a Landscape. A fault in one file does not hide faults in the others."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import replace
 
-from gladegw.apps.model import MOST_ATTEMPTS, App, Landscape, Platform
+from gladegw.apps.model import DEFAULT_ATTEMPTS_OVER_TIERS, App, Landscape, Platform
 from gladegw.routing.expect import read_expect
 from gladegw.routing.fields import Fields
 from gladegw.routing.findings import Finding, Place, RoutingError, nearest
@@ -16,7 +16,7 @@
 
 BLOCKS = ("app", "class", "tenant", "pool", "route", "expect", "platform")
 EFFECTS = ("repeatable", "by_key", "once")
-PERMITTED = {"repeatable": 3, "by_key": 1, "once": 1}  # attempts, where the class says nothing
+DEFAULT_ATTEMPTS = {"repeatable": 3, "by_key": 1, "once": 1}  # by the class's effect
 
 
 def read_class(block: Block, findings: list[Finding]) -> ClassRule:
@@ -31,7 +31,7 @@
         aim_ms=fields.number("aim_ms", 0.0, 1.0, 3_600_000.0),
         timeout_ms=fields.number("timeout_ms", 0.0, 1.0, 3_600_000.0),
         effect=effect,
-        attempts=fields.whole("attempts", PERMITTED[effect], 1, 16),
+        attempts=fields.whole("attempts", DEFAULT_ATTEMPTS[effect], 1, 16),
         place=block.place,
     )
     for key in ("aim_ms", "timeout_ms"):
@@ -52,8 +52,8 @@
     if not heads:
         findings.append(Finding("R006", Place(document.file, 1), "the file describes no app"))
         return None
-    for more in heads[1:]:
-        findings.append(Finding("R004", more.place, "a second app in one file", heads[0].place))
+    for extra in heads[1:]:
+        findings.append(Finding("R004", extra.place, "a second app in one file", heads[0].place))
     head = heads[0]
     fields = Fields(head, findings)
     retries = []
@@ -91,23 +91,23 @@
         tenants=tuple((block.label, block.place) for block in blocks if block.name == "tenant"),
         pools=tuple(read_pool(block, findings) for block in blocks if block.name == "pool"),
         routes=tuple(read_route(block, findings, app.name) for block in blocks if block.name == "route"),
-        expects=tuple(replace(one, app=one.app or app.name) for one in expects),
+        expects=tuple(replace(expect, app=expect.app or app.name) for expect in expects),
     )
 
 
 def read_platform(block: Block, findings: list[Finding]) -> Platform:
     fields = Fields(block, findings)
-    found = Platform(
-        attempts_over_tiers=fields.whole("attempts_over_tiers", MOST_ATTEMPTS, 1, 10_000),
+    platform = Platform(
+        attempts_over_tiers=fields.whole("attempts_over_tiers", DEFAULT_ATTEMPTS_OVER_TIERS, 1, 10_000),
         unchanged=fields.truth("unchanged", True),
         place=block.place,
     )
     fields.done()
-    return found
+    return platform
 
 
 def read_endpoints(text: str, file: str, findings: list[Finding]) -> tuple[Endpoint, ...] | None:
-    """A list of endpoints in discovery's form."""
+    """Parses an endpoint list in discovery's form; None, with a finding, if it can't be read."""
     try:
         return tuple(Endpoint.of(raw) for raw in json.loads(text)["endpoints"])
     except (ValueError, KeyError, TypeError, AttributeError) as fault:
@@ -119,7 +119,7 @@
 def read_texts(
     texts: Mapping[str, str], findings: list[Finding], endpoints: tuple[str, str] | None = None
 ) -> Landscape:
-    """Files by name; `endpoints` is a name and a text."""
+    """Parses descriptions, given as texts by file name. `endpoints` is the endpoint list's name and text."""
     apps: list[App] = []
     platform = Platform()
     platforms: list[Block] = []
@@ -134,9 +134,9 @@
             if block.name not in BLOCKS:
                 hint = nearest(block.name, BLOCKS)
                 findings.append(Finding("R003", block.place, f"unknown block {block.name}", None, hint))
-        own = [block for block in blocks if block.name == "platform"]
-        platforms += own
-        if own and len(blocks) == len(own):
+        platform_blocks = [block for block in blocks if block.name == "platform"]
+        platforms += platform_blocks
+        if platform_blocks and len(blocks) == len(platform_blocks):
             continue
         app = read_app(document, blocks, findings)
         if app is not None:
@@ -146,5 +146,5 @@
             findings.append(Finding("R004", block.place, "a second block platform", platforms[0].place))
         else:
             platform = read_platform(block, findings)
-    listed = read_endpoints(endpoints[1], endpoints[0], findings) if endpoints is not None else None
-    return Landscape(tuple(apps), platform, listed)
+    endpoint_list = read_endpoints(endpoints[1], endpoints[0], findings) if endpoints is not None else None
+    return Landscape(tuple(apps), platform, endpoint_list)
--- a/gladegw/apps/sarif.py
+++ b/gladegw/apps/sarif.py
@@ -1,4 +1,4 @@
-"""Findings as SARIF 2.1.0 (OASIS), which code hosts show beside the lines."""
+"""Findings as SARIF 2.1.0 (OASIS), which code hosts show next to the lines concerned."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 def sarif(findings: Iterable[Finding]) -> dict[str, Any]:
     results = []
-    for found in findings:
-        text = f"{found.message}; {found.hint}" if found.hint else found.message
+    for finding in findings:
+        text = f"{finding.message}; {finding.hint}" if finding.hint else finding.message
         result: dict[str, Any] = {
-            "ruleId": found.code,
+            "ruleId": finding.code,
             "level": "error",
             "message": {"text": text},
-            "locations": [_location(found.place)],
+            "locations": [_location(finding.place)],
         }
-        if found.other is not None:
-            result["relatedLocations"] = [_location(found.other)]
+        if finding.other is not None:
+            result["relatedLocations"] = [_location(finding.other)]
         results.append(result)
     rules = [{"id": code, "shortDescription": {"text": text}} for code, text in CODES.items()]
     return {
--- a/gladegw/apps/sidecar.py
+++ b/gladegw/apps/sidecar.py
@@ -1,4 +1,4 @@
-"""What each application's sidecar routes: what the applications that it calls claim."""
+"""Builds each application's sidecar configuration: the routes of the applications that it calls."""
 
 from __future__ import annotations
 
@@ -13,43 +13,46 @@
 from gladegw.routing.matcher import Table, refusals
 from gladegw.routing.model import Ask, Description, Match, Pool, Route
 
-MOST_MOVED = 50  # examples of requests that a change moves
+MAX_MOVED_EXAMPLES = 50  # example requests, one for each pair of old and new target
 
 
-def effective(route: Route, app: App, landscape: Landscape) -> Route:
-    """A claimed route as the caller's sidecar has it: with the attempts that the caller allows itself, never
-    above what the class or the route permits."""
+def route_for_caller(route: Route, app: App, landscape: Landscape) -> Route:
+    """A called application's route as it stands in the caller's sidecar. Its attempts are the lowest of what
+    the caller allows itself, the class permits and the route permits."""
     classes = landscape.classes
-    named = [name for name in classes_of(route, classes) if name in classes]
-    bounds = [classes[name].attempts for name in named]
+    class_names = [name for name in classes_of(route, classes) if name in classes]
+    limits = [classes[name].attempts for name in class_names]
     own = dict(app.retries)
-    bounds += [own[name] for name in named if name in own]
+    limits += [own[name] for name in class_names if name in own]
     if route.attempts:
-        bounds.append(route.attempts)
-    if not (route.pool or route.split) or not bounds:
+        limits.append(route.attempts)
+    if not (route.pool or route.split) or not limits:
         return route
-    return replace(route, attempts=min(bounds))
+    return replace(route, attempts=min(limits))
 
 
 def sidecar(app: App, landscape: Landscape) -> Description:
-    """Routes and pools of one application's proxy, whatever order the files were read in."""
+    """Routes and pools of one application's proxy. The result does not depend on the order in which the files
+    were read."""
     called = [other for other in landscape.apps if other.name in app.calls]
-    routes = sorted((effective(route, app, landscape) for other in called for route in other.routes), key=str)
+    routes = sorted(
+        (route_for_caller(route, app, landscape) for other in called for route in other.routes), key=str
+    )
     known = landscape.known_pools
     wanted: dict[str, Pool] = {}
-    waiting = [name for route in routes for name in _pools(route)]
-    while waiting:
-        name = waiting.pop()
+    pending = [name for route in routes for name in _pool_names(route)]
+    while pending:
+        name = pending.pop()
         if name in known and name not in wanted:
             wanted[name] = known[name]
-            waiting += known[name].fallback
+            pending += known[name].fallback
     pools = tuple(wanted[name] for name in sorted(wanted))
     parts = "".join(f"{other.name}={other.digest};" for other in sorted((app, *called), key=lambda a: a.name))
     digest = blake2b(parts.encode(), digest_size=8).hexdigest()
     return Description(tuple(routes), pools, landscape.platform.unchanged, digest)
 
 
-def _pools(route: Route) -> Iterable[str]:
+def _pool_names(route: Route) -> Iterable[str]:
     yield from route.pools()
     if route.split is not None:
         yield from (name for name, _ in route.split.weights)
@@ -62,26 +65,26 @@
     """What a change does to one sidecar."""
 
     app: str
-    added: tuple[str, ...]  # routes
+    added: tuple[str, ...]  # routes, by application and name
     removed: tuple[str, ...]
     changed: tuple[str, ...]
-    moved: tuple[tuple[str, str, str], ...]  # requests, with where they went and where they go
-    complete: bool = True  # all cells were looked at
+    moved: tuple[tuple[str, str, str], ...]  # an example request, its old target, its new target
+    complete: bool = True  # False: the comparison stopped early, so more requests may move
 
     def __bool__(self) -> bool:
         return bool(self.added or self.removed or self.changed or self.moved)
 
 
-def _without_places(route: Route | None) -> str:
+def _target_text(route: Route | None) -> str:
     if route is None:
         return "no route"
     text = outcome(route)
     start, end = text.find(" ("), text.find(") ")
-    told = text[:start] + text[end + 1 :] if start > 0 else text
-    more = [f"fallback {', '.join(route.fallback)}"] if route.fallback else []
-    more += [f"{route.attempts} attempts"] if route.attempts else []
-    more += [f"{route.timeout_ms:g} ms"] if route.timeout_ms else []
-    return "; ".join([told, *more])
+    target = text[:start] + text[end + 1 :] if start > 0 else text
+    details = [f"fallback {', '.join(route.fallback)}"] if route.fallback else []
+    details += [f"{route.attempts} attempts"] if route.attempts else []
+    details += [f"{route.timeout_ms:g} ms"] if route.timeout_ms else []
+    return "; ".join([target, *details])
 
 
 def difference(name: str, old: Description, new: Description) -> Difference:
@@ -91,14 +94,14 @@
     complete = True
     try:
         for cell in cells([Table(old), Table(new)], Match()):
-            then, now = cell.winners(0), cell.winners(1)
-            if [w and w.route for w in then] == [w and w.route for w in now]:
+            old_winners, new_winners = cell.winners(0), cell.winners(1)
+            if [w and w.route for w in old_winners] == [w and w.route for w in new_winners]:
                 continue
-            told = " or ".join(_without_places(w.route if w else None) for w in then)
-            tells = " or ".join(_without_places(w.route if w else None) for w in now)
-            if told != tells:
-                moved.setdefault((told, tells), str(cell))
-            if len(moved) >= MOST_MOVED:
+            old_target = " or ".join(_target_text(w.route if w else None) for w in old_winners)
+            new_target = " or ".join(_target_text(w.route if w else None) for w in new_winners)
+            if old_target != new_target:
+                moved.setdefault((old_target, new_target), str(cell))
+            if len(moved) >= MAX_MOVED_EXAMPLES:
                 complete = False
                 break
     except Undecided:
@@ -108,36 +111,37 @@
         added=tuple(sorted(after.keys() - before.keys())),
         removed=tuple(sorted(before.keys() - after.keys())),
         changed=tuple(sorted(key for key in before.keys() & after.keys() if before[key] != after[key])),
-        moved=tuple((example, told, tells) for (told, tells), example in moved.items()),
+        moved=tuple((example, old_target, new_target) for (old_target, new_target), example in moved.items()),
         complete=complete,
     )
 
 
 @dataclass(frozen=True, slots=True)
-class Explained:
-    """Who takes a request, and why each other route does not."""
+class Explanation:
+    """The route that takes a request, and why each of the others does not."""
 
     outcome: str
     route: str
     why_not: tuple[tuple[str, str, int, tuple[str, ...]], ...]  # route, file, line, reasons
 
 
-def explain(description: Description, ask: Ask) -> Explained:
+def explain(description: Description, ask: Ask) -> Explanation:
     table = Table(description)
-    won = table.find(ask)
+    winner = table.find(ask)
     others: dict[str, tuple[str, str, int, tuple[str, ...]]] = {}
     for entry in table.entries:
-        if won is not None and entry.route is won.route:
+        if winner is not None and entry.route is winner.route:
             continue
         why = tuple(refusals(entry, ask)) or ("it matches, but a more specific one goes first",)
         name, place = str(entry.route), entry.route.place
         others.setdefault(name, (name, place.file, place.line, why))
-    route = won.route if won is not None else None
-    return Explained(outcome(route), str(route) if route is not None else "", tuple(others.values()))
+    route = winner.route if winner is not None else None
+    return Explanation(outcome(route), str(route) if route is not None else "", tuple(others.values()))
 
 
-def asked(text: str) -> Ask:
-    """`METHOD TARGET name:value ...`; host, budget_ms and source are names too. Raises ValueError."""
+def parse_request(text: str) -> Ask:
+    """Parses `METHOD /path name:value ...`. The names host, budget_ms and source set the host, the time
+    budget and the source address; all others are headers. Raises ValueError."""
     parts = text.split()
     if len(parts) < 2 or not parts[1].startswith("/"):
         raise ValueError("a request is METHOD /path name:value ...")
--- a/gladegw/cli/__init__.py
+++ b/gladegw/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line `gladegw`: each command is imported only when it is asked for."""
+"""The command line `gladegw`. A command's module is imported only when the command is used."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import click
 
-COMMANDS = {
+COMMANDS = {  # name: module and attribute
     "serve": ("gladegw.cli.serving", "serve"),
     "replay": ("gladegw.cli.serving", "replay"),
     "check-config": ("gladegw.cli.serving", "check_config"),
@@ -22,11 +22,22 @@
     "supervise": ("gladegw.cli.supervise", "supervise"),
     "demo": ("gladegw.cli.demo", "demo"),
 }
-NEEDED = {"msgspec", "hdrh", "numpy", "matplotlib", "rich", "click", "re2", "xxhash", "grpclib", "google"}
+OPTIONAL_PACKAGES = {
+    "msgspec",
+    "hdrh",
+    "numpy",
+    "matplotlib",
+    "rich",
+    "click",
+    "re2",
+    "xxhash",
+    "grpclib",
+    "google",
+}
 
 
-class Lazy(click.Group):
-    """A group whose commands lie in modules of their own."""
+class LazyGroup(click.Group):
+    """A group that imports the module of a command on first use."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return list(COMMANDS)
@@ -39,12 +50,14 @@
         return command
 
 
-@click.group(cls=Lazy, invoke_without_command=True, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(
+    cls=LazyGroup, invoke_without_command=True, context_settings={"help_option_names": ["-h", "--help"]}
+)
 @click.option("-f", "file", metavar="FILE", help="Settings of the features, in HCL blocks.")
 @click.version_option(package_name="gladegw", prog_name="gladegw")
 @click.pass_context
 def gladegw(ctx: click.Context, file: str | None) -> None:
-    """The proxy, as EDGE_CONFIG says, and its tools. Without a command it serves."""
+    """The proxy, configured by EDGE_CONFIG, and its tools. Without a command, it runs the proxy."""
     ctx.obj = file
     if ctx.invoked_subcommand is None:
         from gladegw.net.serve import run as serve
@@ -53,7 +66,8 @@
 
 
 def run(arguments: list[str]) -> int:
-    """Exit codes: 0 all is well, 1 it ran and found something wrong, 2 it could not be asked that way."""
+    """Runs a command and returns its exit code: 0 success, 1 the command ran and found a fault, 2 invalid
+    arguments or input or a missing package, 130 interrupted."""
     try:
         code = gladegw.main(arguments, prog_name="gladegw", standalone_mode=False)
     except click.ClickException as fault:
@@ -63,10 +77,10 @@
         print("gladegw: stopped", file=sys.stderr)
         return 130
     except ModuleNotFoundError as fault:
-        if (fault.name or "").partition(".")[0] not in NEEDED:
+        if (fault.name or "").partition(".")[0] not in OPTIONAL_PACKAGES:
             raise
         extra = "coordination" if (fault.name or "").startswith(("grpclib", "google")) else "rig"
-        told = f"this command needs {fault.name}: pip install 'gladegw[{extra}]'"
-        print(f"gladegw: {told}", file=sys.stderr)
+        message = f"this command needs {fault.name}: pip install 'gladegw[{extra}]'"
+        print(f"gladegw: {message}", file=sys.stderr)
         return 2
     return code if isinstance(code, int) else 0
--- a/gladegw/cli/apps.py
+++ b/gladegw/cli/apps.py
@@ -1,4 +1,4 @@
-"""`apps`: descriptions of applications, checked together, and the sidecar configuration built from them."""
+"""The command `apps`: checks application descriptions and builds the sidecar configuration from them."""
 
 from __future__ import annotations
 
@@ -8,54 +8,56 @@
 import click
 
 from gladegw.apps.check import check as check_all
-from gladegw.apps.files import read_folder, texts_of, write_all
-from gladegw.apps.layout import laid_out
+from gladegw.apps.files import read_folder, read_hcl_texts, write_files
+from gladegw.apps.layout import format_hcl
 from gladegw.apps.model import Landscape
 from gladegw.apps.sarif import sarif
-from gladegw.apps.sidecar import asked, difference, explain, sidecar
-from gladegw.apps.write import file_of
+from gladegw.apps.sidecar import difference, explain, parse_request, sidecar
+from gladegw.apps.write import sidecar_file
 from gladegw.cli.common import mendable, show_json, show_routes_changed
 from gladegw.routing.findings import Finding, RoutingError
 
 folder_argument = click.argument("folder", metavar="DIR", type=click.Path(file_okay=False))
 endpoints_option = click.option(
-    "--endpoints", metavar="FILE", help="A list of endpoints in discovery's form, to check selectors against."
+    "--endpoints", metavar="FILE", help="An endpoint list in discovery's form, to check selectors against."
 )
 json_option = click.option("--json", "as_json", is_flag=True, help="Print one object.")
 
 
-def checked(folder: str, endpoints: str | None = None) -> tuple[Landscape, list[Finding]]:
+def read_and_check(folder: str, endpoints: str | None = None) -> tuple[Landscape, list[Finding]]:
     findings: list[Finding] = []
     landscape = read_folder(folder, findings, endpoints)
-    if not any(found.code == "R001" for found in findings):
+    if not any(finding.code == "R001" for finding in findings):
         findings += check_all(landscape)
-    return landscape, sorted(set(findings), key=lambda found: (found.place, found.code, found.message))
+    return landscape, sorted(
+        set(findings), key=lambda finding: (finding.place, finding.code, finding.message)
+    )
 
 
-def sound(folder: str) -> Landscape:
-    """Of a folder in which nothing is wrong; raises RoutingError."""
-    landscape, findings = checked(folder)
+def read_valid(folder: str) -> Landscape:
+    """The descriptions of a folder; raises RoutingError if the checks find any fault."""
+    landscape, findings = read_and_check(folder)
     if findings:
         raise RoutingError(findings)
     return landscape
 
 
-def as_object(found: Finding) -> dict[str, Any]:
-    other = None if found.other is None else {"file": found.other.file, "line": found.other.line}
+def finding_object(finding: Finding) -> dict[str, Any]:
+    other = None if finding.other is None else {"file": finding.other.file, "line": finding.other.line}
     return {
-        "code": found.code,
-        "file": found.place.file,
-        "line": found.place.line,
-        "column": found.place.column,
-        "message": found.message,
+        "code": finding.code,
+        "file": finding.place.file,
+        "line": finding.place.line,
+        "column": finding.place.column,
+        "message": finding.message,
         "other": other,
-        "hint": found.hint,
+        "hint": finding.hint,
     }
 
 
 @click.group()
 def apps() -> None:
-    """Describe applications; check them together; build each one's sidecar configuration."""
+    """Check application descriptions and build each application's sidecar configuration."""
 
 
 @apps.command()
@@ -66,15 +68,15 @@
 @click.pass_context
 @mendable
 def check(ctx: click.Context, folder: str, endpoints: str | None, as_json: bool, as_sarif: bool) -> None:
-    """Check all descriptions of a folder together. Exit code 1 if anything is wrong."""
-    _, findings = checked(folder, endpoints)
+    """Check all descriptions of a folder together. Exit code 1 if there are findings."""
+    _, findings = read_and_check(folder, endpoints)
     if as_sarif:
         show_json(sarif(findings))
     elif as_json:
-        show_json({"findings": [as_object(found) for found in findings]})
+        show_json({"findings": [finding_object(finding) for finding in findings]})
     else:
-        for found in findings:
-            click.echo(str(found))
+        for finding in findings:
+            click.echo(str(finding))
         click.echo(f"{len(findings)} findings" if findings else "ok")
     ctx.exit(1 if findings else 0)
 
@@ -85,10 +87,10 @@
 @json_option
 @mendable
 def build(folder: str, out: str, as_json: bool) -> None:
-    """Write each application's sidecar configuration; the same descriptions give the same bytes."""
-    landscape = sound(folder)
-    files = dict(file_of(app, sidecar(app, landscape)) for app in landscape.apps)
-    changed = write_all(out, files)
+    """Write each application's sidecar configuration. The same descriptions always give the same bytes."""
+    landscape = read_valid(folder)
+    files = dict(sidecar_file(app, sidecar(app, landscape)) for app in landscape.apps)
+    changed = write_files(out, files)
     if as_json:
         show_json({"files": sorted(files), "changed": changed})
     else:
@@ -102,19 +104,22 @@
 @click.pass_context
 @mendable
 def diff(ctx: click.Context, old: str, new: str, as_json: bool) -> None:
-    """Show what a change does to each sidecar's routes. Exit code 1 if it does anything."""
-    before, after = sound(old), sound(new)
+    """Show how each sidecar's routes differ between two folders. Exit code 1 if any differ."""
+    before, after = read_valid(old), read_valid(new)
     names = sorted({app.name for landscape in (before, after) for app in landscape.apps})
-    found: list[dict[str, Any]] = []
+    differences: list[dict[str, Any]] = []
     for name in names:
-        then, now = before.app(name), after.app(name)
-        if then is None or now is None:
-            found.append({"app": name, "sidecar": "added" if then is None else "removed"})
+        old_app, new_app = before.app(name), after.app(name)
+        if old_app is None or new_app is None:
+            differences.append({"app": name, "sidecar": "added" if old_app is None else "removed"})
             continue
-        change = difference(name, sidecar(then, before), sidecar(now, after))
+        change = difference(name, sidecar(old_app, before), sidecar(new_app, after))
         if change:
-            moved = [{"request": one, "from": was, "to": goes} for one, was, goes in change.moved]
-            found.append(
+            moved = [
+                {"request": request, "from": old_target, "to": new_target}
+                for request, old_target, new_target in change.moved
+            ]
+            differences.append(
                 {
                     "app": name,
                     "sidecar": "changed",
@@ -126,13 +131,13 @@
                 }
             )
     if as_json:
-        show_json({"sidecars": found})
+        show_json({"sidecars": differences})
     else:
-        for one in found:
-            click.echo(f"{one['app']}: {one['sidecar']}")
-            show_routes_changed(one)
-        click.echo(f"{len(found)} of {len(names)} sidecars change")
-    ctx.exit(1 if found else 0)
+        for entry in differences:
+            click.echo(f"{entry['app']}: {entry['sidecar']}")
+            show_routes_changed(entry)
+        click.echo(f"{len(differences)} of {len(names)} sidecars change")
+    ctx.exit(1 if differences else 0)
 
 
 @apps.command("explain")
@@ -142,43 +147,46 @@
 @json_option
 @mendable
 def explain_request(app: str, request: str, folder: str, as_json: bool) -> None:
-    """Say which route of APP's sidecar takes a REQUEST, and why each other does not.
+    """Show which route of APP's sidecar takes REQUEST, and why each of the others does not.
 
-    A REQUEST is 'METHOD /path name:value ...'; host, budget_ms and source are names too.
+    REQUEST is 'METHOD /path name:value ...'. The names host, budget_ms and source set the host, the time
+    budget and the source address; all other names are headers.
     """
-    landscape = sound(folder)
+    landscape = read_valid(folder)
     described = landscape.app(app)
     if described is None:
         raise click.ClickException(f"no application {app}; there are {', '.join(sorted(landscape.by_name))}")
     try:
-        ask = asked(request)
+        ask = parse_request(request)
     except ValueError as fault:
         raise click.ClickException(f"{request!r}: {fault}") from None
-    found = explain(sidecar(described, landscape), ask)
+    explanation = explain(sidecar(described, landscape), ask)
     if as_json:
         others = [
             {"route": name, "file": file, "line": line, "reasons": why}
-            for name, file, line, why in found.why_not
+            for name, file, line, why in explanation.why_not
         ]
-        show_json({"route": found.route, "outcome": found.outcome, "others": others})
+        show_json({"route": explanation.route, "outcome": explanation.outcome, "others": others})
         return
-    click.echo(found.outcome)
-    for name, file, line, why in found.why_not:
+    click.echo(explanation.outcome)
+    for name, file, line, why in explanation.why_not:
         click.echo(f"  not {name} ({file}:{line}): {'; '.join(why)}")
 
 
 @apps.command()
 @folder_argument
-@click.option("--check", "only_check", is_flag=True, help="Change nothing; exit code 1 if a file would be.")
+@click.option(
+    "--check", "only_check", is_flag=True, help="Write nothing; exit code 1 if a file would change."
+)
 @click.pass_context
 @mendable
 def fmt(ctx: click.Context, folder: str, only_check: bool) -> None:
-    """Lay the files of a folder out alike."""
-    texts = texts_of(folder)
-    made = {path: laid_out(text, path) for path, text in texts.items()}
-    changed = [path for path in texts if made[path] != texts[path]]
+    """Format the HCL files of a folder."""
+    texts = read_hcl_texts(folder)
+    formatted = {path: format_hcl(text, path) for path, text in texts.items()}
+    changed = [path for path in texts if formatted[path] != texts[path]]
     if not only_check:
-        write_all(folder, {Path(path).name: made[path] for path in changed}, old="")
+        write_files(folder, {Path(path).name: formatted[path] for path in changed}, stale_pattern="")
     for path in changed:
         click.echo(path)
     ctx.exit(1 if changed and only_check else 0)
--- a/gladegw/cli/common.py
+++ b/gladegw/cli/common.py
@@ -1,4 +1,4 @@
-"""What the commands share."""
+"""Helpers shared by the commands."""
 
 from __future__ import annotations
 
@@ -20,7 +20,8 @@
 
 
 def mendable(command: Callable[P, R]) -> Callable[P, R]:
-    """Bad input is one line on standard error and exit code 2."""
+    """Decorates a command: invalid input (settings, descriptions or folders) is reported as one line on
+    standard error with exit code 2."""
 
     @wraps(command)
     def wrapped(*args: P.args, **kwargs: P.kwargs) -> R:
@@ -33,10 +34,11 @@
 
 
 def run_async(work: Coroutine[Any, Any, R]) -> R:
-    """In a loop of its own; Ctrl-C ends the work in order, so that nothing it started stays behind."""
+    """Runs `work` in a new event loop. SIGTERM and SIGHUP cancel it, as Ctrl-C does, so that it cleans up and
+    leaves no process behind; a cancellation is reported as KeyboardInterrupt."""
     import signal
 
-    async def bounded() -> R:
+    async def cancelled_by_signals() -> R:
         task = asyncio.current_task()
         assert task is not None
         loop = asyncio.get_running_loop()
@@ -47,19 +49,20 @@
         except asyncio.CancelledError:
             raise KeyboardInterrupt from None
 
-    return asyncio.run(bounded())
+    return asyncio.run(cancelled_by_signals())
 
 
-def show_json(found: Any) -> None:
-    click.echo(json.dumps(found, indent=None, sort_keys=False, default=str))
+def show_json(result: Any) -> None:
+    click.echo(json.dumps(result, indent=None, sort_keys=False, default=str))
 
 
-def show_routes_changed(one: dict[str, Any]) -> None:
-    """What a difference of two tables adds, removes, changes and moves; nothing where it has no such part."""
-    for word in ("added", "removed", "changed"):
-        for route in one.get(word, ()):
-            click.echo(f"  {word} route {route}")
-    for move in one.get("moved", ()):
+def show_routes_changed(difference: dict[str, Any]) -> None:
+    """Prints the routes that differ between two route tables, and requests that go to another target. Keys
+    that `difference` lacks are skipped."""
+    for change in ("added", "removed", "changed"):
+        for route in difference.get(change, ()):
+            click.echo(f"  {change} route {route}")
+    for move in difference.get("moved", ()):
         click.echo(f"  moved {move['request']}\n    from {move['from']}\n    to   {move['to']}")
 
 
--- a/gladegw/cli/routes.py
+++ b/gladegw/cli/routes.py
@@ -6,7 +6,7 @@
 
 import click
 
-from gladegw.apps.files import read_folder, texts_of
+from gladegw.apps.files import read_folder, read_hcl_texts
 from gladegw.apps.sidecar import sidecar
 from gladegw.cli.apps import folder_argument, json_option
 from gladegw.cli.common import mendable, show_json
@@ -72,7 +72,7 @@
     Exit code 1 if one fails.
     """
     findings: list[Finding] = []
-    documents = [read_source(text, file, findings) for file, text in texts_of(folder).items()]
+    documents = [read_source(text, file, findings) for file, text in read_hcl_texts(folder).items()]
     described = any(block.name == "app" for document in documents for block in document.blocks)
     result, places, count = by_sidecar(folder, []) if described else plain_table(documents, findings)
     untouched = sorted(places.keys() - result.touched)
--- a/tests/apps/test_apps.py
+++ b/tests/apps/test_apps.py
@@ -13,10 +13,10 @@
 import pytest
 
 from gladegw.apps.check import check
-from gladegw.apps.layout import laid_out
+from gladegw.apps.layout import format_hcl
 from gladegw.apps.read import read_texts
-from gladegw.apps.sidecar import asked, difference, explain, sidecar
-from gladegw.apps.write import file_of, text_of
+from gladegw.apps.sidecar import difference, explain, parse_request, sidecar
+from gladegw.apps.write import render_hcl, sidecar_file
 from gladegw.cli import run
 from gladegw.routing.findings import CODES, Finding
 from gladegw.routing.matcher import Table
@@ -381,7 +381,7 @@
     found = {}
     for app in landscape.apps:
         description = sidecar(app, landscape)
-        found[app.name] = (description, file_of(app, description)[1])
+        found[app.name] = (description, sidecar_file(app, description)[1])
     return found
 
 
@@ -399,7 +399,7 @@
             (f"{route.app}.{route.name}", route.matches, route.attempts) for route in description.routes
         ]
         assert sorted(wanted) == sorted((r.name, r.matches, r.attempts) for r in again.routes)
-        assert text_of(again) == text_of(again)
+        assert render_hcl(again) == render_hcl(again)
     front = {str(route): route for route in one["front"][0].routes}
     assert set(front) == {"shop/stock", "shop/order"}
     assert (front["shop/stock"].attempts, front["shop/order"].attempts) == (2, 1)
@@ -408,15 +408,15 @@
 def test_the_example_is_sound_laid_out_and_built() -> None:
     texts = {path.name: path.read_text() for path in sorted((EXAMPLE / "apps").glob("*.hcl"))}
     assert findings_of(texts, json.dumps({"endpoints": [{"name": "n"}]})) == []
-    assert all(laid_out(text) == text for text in texts.values())
+    assert all(format_hcl(text) == text for text in texts.values())
     for app, (_, text) in built(texts).items():
         assert (EXAMPLE / "sidecars" / f"{app}.routes.hcl").read_text() == text
 
 
 def test_a_layout_changes_only_blanks_and_is_stable() -> None:
     for text in [*BASE.values(), 'a "b" {\n\n\n  x=1 # c\n long_name = [ "a" ,"b"]\n\n}\n/* c\n d */\n']:
-        once = laid_out(text)
-        assert laid_out(once) == once
+        once = format_hcl(text)
+        assert format_hcl(once) == once
         assert re.sub(r"\s", "", once) == re.sub(r"\s", "", text)
         blocks = read_source(once, "f", []).blocks
         assert [b.name for b in blocks] == [b.name for b in read_source(text, "f", []).blocks]
@@ -433,7 +433,7 @@
     found = difference("front", then, now)
     assert (found.added, found.removed, found.changed) == ((), (), ("shop/order",))
     ((request, was, goes),) = found.moved
-    ask = asked(request)
+    ask = parse_request(request)
     assert 'pool "shop"' in was and 'pool "spare"' in goes
     before, after = Table(then).find(ask), Table(now).find(ask)
     assert before is not None and after is not None
@@ -442,7 +442,7 @@
 
 
 def test_an_explanation_says_why_each_other_route_does_not_take_it() -> None:
-    found = explain(built(BASE)["front"][0], asked("GET /stock/7 host:shop.example x-caller:acme"))
+    found = explain(built(BASE)["front"][0], parse_request("GET /stock/7 host:shop.example x-caller:acme"))
     assert found.route == "shop/stock"
     assert [(name, why) for name, _, _, why in found.why_not] == [
         ("shop/order", ("path /stock/7 is not prefix /order",))
