--- a/gladegw/cli/apps.py
+++ b/gladegw/cli/apps.py
@@ -25,6 +25,8 @@
 
 
 def read_and_check(folder: str, endpoints: str | None = None) -> tuple[Landscape, list[Finding]]:
+    """The descriptions of a folder and the sorted findings. If a file can't be read (R001), the descriptions
+    are not checked against each other and only the findings of reading are returned."""
     findings: list[Finding] = []
     landscape = read_folder(folder, findings, endpoints)
     if not any(finding.code == "R001" for finding in findings):
--- a/tests/apps/test_apps.py
+++ b/tests/apps/test_apps.py
@@ -1,4 +1,4 @@
-"""Descriptions of applications: broken ones, each with its code and line, sound ones, and what is built."""
+"""Application descriptions: findings of invalid ones, valid ones without findings, and the built sidecars."""
 
 # ruff: noqa: E501 - one case a line
 
@@ -90,11 +90,11 @@
 )
 BASE = {"front.hcl": FRONT, "shop.hcl": SHOP, "store.hcl": STORE}
 
-# A change to the sound set: file, what is replaced, by what; `@` marks the line of the finding, which may
-# also lie in another file. With it the code.
+# Code of the expected finding, file of the valid set to change, text to replace, and its replacement. An `@` in
+# the replacement marks the line of the finding; without it, neither line nor file of the finding are checked.
 SHOP_ORDER = '  prefix = "/order"\n'
 BROKEN: list[tuple[str, str, str, str]] = [
-    # files that are no HCL
+    # files that are not valid HCL
     ("R001", "shop.hcl", 'owner = "b"', '@owner = "b'),
     ("R001", "shop.hcl", 'owner = "b"', "@owner = b"),
     ("R001", "shop.hcl", 'owner = "b"', "@owner ="),
@@ -134,14 +134,14 @@
     ("R005", "front.hcl", "retries = { stock = 2 }", "@retries = { stock = 99 }"),
     ("R005", "shop.hcl", 'route "order"', '@route "Order"'),
     ("R005", "shop.hcl", 'zones = ["a", "b"]', "local = true\n  spill_below = 0.9\n@  spill_until = 0.2"),
-    # what is missing
+    # missing keys, names and blocks
     ("R006", "shop.hcl", '  owner = "b"\n', ""),
     ("R006", "front.hcl", "  aim_ms     = 200\n", ""),
     ("R006", "store.hcl", '  pool       = "store"\n', ""),
     ("R006", "shop.hcl", 'route "order"', "@route"),
     ("R006", "store.hcl", 'app "store" {\n  owner = "c"\n}', "@"),
     ("R006", "shop.hcl", '  pool   = "shop"\n}', "  redirect { code = 302 }\n}"),
-    # what excludes each other
+    # settings that exclude each other
     ("R007", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '@  path = "/order"\n'),
     ("R007", "shop.hcl", SHOP_ORDER, SHOP_ORDER + "  answer { code = 503 }\n"),
     ("R007", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '  match { path = "/order/1" }\n'),
@@ -156,7 +156,7 @@
     ("R008", "store.hcl", 'host       = "store.example"', '@host = "*.*.example"'),
     ("R008", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '@  sources = ["10.0.0.1/8"]\n'),
     ("R008", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '@  method = "get"\n'),
-    # routes against routes
+    # routes that conflict with other routes
     (
         "R101",
         "shop.hcl",
@@ -192,7 +192,7 @@
         + '  pool = "shop"\n}\n@route "z" {\n  host = "shop.example"\n  path = "/order"\n  pool = "shop"\n}\nroute "y" {\n  host = "shop.example"\n  path = "/order"\n',
     ),
     ("R104", "shop.hcl", SHOP_ORDER, SHOP_ORDER + '  classes = ["stock"]\n'),
-    # names
+    # unknown and colliding names
     ("R201", "shop.hcl", 'fallback   = ["spare"]', 'fallback   = ["spar"]'),
     (
         "R201",
@@ -210,7 +210,7 @@
     ("R205", "store.hcl", 'pool "store"', '@tenant "acme" {}\npool "store"'),
     ("R205", "store.hcl", 'app "store"', '@app "shop"'),
     ("R205", "store.hcl", 'pool "store"', '@class "pay" {\n  aim_ms = 1\n  timeout_ms = 2\n}\npool "store"'),
-    # attempts and times
+    # attempts and timeouts
     ("R301", "front.hcl", "retries = { stock = 2 }", "@retries = { order = 2 }"),
     ("R301", "front.hcl", "retries = { stock = 2 }", "@retries = { stock = 3 }"),
     ("R301", "shop.hcl", SHOP_ORDER, SHOP_ORDER + "  attempts = 2\n"),
@@ -220,7 +220,7 @@
     ("R303", "store.hcl", "  timeout_ms = 800", "  timeout_ms = 950"),
     ("R304", "store.hcl", "  timeout_ms = 800", "  timeout_ms = 100"),
     ("R304", "front.hcl", "  timeout_ms = 1000", "@  timeout_ms = 100"),
-    # the rest
+    # splits, mirrors, cycles, selectors, rewrites and unused pools
     (
         "R401",
         "shop.hcl",
@@ -262,12 +262,12 @@
 def findings_of(files: dict[str, str], endpoints: str = ENDPOINTS) -> list[Finding]:
     findings: list[Finding] = []
     landscape = read_texts(files, findings, ("endpoints.json", endpoints))
-    if not any(found.code == "R001" for found in findings):
+    if not any(finding.code == "R001" for finding in findings):
         findings += check(landscape)
     return findings
 
 
-def changed(file: str, old: str, new: str) -> tuple[dict[str, str], int | None]:
+def replace_text(file: str, old: str, new: str) -> tuple[dict[str, str], int | None]:
     assert old in BASE[file], (file, old)
     text = BASE[file].replace(old, new, 1)
     line = text[: text.index("@")].count("\n") + 1 if "@" in new else None
@@ -278,24 +278,24 @@
 def test_each_broken_description_is_rejected_with_its_code_and_line(
     code: str, file: str, old: str, new: str
 ) -> None:
-    files, line = changed(file, old, new)
-    found = findings_of(files)
-    told = [(one.code, one.place.file, one.place.line) for one in found]
-    assert code in CODES and code in {one.code for one in found}, told
+    files, line = replace_text(file, old, new)
+    findings = findings_of(files)
+    locations = [(finding.code, finding.place.file, finding.place.line) for finding in findings]
+    assert code in CODES and code in {finding.code for finding in findings}, locations
     if line is not None:
-        assert (code, file, line) in told, told
-    for one in found:
-        assert 1 <= one.place.line <= files.get(one.place.file, "").count("\n") + 2
-        assert one.place.column >= 1 and one.message
+        assert (code, file, line) in locations, locations
+    for finding in findings:
+        assert 1 <= finding.place.line <= files.get(finding.place.file, "").count("\n") + 2
+        assert finding.place.column >= 1 and finding.message
 
 
-def test_the_suite_of_broken_descriptions_is_whole() -> None:
+def test_the_broken_descriptions_cover_every_code() -> None:
     assert len(BROKEN) >= 60
     assert {code for code, *_ in BROKEN} == set(CODES)
 
 
 ROUTE = '  host = "shop.example"\n  prefix = "/order"\n'
-SOUND = [
+VALID = [
     ("shop.hcl", "", ""),
     ("shop.hcl", SHOP_ORDER, SHOP_ORDER + '  methods = ["POST"]\n'),
     ("shop.hcl", SHOP_ORDER, '  regex = "/order/[0-9]+"\n  class = "order"\n'),
@@ -354,71 +354,71 @@
 ]
 
 
-@pytest.mark.parametrize("file, old, new", SOUND)
-def test_no_sound_description_is_rejected(file: str, old: str, new: str) -> None:
-    files, _ = changed(file, old, new)
+@pytest.mark.parametrize("file, old, new", VALID)
+def test_a_valid_description_has_no_findings(file: str, old: str, new: str) -> None:
+    files, _ = replace_text(file, old, new)
     endpoints = json.loads(ENDPOINTS)
     endpoints["endpoints"].append({"name": "x", "zone": "c", "type": "t"})
-    assert [str(found) for found in findings_of(files, json.dumps(endpoints))] == []
+    assert [str(finding) for finding in findings_of(files, json.dumps(endpoints))] == []
 
 
-def test_all_that_is_wrong_is_found_in_one_run() -> None:
+def test_faults_in_several_files_are_found_in_one_run() -> None:
     files = {
         "front.hcl": FRONT.replace("retries = { stock = 2 }", "retries = { stock = 9 }"),
         "shop.hcl": SHOP.replace('fallback   = ["spare"]', 'fallback   = ["spear"]'),
         "store.hcl": STORE.replace("owner =", "ownr ="),
     }
-    found = findings_of(files)
-    assert {"R301", "R201", "R407", "R002", "R006"} <= {one.code for one in found}
-    hints = {one.code: one.hint for one in found if one.hint}
+    findings = findings_of(files)
+    assert {"R301", "R201", "R407", "R002", "R006"} <= {finding.code for finding in findings}
+    hints = {finding.code: finding.hint for finding in findings if finding.hint}
     assert hints["R201"] == "did you mean spare?" and hints["R002"] == "did you mean owner?"
-    (allowance,) = [one for one in found if one.code == "R301"]
-    assert allowance.other is not None and allowance.other.file == "front.hcl"
+    (attempts_finding,) = [finding for finding in findings if finding.code == "R301"]
+    assert attempts_finding.other is not None and attempts_finding.other.file == "front.hcl"
 
 
-def built(files: dict[str, str]) -> dict[str, tuple[Description, str]]:
+def build_sidecars(files: dict[str, str]) -> dict[str, tuple[Description, str]]:
     landscape = read_texts(files, [])
-    found = {}
+    sidecars = {}
     for app in landscape.apps:
         description = sidecar(app, landscape)
-        found[app.name] = (description, sidecar_file(app, description)[1])
-    return found
+        sidecars[app.name] = (description, sidecar_file(app, description)[1])
+    return sidecars
 
 
-def test_what_is_built_is_read_back_as_it_was_whatever_the_order() -> None:
-    one = built(BASE)
+def test_built_files_are_the_same_in_any_input_order_and_read_back_unchanged() -> None:
+    first_build = build_sidecars(BASE)
     names = list(BASE)
     random.Random(3).shuffle(names)
-    assert {app: text for app, (_, text) in built({n: BASE[n] for n in names}).items()} == {
-        app: text for app, (_, text) in one.items()
+    assert {app: text for app, (_, text) in build_sidecars({n: BASE[n] for n in names}).items()} == {
+        app: text for app, (_, text) in first_build.items()
     }
-    for description, text in one.values():
-        again = read_text(text, "built.hcl")
-        assert again.pools == description.pools
-        wanted = [
+    for description, text in first_build.values():
+        reread = read_text(text, "built.hcl")
+        assert reread.pools == description.pools
+        expected = [
             (f"{route.app}.{route.name}", route.matches, route.attempts) for route in description.routes
         ]
-        assert sorted(wanted) == sorted((r.name, r.matches, r.attempts) for r in again.routes)
-        assert render_hcl(again) == render_hcl(again)
-    front = {str(route): route for route in one["front"][0].routes}
+        assert sorted(expected) == sorted((r.name, r.matches, r.attempts) for r in reread.routes)
+        assert render_hcl(reread) == render_hcl(reread)
+    front = {str(route): route for route in first_build["front"][0].routes}
     assert set(front) == {"shop/stock", "shop/order"}
     assert (front["shop/stock"].attempts, front["shop/order"].attempts) == (2, 1)
 
 
-def test_the_example_is_sound_laid_out_and_built() -> None:
+def test_the_example_is_valid_and_formatted_and_its_sidecars_are_up_to_date() -> None:
     texts = {path.name: path.read_text() for path in sorted((EXAMPLE / "apps").glob("*.hcl"))}
     assert findings_of(texts, json.dumps({"endpoints": [{"name": "n"}]})) == []
     assert all(format_hcl(text) == text for text in texts.values())
-    for app, (_, text) in built(texts).items():
+    for app, (_, text) in build_sidecars(texts).items():
         assert (EXAMPLE / "sidecars" / f"{app}.routes.hcl").read_text() == text
 
 
-def test_a_layout_changes_only_blanks_and_is_stable() -> None:
+def test_formatting_changes_only_white_space_and_is_stable() -> None:
     for text in [*BASE.values(), 'a "b" {\n\n\n  x=1 # c\n long_name = [ "a" ,"b"]\n\n}\n/* c\n d */\n']:
-        once = format_hcl(text)
-        assert format_hcl(once) == once
-        assert re.sub(r"\s", "", once) == re.sub(r"\s", "", text)
-        blocks = read_source(once, "f", []).blocks
+        formatted = format_hcl(text)
+        assert format_hcl(formatted) == formatted
+        assert re.sub(r"\s", "", formatted) == re.sub(r"\s", "", text)
+        blocks = read_source(formatted, "f", []).blocks
         assert [b.name for b in blocks] == [b.name for b in read_source(text, "f", []).blocks]
 
 
@@ -429,58 +429,63 @@
             'prefix = "/order"\n  pool   = "shop"', 'prefix = "/order"\n  pool   = "spare"'
         ),
     }
-    then, now = built(BASE)["front"][0], built(new)["front"][0]
-    found = difference("front", then, now)
-    assert (found.added, found.removed, found.changed) == ((), (), ("shop/order",))
-    ((request, was, goes),) = found.moved
+    old_routes, new_routes = build_sidecars(BASE)["front"][0], build_sidecars(new)["front"][0]
+    change = difference("front", old_routes, new_routes)
+    assert (change.added, change.removed, change.changed) == ((), (), ("shop/order",))
+    ((request, old_target, new_target),) = change.moved
     ask = parse_request(request)
-    assert 'pool "shop"' in was and 'pool "spare"' in goes
-    before, after = Table(then).find(ask), Table(now).find(ask)
-    assert before is not None and after is not None
-    assert (before.route.pool, after.route.pool) == ("shop", "spare")
-    assert not difference("store", built(BASE)["store"][0], built(new)["store"][0])
-
-
-def test_an_explanation_says_why_each_other_route_does_not_take_it() -> None:
-    found = explain(built(BASE)["front"][0], parse_request("GET /stock/7 host:shop.example x-caller:acme"))
-    assert found.route == "shop/stock"
-    assert [(name, why) for name, _, _, why in found.why_not] == [
+    assert 'pool "shop"' in old_target and 'pool "spare"' in new_target
+    old_entry, new_entry = Table(old_routes).find(ask), Table(new_routes).find(ask)
+    assert old_entry is not None and new_entry is not None
+    assert (old_entry.route.pool, new_entry.route.pool) == ("shop", "spare")
+    assert not difference("store", build_sidecars(BASE)["store"][0], build_sidecars(new)["store"][0])
+
+
+def test_an_explanation_gives_the_reason_against_each_other_route() -> None:
+    explanation = explain(
+        build_sidecars(BASE)["front"][0], parse_request("GET /stock/7 host:shop.example x-caller:acme")
+    )
+    assert explanation.route == "shop/stock"
+    assert [(name, why) for name, _, _, why in explanation.why_not] == [
         ("shop/order", ("path /stock/7 is not prefix /order",))
     ]
 
 
-def folder(tmp_path: Path, files: dict[str, str]) -> str:
+def write_folder(tmp_path: Path, files: dict[str, str]) -> str:
     for name, text in files.items():
         (tmp_path / name).write_text(text)
     return str(tmp_path)
 
 
-def test_the_commands_keep_their_forms(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    def said(*arguments: str) -> tuple[int, Any]:
+def test_the_commands_keep_their_output_forms_and_exit_codes(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    def run_command(*arguments: str) -> tuple[int, Any]:
         code = run(list(arguments))
         text = capsys.readouterr().out
         return code, json.loads(text) if "--json" in arguments or "--sarif" in arguments else text
 
-    where = folder(tmp_path, BASE)
-    assert said("apps", "check", where, "--json") == (0, {"findings": []})
+    directory = write_folder(tmp_path, BASE)
+    assert run_command("apps", "check", directory, "--json") == (0, {"findings": []})
     out = str(tmp_path / "out")
-    assert said("apps", "build", where, "--out", out, "--json")[1]["changed"] == [
+    assert run_command("apps", "build", directory, "--out", out, "--json")[1]["changed"] == [
         "front.routes.hcl",
         "shop.routes.hcl",
         "store.routes.hcl",
     ]
-    assert said("apps", "build", where, "--out", out, "--json")[1]["changed"] == []
+    assert run_command("apps", "build", directory, "--out", out, "--json")[1]["changed"] == []
     (tmp_path / "shop.hcl").write_text(SHOP + "@")
-    code, told = said("apps", "check", where, "--json")
-    assert code == 1 and set(told["findings"][0]) >= {"code", "file", "line", "message", "other"}
-    code, told = said("apps", "check", where, "--sarif")
-    assert code == 1 and told["runs"][0]["results"][0]["ruleId"] == "R001"
-    assert run(["apps", "build", where, "--out", out]) == 2 and "shop.hcl:" in capsys.readouterr().err
+    code, output = run_command("apps", "check", directory, "--json")
+    assert code == 1 and set(output["findings"][0]) >= {"code", "file", "line", "message", "other"}
+    code, output = run_command("apps", "check", directory, "--sarif")
+    assert code == 1 and output["runs"][0]["results"][0]["ruleId"] == "R001"
+    assert run(["apps", "build", directory, "--out", out]) == 2 and "shop.hcl:" in capsys.readouterr().err
     assert run(["apps", "check", str(tmp_path / "none")]) == 2
     assert "no such folder" in capsys.readouterr().err
 
 
-MISROUTES = [  # what is planted in the sound set, and the expectations that fail, by their place in EXPECTS
+# Text of SHOP to replace, its replacement, and the indexes in EXPECTS of the expectations that then fail.
+MISROUTES = [
     ('  fallback   = ["spare"]\n', "", set()),
     ('prefix     = "/stock"\n  pool       = "shop"', 'prefix     = "/stock"\n  pool       = "spare"', {0, 4}),
     ('prefix     = "/stock"', 'prefix     = "/stok"', {0, 3, 4}),
@@ -550,22 +555,22 @@
 
 
 @pytest.mark.parametrize("old, new, failing", MISROUTES)
-def test_each_planted_misroute_is_caught_with_its_line(
+def test_each_misroute_fails_its_expectations_with_their_lines(
     old: str, new: str, failing: set[int], tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert old in SHOP
     files = {**BASE, "shop.hcl": SHOP.replace(old, new, 1), "front.hcl": FRONT + EXPECTS}
-    where = folder(tmp_path, files)
-    code = run(["routes", "test", where, "--json"])
-    told = json.loads(capsys.readouterr().out)["failed"]
+    directory = write_folder(tmp_path, files)
+    code = run(["routes", "test", directory, "--json"])
+    failures = json.loads(capsys.readouterr().out)["failed"]
     lines = (FRONT + EXPECTS).splitlines()
-    wants = [
+    expected_lines = [
         n for n, line in enumerate(lines, 1) if re.match(r"  (goes_to|refused|timeout_ms|never|split) ", line)
     ]
-    wants = wants[-7:]
-    assert {one["line"] for one in told} == {wants[place] for place in failing}
+    expected_lines = expected_lines[-7:]
+    assert {failure["line"] for failure in failures} == {expected_lines[index] for index in failing}
     assert code == (1 if failing else 0)
-    assert all(one["got"] and one["file"].endswith("front.hcl") for one in told)
+    assert all(failure["got"] and failure["file"].endswith("front.hcl") for failure in failures)
 
 
 @pytest.mark.parametrize(
