--- a/gladegw/control/rollout_plan.py
+++ b/gladegw/control/rollout_plan.py
@@ -10,7 +10,7 @@
 from gladegw.coordination import blackout_windows
 from gladegw.coordination.records import RolloutLimitsRecord
 from gladegw.coordination.rollout import plan_stages
-from gladegw.net.hcl import LARGEST, Block, blocks_of
+from gladegw.net.hcl import MAX_FILE_BYTES, Block, blocks_of
 
 WORSE, THIN = ("back", "stop"), ("stop", "go on")
 
@@ -112,7 +112,7 @@
     """Read and validate a plan; raises PlanError with file, line and reason."""
     try:
         raw = Path(path).read_bytes()
-        if len(raw) > LARGEST:
+        if len(raw) > MAX_FILE_BYTES:
             raise PlanError(f"{path}:1: too large")
         text = raw.decode("utf-8")
         blocks = blocks_of(text)
--- a/gladegw/net/__init__.py
+++ b/gladegw/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real proxy: sockets on one side, events and actions of the balancer on the other."""
+"""The network side of the proxy: translates between sockets and the balancer's events and actions."""
--- a/gladegw/net/addresses.py
+++ b/gladegw/net/addresses.py
@@ -1,4 +1,4 @@
-"""The feature `addresses`: identification of clients, also behind a load balancer, and their admission."""
+"""The feature `addresses`: client addresses from the PROXY protocol, and allow and deny lists."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 from gladegw.net.interfaces import ClientIdentity, ConnectionRejectedError, format_address
 
-VERSIONS: dict[str, tuple[int, ...]] = {"off": (), "v1": (1,), "v2": (2,), "any": (1, 2)}
-V1, V2 = b"PROXY ", b"\r\n\r\n\x00\r\nQUIT\n"  # how the two versions of the header begin
-LONGEST_V1 = 107  # bytes, with its line end
-LONGEST = 2048  # bytes of a version 2 header, with what it carries beside the addresses
-PEEK_INTERVAL_S = 0.02  # s between looks at bytes that are not taken yet
+VERSIONS_BY_SETTING: dict[str, tuple[int, ...]] = {"off": (), "v1": (1,), "v2": (2,), "any": (1, 2)}
+V1_SIGNATURE, V2_SIGNATURE = b"PROXY ", b"\r\n\r\n\x00\r\nQUIT\n"
+MAX_V1_HEADER_BYTES = 107  # including its line end
+MAX_HEADER_BYTES = 2048  # of a version 2 header, including its optional TLV fields
+PEEK_INTERVAL_S = 0.02  # between looks at received bytes that stay in the socket's buffer
 PORT = re.compile(r"0|[1-9]\d{0,4}", re.ASCII)
 
 Ip = ipaddress.IPv4Address | ipaddress.IPv6Address
@@ -23,12 +23,12 @@
 Source = tuple[Ip, int]
 
 
-def plain(ip: Ip) -> Ip:
-    """An IPv4-mapped IPv6 address as the IPv4 address."""
+def unmap_ipv4(ip: Ip) -> Ip:
+    """Convert an IPv4-mapped IPv6 address to the IPv4 address; others stay as they are."""
     return getattr(ip, "ipv4_mapped", None) or ip
 
 
-def network(text: str) -> Network:
+def parse_network(text: str) -> Network:
     """Parse a network; IPv4-mapped ones become IPv4 networks.
 
     Raises ValueError.
@@ -54,12 +54,12 @@
         for name in ("allow", "deny", "trusted_fronts"):
             for text in getattr(self, name):
                 try:
-                    network(text)
+                    parse_network(text)
                 except ValueError as fault:
                     raise ValueError(f"{name}: {fault}") from None
-        if self.proxy_protocol not in VERSIONS:
+        if self.proxy_protocol not in VERSIONS_BY_SETTING:
             raise ValueError(
-                f"proxy_protocol must be one of {', '.join(VERSIONS)}, not {self.proxy_protocol!r}"
+                f"proxy_protocol must be one of {', '.join(VERSIONS_BY_SETTING)}, not {self.proxy_protocol!r}"
             )
 
 
@@ -68,30 +68,30 @@
 
     Raises ValueError.
     """
-    if data.startswith(V2) and 2 in versions:
+    if data.startswith(V2_SIGNATURE) and 2 in versions:
         if len(data) < 16:
             return None
         size = 16 + int(struct.unpack_from("!H", data, 14)[0])
-        if size > LONGEST:
+        if size > MAX_HEADER_BYTES:
             raise ValueError("the PROXY header is too long")
         return size if len(data) >= size else None
-    if data.startswith(V1) and 1 in versions:
-        end = data.find(b"\r\n", 0, LONGEST_V1)
-        if end < 0 and len(data) >= LONGEST_V1:
+    if data.startswith(V1_SIGNATURE) and 1 in versions:
+        end = data.find(b"\r\n", 0, MAX_V1_HEADER_BYTES)
+        if end < 0 and len(data) >= MAX_V1_HEADER_BYTES:
             raise ValueError("the PROXY header is too long")
         return end + 2 if end >= 0 else None
-    wanted = [start for version, start in ((1, V1), (2, V2)) if version in versions]
+    wanted = [start for version, start in ((1, V1_SIGNATURE), (2, V2_SIGNATURE)) if version in versions]
     if any(start.startswith(data) for start in wanted):
         return None
-    raise ValueError("no PROXY header of a version that is taken here")
+    raise ValueError("no PROXY header of an enabled version")
 
 
 def read_header(data: bytes) -> Source | None:
-    """The client that a complete PROXY header names; None if the connection is its sender's own.
+    """The client that a complete PROXY header names; None if the sender itself counts as the client.
 
     Raises ValueError.
     """
-    return _read_v2(data) if data.startswith(V2) else _read_v1(data)
+    return _read_v2(data) if data.startswith(V2_SIGNATURE) else _read_v1(data)
 
 
 def _read_v1(data: bytes) -> Source | None:
@@ -111,16 +111,16 @@
     version, command, kind = data[12] >> 4, data[12] & 15, data[13]
     if version != 2 or command > 1:
         raise ValueError("malformed PROXY header")
-    if command == 0 or kind not in (0x11, 0x21):  # LOCAL, or no TCP over IP
+    if command == 0 or kind not in (0x11, 0x21):  # command LOCAL, or a protocol other than TCP over IP
         return None
     size = 4 if kind == 0x11 else 16
     if len(data) < 16 + 2 * size + 4:
-        raise ValueError("a PROXY header without its addresses")
+        raise ValueError("the PROXY header does not contain its addresses")
     (port,) = struct.unpack_from("!H", data, 16 + 2 * size)
     return ipaddress.ip_address(data[16 : 16 + size]), port
 
 
-async def _readable(sock: socket.socket) -> None:
+async def _wait_readable(sock: socket.socket) -> None:
     loop = asyncio.get_running_loop()
     ready = asyncio.Event()
     loop.add_reader(sock, ready.set)
@@ -142,24 +142,24 @@
     """Identifies clients by their address or PROXY header, and applies the allow and deny lists."""
 
     def __init__(self, settings: AddressSettings) -> None:
-        self.allow = [network(text) for text in settings.allow]
-        self.deny = [network(text) for text in settings.deny]
-        self.fronts = [network(text) for text in settings.trusted_fronts]
-        self.versions = VERSIONS[settings.proxy_protocol]
+        self.allow = [parse_network(text) for text in settings.allow]
+        self.deny = [parse_network(text) for text in settings.deny]
+        self.trusted_fronts = [parse_network(text) for text in settings.trusted_fronts]
+        self.versions = VERSIONS_BY_SETTING[settings.proxy_protocol]
 
     def denied(self, ip: Ip) -> bool:
         """Whether the lists deny the address."""
-        ip = plain(ip)
+        ip = unmap_ipv4(ip)
         if any(ip in found for found in self.deny):
             return True
         return bool(self.allow) and not any(ip in found for found in self.allow)
 
     def trusts(self, ip: Ip) -> bool:
         """Whether PROXY headers from the address are accepted."""
-        return any(plain(ip) in found for found in self.fronts)
+        return any(unmap_ipv4(ip) in found for found in self.trusted_fronts)
 
     async def identify(self, sock: socket.socket) -> ClientIdentity:
-        """The client of a connection; consumes the PROXY header and nothing behind it.
+        """Determine the client of a connection; consumes the PROXY header and nothing after it.
 
         Raises ConnectionRejectedError.
         """
@@ -167,39 +167,41 @@
         sender = ipaddress.ip_address(host)
         source: Source | None = None
         if self.versions and self.trusts(sender):
-            source = await self._header(sock)
+            source = await self._receive_header(sock)
         elif self.versions and await self._begins_with_header(sock):
             raise ConnectionRejectedError("a PROXY header from outside trusted_fronts")
         client, port = source or (sender, port)
-        via = None if source is None else str(plain(sender))
-        return ClientIdentity(format_address((str(plain(client)), port)), via, self.denied(client))
+        via = None if source is None else str(unmap_ipv4(sender))
+        return ClientIdentity(format_address((str(unmap_ipv4(client)), port)), via, self.denied(client))
 
-    async def _header(self, sock: socket.socket) -> Source | None:
-        had = b""
+    async def _receive_header(self, sock: socket.socket) -> Source | None:
+        consumed = b""
         while True:
-            await _readable(sock)
-            seen = _peek(sock, LONGEST)
-            if seen is None:
+            await _wait_readable(sock)
+            peeked = _peek(sock, MAX_HEADER_BYTES)
+            if peeked is None:
                 continue
-            if not seen:
-                raise ConnectionRejectedError("it ended before its PROXY header" if had else "")
+            if not peeked:
+                raise ConnectionRejectedError(
+                    "the connection ended before its PROXY header was complete" if consumed else ""
+                )
             try:
-                size = header_size(had + seen, self.versions)
+                size = header_size(consumed + peeked, self.versions)
                 if size is not None:
-                    sock.recv(size - len(had))
-                    return read_header((had + seen)[:size])
+                    sock.recv(size - len(consumed))
+                    return read_header((consumed + peeked)[:size])
             except ValueError as fault:
                 raise ConnectionRejectedError(str(fault)) from None
-            had += sock.recv(len(seen))  # all of it is header
+            consumed += sock.recv(len(peeked))  # all of these bytes belong to the header
 
     @staticmethod
     async def _begins_with_header(sock: socket.socket) -> bool:
         while True:
-            await _readable(sock)
-            seen = _peek(sock, len(V2))
-            if seen is not None:
-                if seen.startswith((V1, V2)):
+            await _wait_readable(sock)
+            peeked = _peek(sock, len(V2_SIGNATURE))
+            if peeked is not None:
+                if peeked.startswith((V1_SIGNATURE, V2_SIGNATURE)):
                     return True
-                if not seen or not any(start.startswith(seen) for start in (V1, V2)):
+                if not peeked or not any(start.startswith(peeked) for start in (V1_SIGNATURE, V2_SIGNATURE)):
                     return False
-            await asyncio.sleep(PEEK_INTERVAL_S)  # these bytes may be HTTP's, so they stay where they are
+            await asyncio.sleep(PEEK_INTERVAL_S)  # the bytes may belong to HTTP, so they are not consumed
--- a/gladegw/net/config.py
+++ b/gladegw/net/config.py
@@ -1,4 +1,4 @@
-"""The configuration of one proxy: EDGE_* variables and the JSON file, read into one typed object."""
+"""The configuration of one proxy: EDGE_* variables and the JSON file, combined into one typed object."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
     discovery: Address
     seed: int
     sockets: int  # file descriptors that the process may hold
-    known: Mapping[str, Any]  # the list of backends as last held, in discovery's form
+    known: Mapping[str, Any]  # the last known endpoint list, in the form of a discovery response
     settings: Settings
-    raw_settings: Mapping[str, Any] = field(default_factory=dict)  # as the file holds them
-    memory: int = 128 << 20  # bytes that the process may use
-    admin: Address | None = None  # where operators call; None: nowhere
+    raw_settings: Mapping[str, Any] = field(default_factory=dict)  # before conversion, as in the file
+    memory: int = 128 << 20  # memory limit of the process, in bytes
+    admin: Address | None = None  # address of the operators' interface; None: disabled
 
 
 def address(text: object) -> Address:
@@ -49,7 +49,7 @@
 
 
 def flatten(value: object, path: str = "", into: dict[str, str] | None = None) -> dict[str, str]:
-    """Flatten the settings object to the simulator's path=value pairs, so that both have one reader."""
+    """Flatten the settings object to the simulator's path=value pairs, so that one reader serves both."""
     pairs = {} if into is None else into
     if isinstance(value, dict):
         for key, item in value.items():
@@ -73,40 +73,40 @@
     return int(text, 16) if isinstance(text, str) else int(str(text))
 
 
-def _read(environ: Mapping[str, str]) -> dict[str, Any]:
+def _read_file(environ: Mapping[str, str]) -> dict[str, Any]:
     path = environ.get("EDGE_CONFIG")
     if not path:
         raise ValueError("EDGE_CONFIG is not set")
     raw = json.loads(Path(path).read_text(encoding="utf-8"))
     if not isinstance(raw, dict):
-        raise ValueError("the file holds no object")
+        raise ValueError("the file does not contain a JSON object")
     return raw
 
 
-def _fault(fault: Exception) -> ConfigError:
+def _config_error(fault: Exception) -> ConfigError:
     return ConfigError(" ".join(f"bad configuration: {fault}".split()))
 
 
 def discovery_now(environ: Mapping[str, str]) -> Address:
-    """The discovery address in the configuration file at present.
+    """The discovery address that the configuration file contains at present.
 
-    EDGE_DISCOVERY is ignored, since it is as old as the process. Raises ConfigError.
+    EDGE_DISCOVERY is ignored, since the environment dates from the start of the process. Raises ConfigError.
     """
     try:
-        return address(_read(environ).get("discovery"))
+        return address(_read_file(environ).get("discovery"))
     except (OSError, ValueError) as fault:
-        raise _fault(fault) from None
+        raise _config_error(fault) from None
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read the file that EDGE_CONFIG names; the other variables override it.
+    """Read the file that EDGE_CONFIG names; the other EDGE_* variables override its settings.
 
     Raises ConfigError.
     """
     try:
-        raw = _read(environ)
+        raw = _read_file(environ)
         if not isinstance(raw.get("settings"), dict):
-            raise ValueError("the file holds no settings object")
+            raise ValueError("the file does not contain a settings object")
         known = raw.get("known") or {}
         limits = raw.get("limits") or {}
         if not isinstance(known, dict) or not isinstance(limits, dict):
@@ -116,7 +116,7 @@
             soft = 1 << 20
         sockets = min(int(limits.get("sockets", soft)), soft)
         if sockets < 64:
-            raise ValueError(f"too few sockets: {sockets}")
+            raise ValueError(f"too few sockets: {sockets}, at least 64 are needed")
         admin = environ.get("EDGE_ADMIN_ADDR") or raw.get("admin_addr")
         return Config(
             name=environ.get("EDGE_NAME") or str(raw.get("name", "")),
@@ -131,4 +131,4 @@
             admin=address(admin) if admin else None,
         )
     except (OSError, ValueError, TypeError, AttributeError) as fault:
-        raise _fault(fault) from None
+        raise _config_error(fault) from None
--- a/gladegw/net/discovery.py
+++ b/gladegw/net/discovery.py
@@ -16,23 +16,23 @@
 
 log = logging.getLogger(__name__)
 
-HOLD_FRACTION = 0.25  # of the maximum interval between polls, for one watch
-# A watch that has fallen silent looks like one with nothing to tell until its call is given up. That takes a
-# third of the 6 s after which a change counts as told; the rest is for the calls that follow, which may be
-# refused while all proxies call at once.
-MAX_HOLD_S = 0.8  # of one watch
-ANSWER_TIMEOUT_S = 1.2  # beyond the hold time of a watch
-FIRST_HOLD_S = 0.05  # of a call that opens a watch: until its response nothing is known
-CONNECT_TIMEOUT_S = 1.0  # s
+HOLD_FRACTION = 0.25  # hold time of a watch call, as a fraction of the maximum interval between polls
+# A watch whose connection has stalled can't be told from one without changes until its call times out. Hold
+# time and timeout together take a third of the 6 s after which a change counts as known to the proxy. The
+# rest is for the calls that follow, which discovery may reject while all proxies call at once.
+MAX_HOLD_S = 0.8  # hold time of one watch call
+ANSWER_TIMEOUT_S = 1.2  # for a response, beyond the hold time of its call
+FIRST_HOLD_S = 0.05  # hold time of a call that opens a watch; short, as nothing is known before its response
+CONNECT_TIMEOUT_S = 1.0
 FULL_LIST_TIMEOUT_S = 2.1  # discovery may queue a call for 2 s before it rejects it
-LONG_ANSWER_TIMEOUT_S = 4.0  # after a call without a response: discovery may be slow
+LONG_ANSWER_TIMEOUT_S = 4.0  # instead of FULL_LIST_TIMEOUT_S after a timeout, as discovery may be slow
 IMMEDIATE_REJECTION_S = 0.3  # a rejection within this time was not queued
-MAX_READ_S = 3.0  # beyond its timeout, for a response whose parts keep arriving
-MIN_CALL_SPACING_S = 0.05  # on average, if discovery answers each call immediately
-MAX_CONCURRENT_FETCHES = 4.0  # a burst of calls without spacing: updates may follow one another closely
-MAX_EMPTY_UPDATE_BYTES = 100  # of a response without updates
+MAX_READ_S = 3.0  # beyond the timeout of a call, while parts of its response keep arriving
+MIN_CALL_SPACING_S = 0.05  # average between the calls of a watch, if discovery answers them immediately
+MAX_CALL_BURST = 4.0  # calls of a watch without spacing, since updates may follow one another closely
+MAX_EMPTY_UPDATE_BYTES = 100  # a larger response contains updates and is logged
 LIST_PATH = "/v1/servers"
-MAX_LIST_BYTES = 8 << 20  # of a response
+MAX_LIST_BYTES = 8 << 20  # size limit of a response body
 REJECTION_CODES = (
     429,
     503,
@@ -51,13 +51,13 @@
         self.answer: asyncio.Future[tuple[int, bytes]] | None = None
         self.parser: Any = None
         self.body = bytearray()
-        self.framed = False  # the response headers delimit its body
-        self.until_close = False  # its body ends with the connection
+        self.framed = False  # whether the response headers delimit its body
+        self.until_close = False  # whether the body extends to the end of the connection
         self.last_received_at = 0.0  # when bytes last arrived
         self.answer_began_at = 0.0  # when the first bytes of the last answer arrived
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's own class
+        self.transport = cast(asyncio.Transport, transport)  # uvloop passes a class of its own
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
@@ -67,8 +67,8 @@
         self.last_received_at = time.monotonic()
         try:
             self.parser.feed_data(data)
-        except Exception as fault:  # whatever it is, the stream can't be followed any further
-            self._fail(ValueError(f"malformed answer: {fault}"))
+        except Exception as fault:  # after any parser error the rest of the stream can't be parsed
+            self._fail(ValueError(f"malformed response: {fault}"))
             self.close()
 
     def eof_received(self) -> bool | None:
@@ -90,10 +90,10 @@
     def on_body(self, chunk: bytes) -> None:
         self.body += chunk
         if len(self.body) > MAX_LIST_BYTES:
-            raise ValueError("the answer is too large")
+            raise ValueError("the response is too large")
 
     def on_message_complete(self) -> None:
-        if self.parser.get_status_code() >= 200:  # others are interim responses
+        if self.parser.get_status_code() >= 200:  # 1xx responses are interim
             self._complete()
             if not self.parser.should_keep_alive():
                 self.close()
@@ -113,12 +113,12 @@
         return self.transport is not None and not self.transport.is_closing()
 
     def close(self) -> None:
-        self.answer = None  # it is not awaited any more
+        self.answer = None  # nothing awaits it any more
         if self.transport is not None:
             self.transport.close()
             self.transport = None
 
-    async def begin(self, at: Address, target: str) -> asyncio.Future[tuple[int, bytes]]:
+    async def send(self, address: Address, target: str) -> asyncio.Future[tuple[int, bytes]]:
         """Send a call, over a new connection if necessary, and return the future of its response.
 
         Raises OSError.
@@ -126,14 +126,14 @@
         loop = asyncio.get_running_loop()
         if not self.up:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                await loop.create_connection(lambda: self, *at)
+                await loop.create_connection(lambda: self, *address)
         if self.transport is None:
-            raise ConnectionError("lost as soon as made")
+            raise ConnectionError("discovery closed the new connection immediately")
         self.parser = httptools.HttpResponseParser(self)
         self.body = bytearray()
         self.until_close = False
         self.answer = loop.create_future()
-        self.transport.write(f"GET {target} HTTP/1.1\r\nHost: {at[0]}:{at[1]}\r\n\r\n".encode())
+        self.transport.write(f"GET {target} HTTP/1.1\r\nHost: {address[0]}:{address[1]}\r\n\r\n".encode())
         return self.answer
 
 
@@ -144,7 +144,7 @@
         """Create a call that begins now.
 
         `timeout` is in seconds; `moves` is the number of address changes so far; `continues_watch` marks a
-        call that does not queue at discovery.
+        call that continues a watch, which does not queue at discovery.
         """
         self.target, self.timeout, self.moves, self.continues_watch = target, timeout, moves, continues_watch
         self.begun_at = time.monotonic()
@@ -153,8 +153,8 @@
     async def result(self, channel: _Channel) -> bytes:
         """The body of the response.
 
-        Waits as long as parts of it arrive, since otherwise it would be requested and sent again from the
-        start. Raises OSError, TimeoutError or ValueError.
+        Waits longer while parts of it arrive, up to MAX_READ_S, since a repeated call would transfer it again
+        from the start. Raises OSError, TimeoutError or ValueError.
         """
         assert self.answer is not None
         due = self.begun_at + self.timeout
@@ -173,14 +173,14 @@
 
 
 class Discovery:
-    """Calls discovery as the balancer demands, and passes on changes and failures.
+    """Calls discovery when the balancer asks for it, and reports changes and failures.
 
-    It makes no call of its own, except for the next call of a watch that continues.
+    The only call that it makes unasked is the next call of a watch that continues.
     """
 
     def __init__(
         self,
-        at: Address,
+        address: Address,
         version: int | None,
         max_poll_gap: float,
         on_list: Callable[[Listing], None],
@@ -189,21 +189,22 @@
     ) -> None:
         """Create a client that makes no call yet.
 
-        `inventory` is the list of `version`, if one is known; `on_failed` is called with the kind of a
+        `inventory` holds the list of `version`, if one is known; `on_failed` is called with the kind of a
         failure.
         """
-        self.at, self.version = at, version  # None: no list of this address is known; 0 is a version too
-        self.hold = min(HOLD_FRACTION * max_poll_gap, MAX_HOLD_S)  # s
+        # Version None: no list from this address is known; 0 is a valid version.
+        self.address, self.version = address, version
+        self.hold = min(HOLD_FRACTION * max_poll_gap, MAX_HOLD_S)  # hold time of a watch call, in seconds
         self.on_list, self.on_failed = on_list, on_failed
         self.inventory = inventory or EndpointInventory()
-        self.list_received = asyncio.Event()  # whether a list was received
-        self.turn_timeout = FULL_LIST_TIMEOUT_S
-        self.address_changing = (
-            False  # a new configuration is being read: what comes meanwhile is no news any more
-        )
-        self.moves = 0  # to other addresses; what began before the last one has no say in what follows
+        self.list_received = asyncio.Event()  # set once any list was received
+        self.queued_call_timeout = FULL_LIST_TIMEOUT_S  # of a call that may queue at discovery
+        # While a new configuration is being read, lists from the present address don't count as current.
+        self.address_changing = False
+        # Number of address changes. A call begun before the latest one has no effect on later calls.
+        self.moves = 0
         self._watch: asyncio.Task[None] | None = None
-        self._left: list[asyncio.Task[None]] = []  # watches at previous addresses
+        self._previous_watches: list[asyncio.Task[None]] = []
         self._fetches: set[asyncio.Task[None]] = set()
 
     def watch(self, on: bool) -> None:
@@ -214,135 +215,140 @@
         if on:
             self._watch = asyncio.get_running_loop().create_task(self._watch_loop())
 
-    def move(self, at: Address) -> None:
-        """Switch to another address, whose versions may differ, and fetch a full snapshot there.
+    def move(self, address: Address) -> None:
+        """Switch to another address, whose list versions may differ, and fetch a full snapshot there.
 
-        Changes that the previous address has sent already count, so its watch is read until the new one has
-        answered.
+        Changes that the previous address is still sending are applied too, so its watch is read until the new
+        address has answered.
         """
         for task in self._fetches:
             task.cancel()
         if self._watch is not None:
-            self._left.append(self._watch)
+            self._previous_watches.append(self._watch)
             self._watch = None
-        self.at, self.version = at, None
+        self.address, self.version = address, None
         self.moves += 1
         self.watch(True)
 
     def fetch(self) -> None:
         """Fetch a full snapshot."""
-        task = asyncio.get_running_loop().create_task(self._fetch_loop())
+        task = asyncio.get_running_loop().create_task(self._fetch_snapshot())
         self._fetches.add(task)
         task.add_done_callback(self._fetches.discard)
 
     def stop(self) -> None:
         """Cancel all calls."""
-        for task in (self._watch, *self._left, *self._fetches):
+        for task in (self._watch, *self._previous_watches, *self._fetches):
             if task is not None:
                 task.cancel()
 
     async def _watch_loop(self) -> None:
         """Run one watch.
 
-        A watch continues if its next call arrives within 0.2 s of a response; otherwise it starts again,
-        behind all other callers. Hence the next call is sent before the list is applied, however long that
-        takes.
+        For discovery a watch continues if its next call arrives within 0.2 s of a response; otherwise the
+        call queues behind those of all other callers. Hence the next call is sent before the list is
+        delivered, which may take longer.
         """
         channel = _Channel()
-        allowance = MAX_CONCURRENT_FETCHES
+        allowance = MAX_CALL_BURST
         moves = self.moves
         try:
-            call = await self._begin(channel)
+            call = await self._send_watch_call(channel)
             while call is not None:
-                body = await self._answered(channel, call)
+                body = await self._receive(channel, call)
                 if body is None:
                     return
-                listing = self._read(body, call, channel)
+                listing = self._apply_response(body, call, channel)
                 if listing is None:
                     return
-                if moves != self.moves:  # discovery has moved: this was the last word from here
+                if moves != self.moves:  # the address changed meanwhile: the last list of this watch
                     self._deliver(listing, call, len(body))
                     return
                 elapsed = time.monotonic() - call.begun_at
-                allowance = min(MAX_CONCURRENT_FETCHES, allowance + elapsed / MIN_CALL_SPACING_S) - 1
-                answered, size = call, len(body)
+                allowance = min(MAX_CALL_BURST, allowance + elapsed / MIN_CALL_SPACING_S) - 1
+                answered_call, size = call, len(body)
                 if allowance >= 0 and channel.up:
-                    # What was written is taken whatever becomes of this watch: in the loop's next turn, when
-                    # the call has been written.
-                    asyncio.get_running_loop().call_soon(self._deliver, listing, answered, size)
-                    call = await self._begin(channel)
+                    # Scheduled rather than called, so that the call is written first. The list is delivered
+                    # even if this watch is cancelled meanwhile.
+                    asyncio.get_running_loop().call_soon(self._deliver, listing, answered_call, size)
+                    call = await self._send_watch_call(channel)
                     continue
-                self._deliver(listing, answered, size)
+                self._deliver(listing, answered_call, size)
                 if allowance < 0:
                     await asyncio.sleep(max(0.0, MIN_CALL_SPACING_S - elapsed))
-                call = await self._begin(channel)
+                call = await self._send_watch_call(channel)
         finally:
             channel.close()
 
-    async def _begin(self, channel: _Channel) -> DiscoveryCall | None:
-        """Send the next call of a watch; without a known version it fetches the full snapshot."""
+    async def _send_watch_call(self, channel: _Channel) -> DiscoveryCall | None:
+        """Send the next call of a watch; it requests a full snapshot if no version is known.
+
+        None if that failed.
+        """
         if self.version is None:
-            call = DiscoveryCall(LIST_PATH, self.turn_timeout, self.moves)
+            call = DiscoveryCall(LIST_PATH, self.queued_call_timeout, self.moves)
         else:
             hold = min(self.hold, MAX_HOLD_S if channel.up else FIRST_HOLD_S)
-            timeout = ANSWER_TIMEOUT_S if channel.up else self.turn_timeout
+            timeout = ANSWER_TIMEOUT_S if channel.up else self.queued_call_timeout
             target = f"{LIST_PATH}?from={self.version}&hold_ms={int(hold * 1000)}"
             call = DiscoveryCall(target, hold + timeout, self.moves, continues_watch=channel.up)
-        return await self._write(channel, call)
+        return await self._send(channel, call)
 
-    async def _write(self, channel: _Channel, call: DiscoveryCall) -> DiscoveryCall | None:
+    async def _send(self, channel: _Channel, call: DiscoveryCall) -> DiscoveryCall | None:
         """Send a call; None if that failed."""
         if not channel.up:
-            log.info("discovery: call begins: target=%s", call.target)
+            log.info("discovery: sending a call on a new connection: target=%s", call.target)
         try:
-            call.answer = await channel.begin(self.at, call.target)
+            call.answer = await channel.send(self.address, call.target)
         except (OSError, TimeoutError) as fault:
-            self._failed(call, fault)
+            self._report_failure(call, fault)
             return None
         return call
 
-    async def _fetch_loop(self) -> None:
-        """Run one fetch."""
+    async def _fetch_snapshot(self) -> None:
+        """Fetch and deliver one full snapshot."""
         channel = _Channel()
         try:
-            call = await self._write(channel, DiscoveryCall(LIST_PATH, FULL_LIST_TIMEOUT_S, self.moves))
-            body = await self._answered(channel, call) if call is not None else None
-            listing = self._read(body, call, channel) if call is not None and body is not None else None
+            call = await self._send(channel, DiscoveryCall(LIST_PATH, FULL_LIST_TIMEOUT_S, self.moves))
+            body = await self._receive(channel, call) if call is not None else None
+            listing = (
+                self._apply_response(body, call, channel) if call is not None and body is not None else None
+            )
             if call is not None and body is not None and listing is not None:
                 self._deliver(listing, call, len(body))
         finally:
             channel.close()
 
-    async def _answered(self, channel: _Channel, call: DiscoveryCall) -> bytes | None:
+    async def _receive(self, channel: _Channel, call: DiscoveryCall) -> bytes | None:
         """The body of the response; None if the call failed."""
         try:
             return await call.result(channel)
         except (OSError, TimeoutError, ValueError) as fault:
-            self._failed(call, fault)
+            self._report_failure(call, fault)
             return None
 
-    def _read(self, body: bytes, call: DiscoveryCall, channel: _Channel) -> Listing | None:
-        """Decode and apply a response; None if it is malformed.
+    def _apply_response(self, body: bytes, call: DiscoveryCall, channel: _Channel) -> Listing | None:
+        """Decode a response and apply it to the inventory; None if it is malformed.
 
-        The next call continues from its version.
+        The next call of the watch continues from its version.
         """
         try:
             answer = decode(body)
             listing = self.inventory.apply(answer)
         except ValueError as fault:
-            self._failed(call, fault)
+            self._report_failure(call, fault)
             return None
         listing.current = call.moves == self.moves and not self.address_changing
         listing.as_of = channel.answer_began_at
         if call.moves == self.moves:
-            self.turn_timeout = FULL_LIST_TIMEOUT_S
+            self.queued_call_timeout = FULL_LIST_TIMEOUT_S
             self.version = answer.index
-            for task in self._left:
+            for task in self._previous_watches:
                 task.cancel()
-            self._left = []
+            self._previous_watches = []
         return listing
 
-    def _failed(self, call: DiscoveryCall, fault: Exception) -> None:
+    def _report_failure(self, call: DiscoveryCall, fault: Exception) -> None:
         """Log and report a failed call."""
         log.warning(
             "discovery: call failed: target=%s after_ms=%d version=%s reason=%s",
@@ -353,11 +359,11 @@
         )
         if call.moves == self.moves:
             if isinstance(fault, TimeoutError) and not call.continues_watch:
-                self.turn_timeout = LONG_ANSWER_TIMEOUT_S
-            self.on_failed(self._kind(call, fault))
+                self.queued_call_timeout = LONG_ANSWER_TIMEOUT_S
+            self.on_failed(self._failure_kind(call, fault))
 
     @staticmethod
-    def _kind(call: DiscoveryCall, fault: Exception) -> DiscoveryFailure:
+    def _failure_kind(call: DiscoveryCall, fault: Exception) -> DiscoveryFailure:
         """Classify the failure of a call."""
         if not isinstance(fault, DiscoveryRejectedError):
             return DiscoveryFailure.UNANSWERED
@@ -369,20 +375,20 @@
         )
 
     def _deliver(self, listing: Listing, call: DiscoveryCall, size: int) -> None:
-        """Pass on the changes of a list."""
+        """Pass the changes of a list to `on_list`."""
         began = time.monotonic()
         self.list_received.set()
         try:
             self.on_list(listing)
         except Exception:
-            # Whoever follows the list may have missed a change, and no later list would repeat it.
-            log.exception("discovery: a list could not be taken")
+            # A change may have been lost, and later lists wouldn't repeat it: start again with a snapshot.
+            log.exception("discovery: failed to apply a list; requesting a full snapshot")
             self.inventory.forget()
             self.version = None
             self.watch(True)
         if size > MAX_EMPTY_UPDATE_BYTES:
             log.info(
-                "discovery: list taken: version=%d whole=%s changed=%d known=%d bytes=%d after_ms=%d "
+                "discovery: list applied: version=%d whole=%s changed=%d known=%d bytes=%d after_ms=%d "
                 "took_ms=%d",
                 listing.version,
                 listing.complete,
--- a/gladegw/net/driver.py
+++ b/gladegw/net/driver.py
@@ -123,7 +123,7 @@
         Raises ConfigError.
         """
         try:
-            return inventory.adopt(config.known) if config.known else Listing(0, True, [])
+            return inventory.apply_parsed(config.known) if config.known else Listing(0, True, [])
         except ValueError as fault:
             raise ConfigError(f"bad configuration: known: {fault}") from None
 
--- a/gladegw/net/endpoint_lists.py
+++ b/gladegw/net/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Typed decoding of discovery's endpoint lists, and computation of what a list changes."""
+"""Typed decoding of discovery's endpoint lists, and computation of the changes that a list contains."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class ListedBackend:
-    """A backend of a list with its address and the balancer's entry."""
+    """A backend of an endpoint list: its name and address, and its entry for the balancer."""
 
     name: str
     address: Address
@@ -53,12 +53,12 @@
 
 @dataclass(slots=True)
 class Listing:
-    """Updates from a list: of all backends (`complete`), or of those that it names."""
+    """The changes from a list: all backends if it is `complete`, otherwise those that changed."""
 
     version: int
     complete: bool
     backends: list[ListedBackend]
-    current: bool = True  # False: from a previous address of discovery
+    current: bool = True  # False: from an address of discovery that is being or was replaced
     as_of: float = math.inf  # monotonic time at which discovery began to answer; inf: now
 
     @property
@@ -86,24 +86,24 @@
 
     Raises EndpointListError if it is malformed.
     """
-    return EndpointInventory().adopt(raw)
+    return EndpointInventory().apply_parsed(raw)
 
 
 def server_id(name: str) -> int:
-    """The balancer's number for a backend, equal at all proxies, so that their hash rings agree."""
+    """The balancer's number for a backend, the same at all proxies, so that their hash rings agree."""
     return int.from_bytes(blake2b(name.encode(), digest_size=6).digest(), "big")
 
 
-def listed(entry: Entry, started: float) -> ListedBackend:
+def to_listed_backend(entry: Entry, started: float) -> ListedBackend:
     """Convert an entry; `started` is in seconds of the monotonic clock.
 
     Raises EndpointListError, or ValueError for an invalid address.
     """
     if not (entry.weight - entry.weight == 0.0 and started - started == 0.0):
-        raise EndpointListError("malformed list: a figure is not finite")
+        raise EndpointListError("malformed list: the weight or start time is not finite")
     state = STATES.get(entry.status)
     if state is None:
-        raise EndpointListError(f"malformed list: no status: {entry.status!r}")
+        raise EndpointListError(f"malformed list: unknown status: {entry.status!r}")
     server = ServerEntry(
         server=server_id(entry.name),
         zone=entry.zone or "",
@@ -119,9 +119,9 @@
 class EndpointInventory:
     """The current endpoint list, retained to reduce each further list to its changes.
 
-    Decoding a list of thousands takes milliseconds, but applying it throughout the program costs ten times as
-    much. Nothing else is served meanwhile and a drain in the list takes effect late, so only changes are
-    passed on.
+    Decoding a list of thousands of backends takes milliseconds, but applying it throughout the program takes
+    ten times as long. During that time no request is served and a drain in the list is not yet in effect, so
+    only changes are passed on.
     """
 
     def __init__(self) -> None:
@@ -132,48 +132,49 @@
     def apply(self, answer: ListResponse) -> Listing:
         """Apply a response and return its changes.
 
-        Raises ValueError, in which case nothing has changed.
+        Raises ValueError without changing anything.
         """
-        first = not self.known
+        was_empty = not self.known
         changed = {
-            entry.name: (entry, listed(entry, self._started(entry)))
+            entry.name: (entry, to_listed_backend(entry, self._start_time(entry)))
             for entry in answer.endpoints
             if self.entries.get(entry.name) != entry
         }
-        found = [backend for _, backend in changed.values()]
+        updated = [backend for _, backend in changed.values()]
         if answer.snapshot:
-            found += self._removed({entry.name for entry in answer.endpoints})
+            updated += self._removed({entry.name for entry in answer.endpoints})
         for name, (entry, backend) in changed.items():
             self.entries[name], self.known[name] = entry, backend
-        for backend in found:
+        for backend in updated:
             if backend.entry.state is ServerState.REMOVED:
                 self.entries.pop(backend.name, None)
                 self.known.pop(backend.name, None)
-        return Listing(answer.index, answer.snapshot and first, found)
+        return Listing(answer.index, answer.snapshot and was_empty, updated)
 
-    def _started(self, entry: Entry) -> float:
-        """The entry's start time, reused if the given time is unchanged.
+    def _start_time(self, entry: Entry) -> float:
+        """The entry's start time on the monotonic clock; 0 if none is given.
 
-        Otherwise a step of the wall clock would look like a restart.
+        The earlier result is reused if the given time is unchanged, since otherwise a step of the wall clock
+        would look like a restart.
         """
         before = self.entries.get(entry.name)
         if before is not None and before.since_ms == entry.since_ms:
             return self.known[entry.name].entry.started_at
         return self.start_times.monotonic(entry.since_ms) if entry.since_ms and entry.since_ms > 0 else 0.0
 
-    def _removed(self, named: set[str]) -> Iterator[ListedBackend]:
-        """Backends that a full snapshot no longer names."""
+    def _removed(self, listed_names: set[str]) -> Iterator[ListedBackend]:
+        """The backends that a full snapshot no longer names, marked as removed."""
         for name, backend in self.known.items():
-            if name not in named:
+            if name not in listed_names:
                 yield ListedBackend(name, backend.address, replace(backend.entry, state=ServerState.REMOVED))
 
     def forget(self) -> None:
-        """Reset, so that the next full snapshot is passed on complete."""
+        """Discard all entries, so that the next full snapshot is passed on as a complete list."""
         self.entries.clear()
         self.known.clear()
 
-    def adopt(self, raw: object) -> Listing:
-        """Apply the list that a configuration holds.
+    def apply_parsed(self, raw: object) -> Listing:
+        """Apply a list that was already parsed from JSON, such as that of the configuration.
 
         Raises EndpointListError if it is malformed.
         """
--- a/gladegw/net/features.py
+++ b/gladegw/net/features.py
@@ -1,4 +1,4 @@
-"""The features that the operators' settings file turns on: a block that is there turns its feature on."""
+"""The operators' settings file: each block that it contains enables and configures a feature."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from typing import Any
 
 from gladegw.net import hcl
-from gladegw.net.addresses import AddressSettings, network
+from gladegw.net.addresses import AddressSettings, parse_network
 from gladegw.net.capture import CaptureSettings
 from gladegw.net.config import ConfigError, address
 from gladegw.net.metrics import MetricsSettings
 from gladegw.net.tls import TlsSettings
 
-TEMPLATES = ("${", "%{")  # what is computed; here each value is given as it is
+TEMPLATE_MARKERS = ("${", "%{")  # HCL templates are not evaluated, so values that contain them are rejected
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,8 +24,8 @@
     """
 
     file: str = ""
-    watch_ms: int = 1000  # between looks at the file; 0: it is read again on SIGHUP only
-    mirrors: int = 64  # open mirrored copies at most
+    watch_ms: int = 1000  # interval between checks of the file; 0: it is reread on SIGHUP only
+    mirrors: int = 64  # maximum number of open mirrored requests
 
     def __post_init__(self) -> None:
         if not self.file:
@@ -45,7 +45,7 @@
 
     endpoints: tuple[str, ...] = ()
     prefix: str = ""
-    ttl_s: int = 5  # of the lease under which this process is a member and holds duties
+    ttl_s: int = 5  # time to live of the lease that covers membership and held duties
     timeout_ms: int = 1000  # for each call
     token_file: str = ""
 
@@ -53,7 +53,7 @@
         if not self.endpoints:
             raise ValueError("endpoints must name the store's addresses")
         if not self.prefix.startswith("/") or self.prefix.rstrip("/") == "":
-            raise ValueError("prefix must begin with a slash and name something")
+            raise ValueError("prefix must begin with a slash and contain more than slashes")
         if not 1 <= self.ttl_s <= 3600:
             raise ValueError(f"ttl_s must be 1 to 3600, not {self.ttl_s}")
         if not 50 <= self.timeout_ms <= 60_000:
@@ -71,10 +71,10 @@
     """Settings of the block `policy`: routes that all proxies change together."""
 
     when_cut_off: str = "serve"
-    deadline_s: int = 30  # within which a change is decided or called off
-    stamp_pools: tuple[str, ...] = ()  # patterns of pools whose requests are stamped with their epoch
-    stamp_from: tuple[str, ...] = ()  # ranges of the proxies whose stamps are decided by
-    hold_s: int = 10  # for which a policy that is over decides requests stamped with it
+    deadline_s: int = 30  # time limit for a change; it is aborted if it is not decided by then
+    stamp_pools: tuple[str, ...] = ()  # patterns of pools; requests to them are stamped with the policy epoch
+    stamp_from: tuple[str, ...] = ()  # networks of the proxies whose stamps are trusted
+    hold_s: int = 10  # time for which a replaced policy still applies to requests stamped with it
 
     def __post_init__(self) -> None:
         if self.when_cut_off not in ("refuse", "serve"):
@@ -85,16 +85,16 @@
             raise ValueError(f"hold_s must be 1 to 600, not {self.hold_s}")
         for text in self.stamp_from:
             try:
-                network(text)
+                parse_network(text)
             except ValueError as fault:
                 raise ValueError(f"stamp_from: {fault}") from None
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutSettings:
-    """Settings of the block `rollout`: policy changes in stages, evaluated by the members' metrics."""
+    """Settings of the block `rollout`: staged policy changes, evaluated by the members' metrics."""
 
-    confirm_s: int = 20  # a member of a stage goes back if it hears nothing of the rollout for so long
+    confirm_s: int = 20  # a member of a stage reverts if it hears nothing of the rollout for this time
 
     def __post_init__(self) -> None:
         if not 2 <= self.confirm_s <= 3600:
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Features:
-    """The features of the settings file; None for those that are not configured."""
+    """The configured features; None for those without a block in the settings file."""
 
     figures: MetricsSettings | None = None
     tls: TlsSettings | None = None
@@ -136,26 +136,26 @@
 }
 
 
-def _text(value: object) -> bool:
-    return isinstance(value, str) and not any(mark in value for mark in TEMPLATES)
+def _is_plain_string(value: object) -> bool:
+    return isinstance(value, str) and not any(marker in value for marker in TEMPLATE_MARKERS)
 
 
-def _value(kind: str, value: object) -> Any:
+def _convert(kind: str, value: object) -> Any:
     """Check and convert a value; `kind` is the type that the dataclass declares.
 
     Raises ValueError.
     """
     if kind == "int" and isinstance(value, int) and not isinstance(value, bool):
         return value
-    if kind == "str" and _text(value):
+    if kind == "str" and _is_plain_string(value):
         return value
-    if kind == "tuple[str, ...]" and isinstance(value, list) and all(map(_text, value)):
+    if kind == "tuple[str, ...]" and isinstance(value, list) and all(map(_is_plain_string, value)):
         return tuple(value)
     wanted = {"int": "a whole number", "str": "a text", "tuple[str, ...]": "a list of texts"}[kind]
     raise ValueError(f"must be {wanted}, not {value!r}")
 
 
-def _block(name: str, raw: dict[str, Any]) -> Any:
+def _read_block(name: str, raw: dict[str, Any]) -> Any:
     settings = BLOCKS.get(name)
     if settings is None:
         raise ValueError(f"unknown block {name}")
@@ -166,7 +166,7 @@
             raise ValueError(f"{name}: unknown setting {key}")
         if value is not None:
             try:
-                values[key] = _value(kinds[key], value)
+                values[key] = _convert(kinds[key], value)
             except ValueError as fault:
                 raise ValueError(f"{name}: {key} {fault}") from None
     try:
@@ -181,6 +181,6 @@
     Raises ConfigError with a message of one line.
     """
     try:
-        return Features(**{name: _block(name, raw) for name, raw in hcl.read(path).items()})
+        return Features(**{name: _read_block(name, raw) for name, raw in hcl.read(path).items()})
     except ValueError as fault:
         raise ConfigError(" ".join(f"bad settings: {path}: {fault}".split())) from None
--- a/gladegw/net/hcl.py
+++ b/gladegw/net/hcl.py
@@ -1,8 +1,9 @@
-"""The operators' settings file: HCL blocks, read to plain values.
+"""Reads HCL files, such as the operators' settings file, into blocks of plain values.
 
-The parser needs more memory and time than a starting proxy has. Hence it runs in a process of its own, and
-its result is cached in the environment's folder under a digest of the text. The build fills this cache, so
-that a start of the proxy parses nothing. A file that was changed since is parsed again.
+The parser needs more memory and time than a proxy can spare at its start. Hence it runs in a process of its
+own, and its result is cached in a folder of the Python environment under a digest of the text. The build
+fills this cache, so that the start of a proxy needs no parsing. A file that has changed since is parsed
+anew.
 """
 
 from __future__ import annotations
@@ -17,29 +18,29 @@
 
 from gladegw.net.config import ConfigError
 
-LARGEST = 256 * 1024  # bytes of a settings file
-CACHE_FOLDER = "gladegw-settings"  # folder below the environment's
-BLOCK = "__is_block__"  # by which the parser marks what is no attribute
+MAX_FILE_BYTES = 256 * 1024  # size limit of a file
+CACHE_FOLDER = "gladegw-settings"  # within the Python environment
+BLOCK_MARKER_KEY = "__is_block__"  # key that the parser adds to the values of each block
 
-MARKS = re.compile(r'"(?:\\.|[^"\\])*"|#[^\n]*|//[^\n]*|/\*.*?\*/|[][{},]', re.S)
+TOKENS = re.compile(r'"(?:\\.|[^"\\])*"|#[^\n]*|//[^\n]*|/\*.*?\*/|[][{},]', re.S)
 
 Blocks = dict[str, dict[str, Any]]
 
 
-def one_a_line(text: str) -> str:
+def put_settings_on_own_lines(text: str) -> str:
     """Put each setting of a block on a line of its own, as HCL requires.
 
-    Operators also write a block on one line, with commas between its settings.
+    This accepts blocks that operators write on one line, with commas between the settings.
     """
-    lists = 0
+    list_depth = 0
 
-    def line(mark: re.Match[str]) -> str:
-        nonlocal lists
-        sign = mark[0]
-        lists += (sign == "[") - (sign == "]")
-        return {"{": "{\n", "}": "\n}", ",": "\n"}.get(sign, sign) if not lists else sign
+    def line(token: re.Match[str]) -> str:
+        nonlocal list_depth
+        symbol = token[0]
+        list_depth += (symbol == "[") - (symbol == "]")
+        return {"{": "{\n", "}": "\n}", ",": "\n"}.get(symbol, symbol) if not list_depth else symbol
 
-    return MARKS.sub(line, text)
+    return TOKENS.sub(line, text)
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,10 +50,10 @@
     name: str
     label: str
     values: dict[str, Any]
-    line: int  # of its head; 0 where it was not found
+    line: int  # on which the block begins; 0 if it was not found
 
     def line_of(self, text: str, key: str) -> int:
-        """The line number of a setting of this block, or of the block itself."""
+        """The line number of a setting of this block; that of the block if the setting is not found."""
         lines = text.splitlines()
         for number in range(max(1, self.line), len(lines) + 1):
             code = lines[number - 1].split("#", 1)[0]
@@ -63,15 +64,15 @@
         return self.line
 
 
-def _heads(text: str) -> list[int]:
-    """The line numbers on which blocks of the file begin, in order."""
+def _block_lines(text: str) -> list[int]:
+    """The line numbers on which top-level blocks of the file begin, in order."""
     depth, found = 0, []
-    for mark in MARKS.finditer(text):
-        if mark[0] == "{":
+    for token in TOKENS.finditer(text):
+        if token[0] == "{":
             if depth == 0:
-                found.append(text.count("\n", 0, mark.start()) + 1)
+                found.append(text.count("\n", 0, token.start()) + 1)
             depth += 1
-        elif mark[0] == "}":
+        elif token[0] == "}":
             depth -= 1
     return found
 
@@ -85,43 +86,43 @@
     from hcl2.utils import SerializationOptions
     from lark.exceptions import LarkError
 
-    wanted = SerializationOptions(with_comments=False, strip_string_quotes=True, preserve_heredocs=False)
+    options = SerializationOptions(with_comments=False, strip_string_quotes=True, preserve_heredocs=False)
     raw: dict[str, Any]
     try:
         try:
-            raw = hcl2.loads(text, serialization_options=wanted)
+            raw = hcl2.loads(text, serialization_options=options)
         except LarkError as fault:
             try:
-                raw = hcl2.loads(one_a_line(text), serialization_options=wanted)
+                raw = hcl2.loads(put_settings_on_own_lines(text), serialization_options=options)
             except LarkError:
                 raise fault from None
     except LarkError as fault:
         line, column = getattr(fault, "line", 0), getattr(fault, "column", 0)
         place = f" at line {line}, column {column}" if line > 0 else ""
         raise ValueError(f"not HCL{place}") from None
-    named = re.compile(r"(\w+)[ \t]*(?:\"[^\"]*\")?[ \t]*\{?")
-    heads: dict[str, list[int]] = {}
+    block_name = re.compile(r"(\w+)[ \t]*(?:\"[^\"]*\")?[ \t]*\{?")
+    lines_by_name: dict[str, list[int]] = {}
     lines = text.splitlines()
-    for head in _heads(text):
-        match = named.match(lines[head - 1].strip())
+    for block_line in _block_lines(text):
+        match = block_name.match(lines[block_line - 1].strip())
         if match is not None:
-            heads.setdefault(match[1], []).append(head)
+            lines_by_name.setdefault(match[1], []).append(block_line)
     found = []
     for name, items in raw.items():
         if not (isinstance(items, list) and items and all(isinstance(item, dict) for item in items)):
             raise ValueError(f"{name} is no block")
-        lines_of = heads.get(name, [])
+        block_lines = lines_by_name.get(name, [])
         for number, item in enumerate(items):
-            head = lines_of[number] if number < len(lines_of) else 0
+            block_line = block_lines[number] if number < len(block_lines) else 0
             label, values = "", item
-            if BLOCK not in item:
+            if BLOCK_MARKER_KEY not in item:
                 if len(item) != 1 or not isinstance(next(iter(item.values())), dict):
                     raise ValueError(f"{name} is no block")
                 ((label, values),) = item.items()
-            if BLOCK not in values:
+            if BLOCK_MARKER_KEY not in values:
                 raise ValueError(f"{name} has more than one label")
-            own = {key: value for key, value in values.items() if key != BLOCK}
-            found.append(Block(name, label, own, head))
+            settings = {key: value for key, value in values.items() if key != BLOCK_MARKER_KEY}
+            found.append(Block(name, label, settings, block_line))
     return found
 
 
@@ -144,15 +145,15 @@
     return Path(sys.prefix) / CACHE_FOLDER / (blake2b(text, digest_size=16).hexdigest() + ".json")
 
 
-def _in_a_process(path: str) -> Blocks:
+def _parse_in_subprocess(path: str) -> Blocks:
     import subprocess
 
     command = [sys.executable, "-m", __name__, path]
-    done = subprocess.run(command, capture_output=True, check=False, cwd=Path(__file__).parents[2])
-    if done.returncode:
-        fault = done.stderr.decode(errors="replace").strip().splitlines() or ["the parser failed"]
+    completed = subprocess.run(command, capture_output=True, check=False, cwd=Path(__file__).parents[2])
+    if completed.returncode:
+        fault = completed.stderr.decode(errors="replace").strip().splitlines() or ["the parser failed"]
         raise ValueError(fault[-1])
-    blocks: Blocks = json.loads(done.stdout)
+    blocks: Blocks = json.loads(completed.stdout)
     return blocks
 
 
@@ -163,13 +164,13 @@
     """
     try:
         text = Path(path).read_bytes()
-        if len(text) > LARGEST:
+        if len(text) > MAX_FILE_BYTES:
             raise ValueError("too large")
         cached = _cache_path(text)
         if cached.exists():
             blocks: Blocks = json.loads(cached.read_bytes())
             return blocks
-        return _in_a_process(str(Path(path).resolve()))
+        return _parse_in_subprocess(str(Path(path).resolve()))
     except OSError as fault:
         raise ConfigError(f"bad settings: {path}: {fault.strerror or fault}") from None
     except ValueError as fault:
@@ -177,7 +178,7 @@
 
 
 def main() -> int:
-    """Parse the file named on the command line, print the result and cache it if possible."""
+    """Parse the file named on the command line, print the result as JSON and cache it if possible."""
     try:
         text = Path(sys.argv[1]).read_bytes()
         found = json.dumps(parse(text.decode("utf-8")))
@@ -191,7 +192,7 @@
         part.write_text(found, encoding="utf-8")
         part.replace(cached)
     except OSError:
-        pass  # a file system that can't be written: parsed at each start
+        pass  # the file system is read-only: the file is parsed at each start
     print(found)
     return 0
 
--- a/gladegw/net/policy_router.py
+++ b/gladegw/net/policy_router.py
@@ -17,7 +17,7 @@
     parse_epoch,
 )
 from gladegw.coordination.serving_lease import ServingLease
-from gladegw.net.addresses import network, plain
+from gladegw.net.addresses import parse_network, unmap_ipv4
 from gladegw.net.features import PolicySettings
 from gladegw.net.request import BadRequestError, Headers, RoutedRequest
 from gladegw.net.routes import Generation, PoolRouter
@@ -39,7 +39,7 @@
         self.retention = TableRetention(float(settings.hold_s))
         self.tables: dict[PolicyEpoch, Generation] = {}  # retained beside the one in use
         self.prepared_table: PreparedTable | None = None  # prepared table, until first requested
-        self.trusted = tuple(network(text) for text in settings.stamp_from)
+        self.trusted = tuple(parse_network(text) for text in settings.stamp_from)
         self.trusts = lru_cache(maxsize=1024)(self._trusts)
 
     # policy changes
@@ -82,7 +82,7 @@
     def _trusts(self, source: str) -> bool:
         """Whether policy epoch headers from this address are accepted."""
         try:
-            address = plain(ipaddress.ip_address(source))
+            address = unmap_ipv4(ipaddress.ip_address(source))
         except ValueError:
             return False
         return any(address in known for known in self.trusted)
--- a/gladegw/net/serve.py
+++ b/gladegw/net/serve.py
@@ -152,7 +152,7 @@
         loop.add_signal_handler(signal.SIGUSR2, capture.dump)
     running: list[asyncio.Task[None]] = []
     admin = CommandServer(config.admin) if config.admin is not None else None
-    replaces = listener.is_taken(*config.listen)
+    replaces = listener.is_in_use(*config.listen)
     driver: Driver | PoolRouter = (
         Driver(config, capture) if features.routes is None else pools(features.routes, config, capture)
     )
--- a/gladegw/supervisor/settings.py
+++ b/gladegw/supervisor/settings.py
@@ -10,7 +10,7 @@
 
 from gladegw.coordination.supervision import Timeouts
 from gladegw.net.config import ConfigError
-from gladegw.net.hcl import LARGEST, Block, blocks_of
+from gladegw.net.hcl import MAX_FILE_BYTES, Block, blocks_of
 
 
 class Program(msgspec.Struct, frozen=True, kw_only=True):
@@ -86,7 +86,7 @@
     """Return a file's text and its blocks; raises ConfigError."""
     try:
         raw = Path(path).read_bytes()
-        if len(raw) > LARGEST:
+        if len(raw) > MAX_FILE_BYTES:
             raise ConfigError(f"{path}:1: too large")
         text = raw.decode("utf-8")
         return text, blocks_of(text)
--- a/tests/net/test_addresses.py
+++ b/tests/net/test_addresses.py
@@ -16,9 +16,9 @@
 from support.loopback import PATIENCE, Backend, Caller, Proxy, free_port, proxy, run
 
 from gladegw.net.addresses import (
-    LONGEST,
-    LONGEST_V1,
-    V2,
+    MAX_HEADER_BYTES,
+    MAX_V1_HEADER_BYTES,
+    V2_SIGNATURE,
     Addresses,
     AddressSettings,
     header_size,
@@ -33,7 +33,7 @@
     ip = ipaddress.ip_address(source)
     kind, other = (0x11, b"\x7f\0\0\1") if ip.version == 4 else (0x21, b"\0" * 15 + b"\1")
     body = ip.packed + other + struct.pack("!HH", port, 8081) + extra
-    return V2 + bytes([0x20 | command, kind]) + struct.pack("!H", len(body)) + body
+    return V2_SIGNATURE + bytes([0x20 | command, kind]) + struct.pack("!H", len(body)) + body
 
 
 def read(data: bytes, versions: tuple[int, ...] = BOTH) -> tuple[str, int] | None:
@@ -53,8 +53,8 @@
         (v2("203.0.113.7", 51022), ("203.0.113.7", 51022)),
         (v2("2001:db8::7", 51022, extra=b"\x04\0\x01x"), ("2001:db8::7", 51022)),
         (v2("203.0.113.7", 51022, command=0), None),
-        (V2 + b"\x21\x00\0\0", None),
-        (V2 + b"\x21\x31\0\x03abc", None),
+        (V2_SIGNATURE + b"\x21\x00\0\0", None),
+        (V2_SIGNATURE + b"\x21\x31\0\x03abc", None),
     ],
 )
 def test_headers_name_the_client(data: bytes, wanted: Any) -> None:
@@ -76,11 +76,11 @@
         b"PROXY TCP4 203.0.113.7 127.0.0.1 5\xb2 8081\r\n",
         b"PROXY UDP4 1.1.1.1 1.1.1.1 1 1\r\n",
         b"PROXY \r\n",
-        b"PROXY TCP4 " + b"1" * LONGEST_V1,
-        V2 + b"\x31\x11\0\x0c" + b"\0" * 12,
-        V2 + b"\x22\x11\0\x0c" + b"\0" * 12,
-        V2 + b"\x21\x11\0\x04" + b"\0" * 4,
-        V2 + b"\x21\x11" + struct.pack("!H", LONGEST),
+        b"PROXY TCP4 " + b"1" * MAX_V1_HEADER_BYTES,
+        V2_SIGNATURE + b"\x31\x11\0\x0c" + b"\0" * 12,
+        V2_SIGNATURE + b"\x22\x11\0\x0c" + b"\0" * 12,
+        V2_SIGNATURE + b"\x21\x11\0\x04" + b"\0" * 4,
+        V2_SIGNATURE + b"\x21\x11" + struct.pack("!H", MAX_HEADER_BYTES),
     ],
 )
 def test_what_is_no_header_is_refused(data: bytes) -> None:
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize(
-    "data", [b"GET /stock HTTP/1.1\r\n\r\n", b"PROXY TCP4 x\r\n", V2 + b"\x21\x11\xff\xff"]
+    "data", [b"GET /stock HTTP/1.1\r\n\r\n", b"PROXY TCP4 x\r\n", V2_SIGNATURE + b"\x21\x11\xff\xff"]
 )
 def test_a_trusted_front_without_a_good_header_is_closed_and_logged(data: bytes) -> None:
     async def test() -> None:
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -40,10 +40,10 @@
         before = connect(port)
         new = stack.enter_context(listener.listen("127.0.0.1", port))
         after = connect(port)
-        taken = listener.waiting(old) if emptied else []
+        taken = listener.accept_queued(old) if emptied else []
         old.close()
         gone = lost(before + after)
-        for sock in (*before, *after, *taken, *listener.waiting(new)):
+        for sock in (*before, *after, *taken, *listener.accept_queued(new)):
             sock.close()
     if emptied:
         assert gone == 0  # nothing came between the two steps here
@@ -60,7 +60,7 @@
     for _ in range(4):
         new = listener.listen("127.0.0.1", port)
         callers = connect(port)
-        assert len(listener.waiting(old)) == 0 and len(listener.waiting(new)) == COUNT
+        assert len(listener.accept_queued(old)) == 0 and len(listener.accept_queued(new)) == COUNT
         for caller in callers:
             caller.close()
         old.close()
@@ -68,7 +68,7 @@
     dying = listener.listen("127.0.0.1", port)
     dying.close()
     callers = connect(port)
-    assert len(listener.waiting(old)) == COUNT
+    assert len(listener.accept_queued(old)) == COUNT
     for caller in callers:
         caller.close()
     old.close()
@@ -76,11 +76,11 @@
 
 def test_whether_another_listens_is_seen_without_a_trace() -> None:
     port = free_port()
-    assert not listener.is_taken("127.0.0.1", port)
+    assert not listener.is_in_use("127.0.0.1", port)
     with listener.listen("127.0.0.1", port) as sock:
-        assert listener.is_taken("127.0.0.1", port)
-        assert listener.waiting(sock) == []
-    assert not listener.is_taken("127.0.0.1", port)
+        assert listener.is_in_use("127.0.0.1", port)
+        assert listener.accept_queued(sock) == []
+    assert not listener.is_in_use("127.0.0.1", port)
 
 
 class Scarce(socket.socket):
@@ -105,7 +105,7 @@
     monkeypatch.setattr(Scarce, "reason", reason)
     monkeypatch.setattr(socket, "socket", Scarce)
     Scarce.refusals = 5
-    assert not listener.is_taken("127.0.0.1", port)
+    assert not listener.is_in_use("127.0.0.1", port)
     Scarce.refusals = 5
     listener.listen("127.0.0.1", port).close()
 
--- a/tests/net/test_wall_clock.py
+++ b/tests/net/test_wall_clock.py
@@ -30,7 +30,7 @@
 def take(inventory: EndpointInventory, index: int, *servers: tuple[str, float]) -> dict[str, float]:
     """The ages of the servers that a list changes, in seconds; 0 where the start was long ago."""
     entries = [endpoint(name, "127.0.0.1:1", since_ms=since) for name, since in servers]
-    told = inventory.adopt(listing(index, *entries, snapshot=False)).backends
+    told = inventory.apply_parsed(listing(index, *entries, snapshot=False)).backends
     now = time.monotonic()
     return {one.name: now - one.entry.started_at if one.entry.started_at else 0.0 for one in told}
 
@@ -65,5 +65,5 @@
     first = take(inventory, 1, ("s-1", since))["s-1"]
     clock.offset += step
     entry = endpoint("s-1", "127.0.0.1:1", "Terminating", since_ms=since)
-    (told,) = inventory.adopt(listing(2, entry, snapshot=False)).backends
+    (told,) = inventory.apply_parsed(listing(2, entry, snapshot=False)).backends
     assert time.monotonic() - told.entry.started_at == pytest.approx(first, abs=SLACK)
