--- a/tests/net/test_addresses.py
+++ b/tests/net/test_addresses.py
@@ -1,4 +1,4 @@
-"""Address lists and the PROXY protocol: who a client is, and who is admitted."""
+"""Identification of clients by the PROXY protocol, and the allow and deny lists."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
     read_header,
 )
 
-HELLO = b"PROXY TCP4 203.0.113.7 127.0.0.1 51022 8081\r\n"
-BOTH = (1, 2)
+V1_HEADER = b"PROXY TCP4 203.0.113.7 127.0.0.1 51022 8081\r\n"
+BOTH_VERSIONS = (1, 2)
 
 
-def v2(source: str, port: int, command: int = 1, extra: bytes = b"") -> bytes:
+def v2_header(source: str, port: int, command: int = 1, extra: bytes = b"") -> bytes:
     ip = ipaddress.ip_address(source)
     kind, other = (0x11, b"\x7f\0\0\1") if ip.version == 4 else (0x21, b"\0" * 15 + b"\1")
     body = ip.packed + other + struct.pack("!HH", port, 8081) + extra
     return V2_SIGNATURE + bytes([0x20 | command, kind]) + struct.pack("!H", len(body)) + body
 
 
-def read(data: bytes, versions: tuple[int, ...] = BOTH) -> tuple[str, int] | None:
+def read(data: bytes, versions: tuple[int, ...] = BOTH_VERSIONS) -> tuple[str, int] | None:
     size = header_size(data, versions)
     assert size is not None
     found = read_header(data[:size])
@@ -46,21 +46,21 @@
 @pytest.mark.parametrize(
     ("data", "wanted"),
     [
-        (HELLO, ("203.0.113.7", 51022)),
+        (V1_HEADER, ("203.0.113.7", 51022)),
         (b"PROXY TCP6 2001:db8::7 ::1 51022 8081\r\n", ("2001:db8::7", 51022)),
         (b"PROXY UNKNOWN\r\n", None),
         (b"PROXY UNKNOWN ffff:f::1 whatever 1 2\r\n", None),
-        (v2("203.0.113.7", 51022), ("203.0.113.7", 51022)),
-        (v2("2001:db8::7", 51022, extra=b"\x04\0\x01x"), ("2001:db8::7", 51022)),
-        (v2("203.0.113.7", 51022, command=0), None),
+        (v2_header("203.0.113.7", 51022), ("203.0.113.7", 51022)),
+        (v2_header("2001:db8::7", 51022, extra=b"\x04\0\x01x"), ("2001:db8::7", 51022)),
+        (v2_header("203.0.113.7", 51022, command=0), None),
         (V2_SIGNATURE + b"\x21\x00\0\0", None),
         (V2_SIGNATURE + b"\x21\x31\0\x03abc", None),
     ],
 )
-def test_headers_name_the_client(data: bytes, wanted: Any) -> None:
+def test_a_header_gives_the_client_address(data: bytes, wanted: Any) -> None:
     assert read(data) == wanted
     assert read(data + b"GET / HTTP/1.1\r\n\r\n") == wanted
-    assert all(header_size(data[:size], BOTH) is None for size in range(1, len(data)))
+    assert all(header_size(data[:size], BOTH_VERSIONS) is None for size in range(1, len(data)))
 
 
 @pytest.mark.parametrize(
@@ -83,13 +83,13 @@
         V2_SIGNATURE + b"\x21\x11" + struct.pack("!H", MAX_HEADER_BYTES),
     ],
 )
-def test_what_is_no_header_is_refused(data: bytes) -> None:
+def test_malformed_headers_are_rejected(data: bytes) -> None:
     with pytest.raises(ValueError):
         read(data)
 
 
-def test_a_version_that_is_not_set_is_no_header() -> None:
-    for data, versions in ((HELLO, (2,)), (v2("203.0.113.7", 1), (1,))):
+def test_a_header_of_a_disabled_version_is_rejected() -> None:
+    for data, versions in ((V1_HEADER, (2,)), (v2_header("203.0.113.7", 1), (1,))):
         with pytest.raises(ValueError):
             header_size(data, versions)
 
@@ -110,7 +110,7 @@
         ([], ["::/0"], "203.0.113.7", False),
     ],
 )
-def test_lists_admit_and_deny(allow: list[str], deny: list[str], ip: str, denied: bool) -> None:
+def test_allow_and_deny_lists(allow: list[str], deny: list[str], ip: str, denied: bool) -> None:
     lists = Addresses(AddressSettings(allow=tuple(allow), deny=tuple(deny)))
     assert lists.denied(ipaddress.ip_address(ip)) is denied
 
@@ -124,7 +124,7 @@
         {"proxy_protocol": "v3"},
     ],
 )
-def test_settings_out_of_range_are_refused(wrong: dict[str, Any]) -> None:
+def test_invalid_settings_are_rejected(wrong: dict[str, Any]) -> None:
     with pytest.raises(ValueError):
         AddressSettings(**wrong)
 
@@ -134,8 +134,8 @@
     return f'addresses {{\n  proxy_protocol = "{version}"\n{lists}}}\n'
 
 
-async def started(node: Proxy, header: bytes, pieces: int = 1) -> Caller:
-    """A connection of a front, that sends its header in so many pieces."""
+async def connect_as_front(node: Proxy, header: bytes, pieces: int = 1) -> Caller:
+    """Open a connection as a front and send the PROXY header in the given number of pieces."""
     caller = await node.caller()
     caller.writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     step = -(-len(header) // pieces)
@@ -147,36 +147,37 @@
 
 
 def behind_front(backend: Backend, text: str) -> Any:
-    """The proxy can't be asked for its readiness here but through a front."""
+    """A proxy that trusts the test as a front; its readiness check has to send a PROXY header too."""
     return proxy({"s-1": backend}, features=text, greeting=b"PROXY UNKNOWN\r\n")
 
 
-def test_the_client_that_a_trusted_front_names_is_logged() -> None:
-    """The operators' check."""
+def test_the_client_named_by_a_trusted_front_is_logged() -> None:
+    """This is what operators check after enabling the PROXY protocol."""
 
     async def test() -> None:
         async with behind_front(Backend(), features("v1")) as node:
-            caller = await started(node, HELLO)
+            caller = await connect_as_front(node, V1_HEADER)
             assert (await caller.call("stock", "a" * 16)).code == 200
             line = await node.line("client=203.0.113.7:51022")
             assert "via=127.0.0.1 " in line and 'id="aaaaaaaaaaaaaaaa"' in line and "code=200" in line
-            assert (await caller.call("stock", "b" * 16)).code == 200  # the header holds for the connection
+            # The header applies to the whole connection.
+            assert (await caller.call("stock", "b" * 16)).code == 200
             await node.line("client=203.0.113.7:51022", '"bbbbbbbbbbbbbbbb"')
 
     run(test())
 
 
 @pytest.mark.parametrize("pieces", [1, 3, 50])
-@pytest.mark.parametrize("header", [HELLO, v2("2001:db8::7", 51022), b"PROXY UNKNOWN\r\n"])
-def test_a_header_in_pieces_and_with_the_request_behind_it(header: bytes, pieces: int) -> None:
+@pytest.mark.parametrize("header", [V1_HEADER, v2_header("2001:db8::7", 51022), b"PROXY UNKNOWN\r\n"])
+def test_a_header_is_read_in_pieces_and_together_with_a_request(header: bytes, pieces: int) -> None:
     async def test() -> None:
         async with behind_front(Backend(), features()) as node:
-            caller = await started(node, header, pieces)
+            caller = await connect_as_front(node, header, pieces)
             assert (await caller.call("stock", "b" * 16)).code == 200
             line = await node.line('"bbbbbbbbbbbbbbbb"')
             if header.startswith(b"PROXY UNKNOWN"):
                 assert "client=127.0.0.1:" in line and "via=" not in line
-            elif header == HELLO:
+            elif header == V1_HEADER:
                 assert "client=203.0.113.7:51022 via=127.0.0.1" in line
             else:
                 assert "client=[2001:db8::7]:51022 via=127.0.0.1" in line
@@ -190,11 +191,11 @@
 @pytest.mark.parametrize(
     "data", [b"GET /stock HTTP/1.1\r\n\r\n", b"PROXY TCP4 x\r\n", V2_SIGNATURE + b"\x21\x11\xff\xff"]
 )
-def test_a_trusted_front_without_a_good_header_is_closed_and_logged(data: bytes) -> None:
+def test_a_trusted_front_without_a_valid_header_is_closed_and_logged(data: bytes) -> None:
     async def test() -> None:
         backend = Backend()
         async with behind_front(backend, features()) as node:
-            caller = await started(node, data)
+            caller = await connect_as_front(node, data)
             assert await caller.ended()
             assert "reason=" in await node.line("connection closed: client=127.0.0.1:")
             assert backend.count == 0
@@ -202,12 +203,12 @@
     run(test())
 
 
-def test_a_header_from_outside_the_fronts_closes_and_others_are_served() -> None:
+def test_a_header_from_an_untrusted_sender_closes_only_its_connection() -> None:
     async def test() -> None:
         backend = Backend()
         async with proxy({"s-1": backend}, features=features(fronts='"10.0.0.0/8"')) as node:
-            for header in (HELLO, v2("203.0.113.7", 1)):
-                caller = await started(node, header, pieces=4)
+            for header in (V1_HEADER, v2_header("203.0.113.7", 1)):
+                caller = await connect_as_front(node, header, pieces=4)
                 assert await caller.ended()
                 line = await node.line("connection closed: client=127.0.0.1:")
                 assert "a PROXY header from outside trusted_fronts" in line
@@ -215,7 +216,8 @@
             own = await node.caller()
             assert (await own.call("stock", "a" * 16)).code == 200
             assert "client=127.0.0.1:" in await node.line('"aaaaaaaaaaaaaaaa"')
-            slow = await started(node, b"POS", pieces=3)  # no header, though it begins like one
+            # Not a header, though it begins with the same byte.
+            slow = await connect_as_front(node, b"POS", pieces=3)
             slow.writer.write(b"T /canje HTTP/1.1\r\nX-Call-Id: b\r\nX-Budget: 900m\r\n")
             slow.writer.write(b"Content-Length: 0\r\n\r\n")
             assert (await slow.answer()).code == 200
@@ -223,13 +225,13 @@
     run(test())
 
 
-def test_a_front_that_says_nothing_is_closed_in_time() -> None:
+def test_a_front_that_sends_no_complete_header_is_closed_in_time() -> None:
     async def test() -> None:
         async with behind_front(Backend(), features()) as node:
             begun = time.monotonic()
-            silent, half = await node.caller(), await started(node, b"PROXY TCP4 203.")
+            silent, half = await node.caller(), await connect_as_front(node, b"PROXY TCP4 203.")
             assert await silent.ended() and await half.ended()
-            assert time.monotonic() - begun < PATIENCE / 2  # 3 s are owed; a slow machine takes longer
+            assert time.monotonic() - begun < PATIENCE / 2  # the limit is 3 s; a slow machine takes longer
             await node.line("connection closed", "nothing came in time")
 
     run(test())
@@ -240,13 +242,13 @@
         text = features(deny='"203.0.113.0/24", "2001:db8:bad::/48"') + "figures {\n  flush_ms = 50\n}\n"
         backend = Backend()
         async with behind_front(backend, text) as node:
-            for header in (HELLO, v2("2001:db8:bad::1", 7), v2("::ffff:203.0.113.9", 7)):
-                caller = await started(node, header)
+            for header in (V1_HEADER, v2_header("2001:db8:bad::1", 7), v2_header("::ffff:203.0.113.9", 7)):
+                caller = await connect_as_front(node, header)
                 assert (await caller.call("stock", "a" * 16)).code == 403
                 assert await caller.ended()
                 assert "via=127.0.0.1" in await node.line("gladegw.net.access_log", "code=403")
             await node.line("gladegw.answers:", "class:stock,tenant:other,code:403")
-            admitted = await started(node, v2("203.0.114.1", 7))
+            admitted = await connect_as_front(node, v2_header("203.0.114.1", 7))
             assert (await admitted.call("stock", "b" * 16)).code == 200
             assert backend.count == 1
 
@@ -262,7 +264,7 @@
         async with behind_front(Backend(), text) as node:
             async with asyncio.timeout(PATIENCE):
                 caller = await node.caller(port)
-                caller.writer.write(HELLO)
+                caller.writer.write(V1_HEADER)
                 await caller.writer.start_tls(client, server_hostname="127.0.0.1")
             assert (await caller.call("stock", "a" * 16)).code == 200
             line = await node.line('"aaaaaaaaaaaaaaaa"')
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -1,4 +1,4 @@
-"""What each way of replacing a listening process loses, on the sockets alone."""
+"""Replacing a listening process: which connections are lost, and what is known of queued ones."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 
 from gladegw.net import listener, sockets
 
-COUNT = 60
+CONNECTIONS = 60
 
 
 def connect(port: int) -> list[socket.socket]:
-    return [socket.create_connection(("127.0.0.1", port)) for _ in range(COUNT)]
+    return [socket.create_connection(("127.0.0.1", port)) for _ in range(CONNECTIONS)]
 
 
-def lost(callers: list[socket.socket]) -> int:
-    """Those whose connection the kernel has reset or closed."""
+def count_lost(callers: list[socket.socket]) -> int:
+    """The number of connections that the kernel has reset or closed."""
     ended = select.select(callers, [], [], 0.2)[0]
     return len(ended)
 
 
-@pytest.mark.parametrize("led", [False, True])
+@pytest.mark.parametrize("routed_to_newest", [False, True])
 @pytest.mark.parametrize("emptied", [False, True])
-def test_a_closed_listener_loses_what_is_in_its_queue(
-    led: bool, emptied: bool, monkeypatch: pytest.MonkeyPatch
+def test_a_closed_listener_loses_the_connections_in_its_queue(
+    routed_to_newest: bool, emptied: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    if not led:
+    if not routed_to_newest:
         monkeypatch.setattr(listener, "route_to_newest", lambda sock: False)
     port = free_port()
     with contextlib.ExitStack() as stack:
@@ -40,27 +40,27 @@
         before = connect(port)
         new = stack.enter_context(listener.listen("127.0.0.1", port))
         after = connect(port)
-        taken = listener.accept_queued(old) if emptied else []
+        accepted = listener.accept_queued(old) if emptied else []
         old.close()
-        gone = lost(before + after)
-        for sock in (*before, *after, *taken, *listener.accept_queued(new)):
+        lost_count = count_lost(before + after)
+        for sock in (*before, *after, *accepted, *listener.accept_queued(new)):
             sock.close()
     if emptied:
-        assert gone == 0  # nothing came between the two steps here
-    elif led:
-        assert gone == COUNT  # all that came before, and nothing that came after
+        assert lost_count == 0  # no connection arrived between the two steps here
+    elif routed_to_newest:
+        assert lost_count == CONNECTIONS  # all connections from before the second socket, none from after it
     else:
-        assert COUNT < gone < 2 * COUNT  # about half of what came after, too
-    assert led or emptied or gone > COUNT
+        assert CONNECTIONS < lost_count < 2 * CONNECTIONS  # also about half of those from after it
+    assert routed_to_newest or emptied or lost_count > CONNECTIONS
 
 
-def test_the_newest_is_led_to_again_and_again_and_a_dead_one_is_not() -> None:
+def test_connections_go_to_the_newest_open_listener_after_each_replacement() -> None:
     port = free_port()
     old = listener.listen("127.0.0.1", port)
     for _ in range(4):
         new = listener.listen("127.0.0.1", port)
         callers = connect(port)
-        assert len(listener.accept_queued(old)) == 0 and len(listener.accept_queued(new)) == COUNT
+        assert len(listener.accept_queued(old)) == 0 and len(listener.accept_queued(new)) == CONNECTIONS
         for caller in callers:
             caller.close()
         old.close()
@@ -68,13 +68,13 @@
     dying = listener.listen("127.0.0.1", port)
     dying.close()
     callers = connect(port)
-    assert len(listener.accept_queued(old)) == COUNT
+    assert len(listener.accept_queued(old)) == CONNECTIONS
     for caller in callers:
         caller.close()
     old.close()
 
 
-def test_whether_another_listens_is_seen_without_a_trace() -> None:
+def test_checking_whether_an_address_is_in_use_leaves_no_connection() -> None:
     port = free_port()
     assert not listener.is_in_use("127.0.0.1", port)
     with listener.listen("127.0.0.1", port) as sock:
@@ -83,37 +83,37 @@
     assert not listener.is_in_use("127.0.0.1", port)
 
 
-class Scarce(socket.socket):
+class RefusedSocket(socket.socket):
     """A socket that the system refuses to open for the first few times."""
 
     refusals = 0
     reason = errno.EMFILE
 
     def __init__(self, *how: Any, **named: Any) -> None:
-        if Scarce.refusals:
-            Scarce.refusals -= 1
-            raise OSError(Scarce.reason, "refused")
+        if RefusedSocket.refusals:
+            RefusedSocket.refusals -= 1
+            raise OSError(RefusedSocket.reason, "refused")
         super().__init__(*how, **named)
 
 
 @pytest.mark.parametrize("reason", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
-def test_a_start_goes_on_when_the_system_refuses_a_socket_for_a_moment(
+def test_a_start_succeeds_after_the_system_refused_sockets_briefly(
     reason: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Seen on a day of the soak: one socket(2) failed with EMFILE, and the process ended with code 1."""
+    """Guards against an exit with code 1 after a single socket(2) failed with EMFILE, as in a soak run."""
     port = free_port()
-    monkeypatch.setattr(Scarce, "reason", reason)
-    monkeypatch.setattr(socket, "socket", Scarce)
-    Scarce.refusals = 5
+    monkeypatch.setattr(RefusedSocket, "reason", reason)
+    monkeypatch.setattr(socket, "socket", RefusedSocket)
+    RefusedSocket.refusals = 5
     assert not listener.is_in_use("127.0.0.1", port)
-    Scarce.refusals = 5
+    RefusedSocket.refusals = 5
     listener.listen("127.0.0.1", port).close()
 
 
-def test_a_start_that_gets_no_socket_at_all_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_start_fails_if_the_system_refuses_every_socket(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(sockets, "OPEN_RETRY_INTERVAL_S", 0.0)
-    monkeypatch.setattr(Scarce, "refusals", 10**6)
-    monkeypatch.setattr(socket, "socket", Scarce)
+    monkeypatch.setattr(RefusedSocket, "refusals", 10**6)
+    monkeypatch.setattr(socket, "socket", RefusedSocket)
     with pytest.raises(OSError, match="refused"):
         listener.listen("127.0.0.1", 1)
 
@@ -122,10 +122,10 @@
     ("sent", "complete"),
     [(b"GET / HTTP/1.1\r\nX-", False), (b"GET / HTTP/1.1\r\n\r\n", True), (b"x" * 5000, True), (b"", True)],
 )
-def test_a_whole_request_that_waits_to_be_accepted_is_told_from_a_half_written_one(
+def test_a_complete_request_in_the_accept_queue_is_told_from_a_partial_one(
     sent: bytes, complete: bool
 ) -> None:
-    """Guards against a flood's stall timeout that closes whole requests which waited in the accept queue."""
+    """Guards against the stall timeout during a flood closing complete requests from the accept queue."""
     with (
         listener.listen("127.0.0.1", free_port()) as sock,
         socket.create_connection(sock.getsockname()) as client,
@@ -139,4 +139,4 @@
             assert not sent or queued.silence >= 0.09
             assert listener.has_complete_head(accepted) == complete
             accepted.setblocking(False)
-            assert not sent or accepted.recv(8) == sent[:8]  # nothing was taken
+            assert not sent or accepted.recv(8) == sent[:8]  # nothing was consumed
--- a/tests/net/test_many_servers.py
+++ b/tests/net/test_many_servers.py
@@ -1,5 +1,4 @@
-"""A proxy before 3,200 servers: drains take hold in time at a small share of a core, and while discovery is
-crowded."""
+"""Proxies with 3,200 servers: drains take effect in time with little CPU and with discovery overloaded."""
 
 from __future__ import annotations
 
@@ -14,21 +13,21 @@
 from gladegw.rig.nodes.many import ManyServers
 
 SERVERS = 3200
-GRACE = 0.55  # s, with the slack of sockets
-TOLD_WITHIN = 6.0  # s after which a change counts as told, also where each call was refused
-PATIENCE = 2.0  # s that a call waits until discovery refuses it
-SHARE = 0.2  # of a core
-WORK = 0.1  # s of a call
-CLIENTS = 8  # of each proxy that come at once
+DRAIN_GRACE_S = 0.55  # of a drain, including slack for the sockets
+KNOWN_WITHIN_S = 6.0  # after which a change counts as known, even if every call was rejected
+REJECTION_DELAY_S = 2.0  # that a call queues until discovery rejects it
+CPU_SHARE = 0.2  # of a core
+CALL_TIME_S = 0.1  # that a server takes for a call
+BURST_PER_PROXY = 8  # additional clients per proxy that start at once
 CONTRACT = {**SETTINGS["contract"], "drain_grace": 0.5}
 
 
-class CrowdedDiscovery(WatchedDiscovery):
-    """Refuses every call while it is `crowded`, and then ends the watches that it has."""
+class OverloadableDiscovery(WatchedDiscovery):
+    """Rejects every call while it is `overloaded`, and ends its open watches when that begins."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.crowded = False
+        self.overloaded = False
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
@@ -39,30 +38,30 @@
         writer.close()
 
     async def _answer(self, target: str) -> bytes:
-        if self.crowded:
-            await asyncio.sleep(PATIENCE)
+        if self.overloaded:
+            await asyncio.sleep(REJECTION_DELAY_S)
             return response(503)
-        answer = await self.watch(target, lambda: self.crowded)
-        return response(503) if self.crowded else answer
+        answer = await self.watch(target, lambda: self.overloaded)
+        return response(503) if self.overloaded else answer
 
-    async def crowd(self) -> None:
+    async def overload(self) -> None:
         async with self.changed:
-            self.crowded = True
+            self.overloaded = True
             self.changed.notify_all()
 
 
-def test_a_quarter_of_3200_servers_drains_in_time_at_a_small_share_of_a_core() -> None:
+def test_drains_of_a_quarter_of_3200_servers_take_effect_in_time_with_little_cpu() -> None:
     async def test() -> None:
-        servers, discovery = await ManyServers(SERVERS).start(), await CrowdedDiscovery().start()
+        servers, discovery = await ManyServers(SERVERS).start(), await OverloadableDiscovery().start()
         async with proxies(1, servers, discovery, contract=CONTRACT) as fleet:
-            with CpuShare(fleet.processes[0].pid, SHARE):
-                asking = [asyncio.create_task(fleet.ask(fleet.addresses[0], 0.05)) for _ in range(4)]
+            with CpuShare(fleet.processes[0].pid, CPU_SHARE):
+                client_tasks = [asyncio.create_task(fleet.ask(fleet.addresses[0], 0.05)) for _ in range(4)]
                 await asyncio.sleep(1.0)
                 drained = set(range(0, SERVERS, 4))
                 await discovery.tell(servers.drain(drained, 2))
                 await asyncio.sleep(2.0)
-                late = servers.calls_to(drained, discovery.told_at + GRACE)
-                for task in asking:
+                late = servers.calls_to(drained, discovery.told_at + DRAIN_GRACE_S)
+                for task in client_tasks:
                     task.cancel()
         servers.stop()
         assert not late, late[0].at - discovery.told_at
@@ -71,30 +70,35 @@
     run(test())
 
 
-def test_no_call_goes_to_a_drained_server_though_discovery_refuses_every_call() -> None:
-    """What was seen with report 83daec: the watches end with 503, servers begin to drain, each call to
-    discovery is refused after 2 s, and when the drain counts as known more clients come than before, so that
-    servers are used which had not been asked since."""
+def test_no_call_is_sent_to_a_draining_server_though_discovery_rejects_every_call() -> None:
+    """Guards against requests to draining servers that have not been used since the drain (report 83daec).
+
+    The watches end with 503, servers begin to drain, and each call to discovery is rejected after 2 s. When
+    the drain counts as known, more clients start, so that further servers are used.
+    """
 
     async def test() -> None:
-        servers, discovery = await ManyServers(SERVERS, WORK).start(), await CrowdedDiscovery().start()
+        servers, discovery = (
+            await ManyServers(SERVERS, CALL_TIME_S).start(),
+            await OverloadableDiscovery().start(),
+        )
         async with proxies(4, servers, discovery, contract=CONTRACT) as fleet:
-            asking = [asyncio.create_task(fleet.ask(address, 0.15)) for address in fleet.addresses]
+            client_tasks = [asyncio.create_task(fleet.ask(address, 0.15)) for address in fleet.addresses]
             await asyncio.sleep(0.5)
-            await discovery.crowd()
+            await discovery.overload()
             drained = set(range(0, SERVERS, 4))
             begun = time.monotonic()
             servers.drain(drained, 2)
-            await asyncio.sleep(TOLD_WITHIN + GRACE)
-            quiet = len(fleet.codes)
-            burst = [address for address in fleet.addresses for _ in range(CLIENTS)]
-            asking += [asyncio.create_task(fleet.ask(address, 0.15)) for address in burst]
+            await asyncio.sleep(KNOWN_WITHIN_S + DRAIN_GRACE_S)
+            burst_start = len(fleet.codes)
+            burst = [address for address in fleet.addresses for _ in range(BURST_PER_PROXY)]
+            client_tasks += [asyncio.create_task(fleet.ask(address, 0.15)) for address in burst]
             await asyncio.sleep(3.0)
-            late = servers.calls_to(drained, begun + TOLD_WITHIN + GRACE)
-            for task in asking:
+            late = servers.calls_to(drained, begun + KNOWN_WITHIN_S + DRAIN_GRACE_S)
+            for task in client_tasks:
                 task.cancel()
         servers.stop()
         assert not late, (len(late), late[0].at - begun)
-        assert fleet.codes[quiet:].count(200) > 0.5 * len(fleet.codes[quiet:]) > CLIENTS
+        assert fleet.codes[burst_start:].count(200) > 0.5 * len(fleet.codes[burst_start:]) > BURST_PER_PROXY
 
     run(test())
--- a/tests/net/test_wall_clock.py
+++ b/tests/net/test_wall_clock.py
@@ -1,5 +1,4 @@
-"""The wall clock may be stepped; discovery tells when servers started by it, and a cold server must be
-known as one."""
+"""Start times from discovery refer to the wall clock; a step of it must not make a cold server look warm."""
 
 from __future__ import annotations
 
@@ -11,59 +10,62 @@
 from gladegw.net.endpoint_lists import EndpointInventory
 
 STEPS = (-3600.0, -5.0, 5.0, 3600.0)  # s
-AGE = 3.0  # s since a server started, when a list first tells of it
+AGE = 3.0  # s since a server started, when a list first contains it
 SLACK = 0.05  # s
 
 
 class Clock:
-    """The wall clock, which can be stepped; the monotonic one runs on."""
+    """Patches the wall clock so that it can be stepped; the monotonic clock is not affected."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.offset, self.real = 0.0, time.time
         patch.setattr(time, "time", lambda: self.real() + self.offset)
 
-    def started(self, age: float) -> float:
-        """`since_ms` of a server that started so many seconds ago, by the clock as it is now."""
+    def since_ms(self, age: float) -> float:
+        """`since_ms` of a server that started `age` seconds ago, by the present wall clock."""
         return (time.time() - age) * 1000
 
 
-def take(inventory: EndpointInventory, index: int, *servers: tuple[str, float]) -> dict[str, float]:
-    """The ages of the servers that a list changes, in seconds; 0 where the start was long ago."""
+def apply_list(inventory: EndpointInventory, index: int, *servers: tuple[str, float]) -> dict[str, float]:
+    """Apply a list and return the ages of its changed servers in seconds; 0 if no start time is known."""
     entries = [endpoint(name, "127.0.0.1:1", since_ms=since) for name, since in servers]
-    told = inventory.apply_parsed(listing(index, *entries, snapshot=False)).backends
+    changed = inventory.apply_parsed(listing(index, *entries, snapshot=False)).backends
     now = time.monotonic()
-    return {one.name: now - one.entry.started_at if one.entry.started_at else 0.0 for one in told}
+    return {
+        backend.name: now - backend.entry.started_at if backend.entry.started_at else 0.0
+        for backend in changed
+    }
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_server_that_started_after_a_step_is_as_cold_as_it_is(
+def test_a_server_that_started_after_a_step_gets_its_true_age(
     step: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock, inventory = Clock(monkeypatch), EndpointInventory()
-    take(inventory, 1, ("s-1", clock.started(AGE)))
+    apply_list(inventory, 1, ("s-1", clock.since_ms(AGE)))
     clock.offset += step
-    age = take(inventory, 2, ("s-2", clock.started(AGE)))["s-2"]
+    age = apply_list(inventory, 2, ("s-2", clock.since_ms(AGE)))["s-2"]
     assert age == pytest.approx(AGE, abs=SLACK)
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_server_that_started_before_a_step_and_is_told_of_after_it_is_no_older(
+def test_a_server_that_started_before_a_step_and_is_listed_after_it_gets_no_higher_age(
     step: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock, inventory = Clock(monkeypatch), EndpointInventory()
-    take(inventory, 1, ("s-1", clock.started(AGE)))
-    since = clock.started(AGE)
+    apply_list(inventory, 1, ("s-1", clock.since_ms(AGE)))
+    since = clock.since_ms(AGE)
     clock.offset += step
-    age = take(inventory, 2, ("s-2", since))["s-2"]
+    age = apply_list(inventory, 2, ("s-2", since))["s-2"]
     assert 0 <= age <= AGE + SLACK
 
 
 @pytest.mark.parametrize("step", STEPS)
 def test_a_step_makes_no_listed_server_look_restarted(step: float, monkeypatch: pytest.MonkeyPatch) -> None:
     clock, inventory = Clock(monkeypatch), EndpointInventory()
-    since = clock.started(60.0)
-    first = take(inventory, 1, ("s-1", since))["s-1"]
+    since = clock.since_ms(60.0)
+    first = apply_list(inventory, 1, ("s-1", since))["s-1"]
     clock.offset += step
     entry = endpoint("s-1", "127.0.0.1:1", "Terminating", since_ms=since)
-    (told,) = inventory.apply_parsed(listing(2, entry, snapshot=False)).backends
-    assert time.monotonic() - told.entry.started_at == pytest.approx(first, abs=SLACK)
+    (changed,) = inventory.apply_parsed(listing(2, entry, snapshot=False)).backends
+    assert time.monotonic() - changed.entry.started_at == pytest.approx(first, abs=SLACK)
--- a/tests/net/test_watch_continuity.py
+++ b/tests/net/test_watch_continuity.py
@@ -1,11 +1,11 @@
-"""What discovery has written is taken, and soon, however large the list and slow the process.
-
-Found with report 83daec: a watch goes on only if its next call comes within 0.2 s of the last answer; else
-it begins anew, behind all others that call, and what discovery has written counts as known all the same.
-With 3,200 servers at a fifth of a core the next call came 0.1 to 0.17 s after the answer, with 200 servers
-after 0.003 s, since it went out when the list had been taken in whole. Two more ways to lose what was
-written: a large answer that still came was given up after 1.5 s, and a new address for discovery ended the
-watch at the old one in the midst of its answer.
+"""Every list that discovery has sent is applied, and soon, however large the list or slow the process.
+
+Guards against lists that are lost or late (report 83daec). A watch continues only if its next call arrives
+within 0.2 s of the last response; otherwise it starts again behind all other callers, and what discovery has
+written counts as known all the same. When the next call was sent only after the list had been applied, that
+took 0.1 to 0.17 s with 3,200 servers at a fifth of a core, and 0.003 s with 200 servers. Two more faults
+lost lists: a large response that was still arriving was abandoned after 1.5 s, and a new address of discovery
+ended the watch at the old one in the middle of a response.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from gladegw.net.discovery import Discovery
 from gladegw.net.endpoint_lists import Listing
 
-GOES_ON = 0.2  # s from an answer to the next call of a watch
-SLOW = 2.0  # s that it takes here until a list is taken
+CONTINUES_WITHIN_S = 0.2  # from a response, within which the next call continues the watch
+APPLY_TIME_S = 2.0  # that the callback takes here to apply a list
 
 
 class Server(ThreadedServer):
-    """Discovery. `answer` gets the connection and the number of the call."""
+    """A stand-in for discovery; `answer` gets the connection and the number of the call, from 1."""
 
     def __init__(self, answer: Callable[[socket.socket, int], None]) -> None:
         self.answer = answer
@@ -48,84 +48,84 @@
     return response(200, json.dumps(listing(index, *entries, **how)).encode())
 
 
-async def until(met: Callable[[], bool], within: float = PATIENCE) -> None:
+async def until(condition: Callable[[], bool], within: float = PATIENCE) -> None:
     async with asyncio.timeout(within):
-        while not met():
+        while not condition():
             await asyncio.sleep(0.01)
 
 
 def test_the_next_call_of_a_watch_goes_out_before_its_list_is_taken() -> None:
-    """The time until the call is that of this thread's processor: beside load each part of it waits."""
+    """Measures CPU time of this thread, since on a loaded machine wall-clock time includes waiting."""
 
     async def test() -> None:
-        spent: list[float] = []
-        taken_at: list[float] = []
+        cpu_times: list[float] = []
+        applied_at: list[float] = []
 
         def answer(connection: socket.socket, number: int) -> None:
             if number == 1:
                 connection.sendall(list_of(2, 3200, snapshot=False))
 
-        def take(told: Listing) -> None:
-            spent.append(time.thread_time())
-            time.sleep(SLOW)
-            taken_at.append(time.monotonic())
+        def apply_slowly(received: Listing) -> None:
+            cpu_times.append(time.thread_time())
+            time.sleep(APPLY_TIME_S)
+            applied_at.append(time.monotonic())
 
         server = Server(answer)
-        begun = time.thread_time()
-        discovery = Discovery(server.address, 1, 10.0, take, lambda *failed: None)
+        cpu_before = time.thread_time()
+        discovery = Discovery(server.address, 1, 10.0, apply_slowly, lambda *failed: None)
         discovery.watch(True)
-        await until(lambda: len(server.calls) > 1 and bool(taken_at))
+        await until(lambda: len(server.calls) > 1 and bool(applied_at))
         discovery.stop()
         (_, _), (called_at, target) = server.calls
         assert target.startswith("/v1/servers?from=2&")
-        assert called_at < taken_at[0]
-        assert spent[0] - begun < GOES_ON
+        assert called_at < applied_at[0]
+        assert cpu_times[0] - cpu_before < CONTINUES_WITHIN_S
 
     run(test())
 
 
-def test_a_large_list_is_not_given_up_while_it_comes() -> None:
-    """Written in parts over 2.4 s: asked for again it would begin anew, and come no sooner."""
+def test_a_large_list_is_not_abandoned_while_it_arrives() -> None:
+    """The response is written over 2.4 s; a repeated call would start it again and receive it no sooner."""
 
     async def test() -> None:
         def answer(connection: socket.socket, number: int) -> None:
-            whole = list_of(7, 3200)
-            part = len(whole) // 12 + 1
-            for begin in range(0, len(whole), part):
-                connection.sendall(whole[begin : begin + part])
+            raw_response = list_of(7, 3200)
+            part = len(raw_response) // 12 + 1
+            for begin in range(0, len(raw_response), part):
+                connection.sendall(raw_response[begin : begin + part])
                 time.sleep(0.2)
 
-        taken: list[int] = []
+        applied: list[int] = []
         failed: list[object] = []
         server = Server(answer)
         discovery = Discovery(
-            server.address, None, 10.0, lambda told: taken.append(len(told.backends)), failed.append
+            server.address, None, 10.0, lambda received: applied.append(len(received.backends)), failed.append
         )
         discovery.fetch()
-        await until(lambda: bool(taken or failed))
+        await until(lambda: bool(applied or failed))
         discovery.stop()
-        assert (taken, failed, len(server.calls)) == ([3200], [], 1)
+        assert (applied, failed, len(server.calls)) == ([3200], [], 1)
 
     run(test())
 
 
 @pytest.mark.parametrize("watched", [True, False])
-def test_a_list_that_comes_in_parts_is_as_old_as_its_first_byte(watched: bool) -> None:
-    """Guards against a change missed by an answer that was written before it and took seconds to arrive."""
+def test_the_age_of_a_list_counts_from_its_first_byte(watched: bool) -> None:
+    """Guards against a change that is missed because an older response took seconds to arrive."""
     written_over = 1.5  # s
 
     async def test() -> None:
         def answer(connection: socket.socket, number: int) -> None:
             if number == 1:
-                whole = list_of(7, 100)
-                connection.sendall(whole[:200])
+                raw_response = list_of(7, 100)
+                connection.sendall(raw_response[:200])
                 time.sleep(written_over)
-                connection.sendall(whole[200:])
+                connection.sendall(raw_response[200:])
 
         ages: list[float] = []
         server = Server(answer)
         discovery = Discovery(
-            server.address, None, 10.0, lambda told: ages.append(told.age), lambda *failed: None
+            server.address, None, 10.0, lambda received: ages.append(received.age), lambda *failed: None
         )
         if watched:
             discovery.watch(True)
@@ -133,48 +133,47 @@
             discovery.fetch()
         await until(lambda: bool(ages))
         discovery.stop()
-        assert (
-            ages[0] >= written_over - MAX_PROCESSING_DELAY_S
-        )  # the lease's slack for a process that is late
+        # The lease tolerates this delay of the process.
+        assert ages[0] >= written_over - MAX_PROCESSING_DELAY_S
 
     run(test())
 
 
-def test_a_discovery_that_takes_seconds_for_each_call_is_heard() -> None:
+def test_a_list_is_applied_though_discovery_takes_seconds_for_each_call() -> None:
     async def test() -> None:
         def answer(connection: socket.socket, number: int) -> None:
             time.sleep(3.0)
             connection.sendall(list_of(2, 1))
 
         server = Server(answer)
-        taken: list[Listing] = []
+        applied: list[Listing] = []
         failed = asyncio.Event()
-        discovery = Discovery(server.address, 1, 10.0, taken.append, lambda *how: failed.set())
+        discovery = Discovery(server.address, 1, 10.0, applied.append, lambda *how: failed.set())
         discovery.watch(True)
         async with asyncio.timeout(PATIENCE):
             await failed.wait()
         discovery.watch(True)
-        await until(lambda: bool(taken))
+        await until(lambda: bool(applied))
         discovery.stop()
 
     run(test())
 
 
-def test_what_the_old_address_still_tells_is_taken_when_discovery_moves() -> None:
+def test_a_list_from_the_old_address_is_applied_after_discovery_moved() -> None:
     async def test() -> None:
         moved = threading.Event()
 
-        def last_word(connection: socket.socket, number: int) -> None:
+        def answer_after_move(connection: socket.socket, number: int) -> None:
             if moved.wait(PATIENCE):
                 connection.sendall(list_of(2, 1, "Terminating", snapshot=False))
 
-        old, new = Server(last_word), Server(lambda connection, number: None)
-        taken: list[tuple[int, bool]] = []
+        old, new = Server(answer_after_move), Server(lambda connection, number: None)
+        applied: list[tuple[int, bool]] = []
         discovery = Discovery(
             old.address,
             1,
             10.0,
-            lambda told: taken.append((len(told.backends), told.current)),
+            lambda received: applied.append((len(received.backends), received.current)),
             lambda *failed: None,
         )
         discovery.watch(True)
@@ -182,18 +181,18 @@
         discovery.move(new.address)
         await until(lambda: bool(new.calls))
         moved.set()
-        await until(lambda: bool(taken), within=1.0)
+        await until(lambda: bool(applied), within=1.0)
         discovery.stop()
-        # It is taken, and is no news: what the new address has to tell counts as known all the same.
-        assert (taken, [target for _, target in new.calls]) == ([(1, False)], ["/v1/servers"])
+        # It is applied but not current: what the new address sends counts as known independently of it.
+        assert (applied, [target for _, target in new.calls]) == ([(1, False)], ["/v1/servers"])
 
     run(test())
 
 
-def test_a_list_is_taken_at_once_though_the_next_connection_is_slow_to_come_up(
+def test_a_list_is_applied_immediately_though_the_next_connection_is_slow(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The answer ended its connection. Nor is the list lost when the module asks anew meanwhile."""
+    """The response closed its connection. A watch that is started again meanwhile must not lose the list."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -211,16 +210,20 @@
             connection.sendall(response(200, body.encode(), Connection="close"))
 
         monkeypatch.setattr(loop, "create_connection", slow)
-        taken: list[int] = []
+        applied: list[int] = []
         server = Server(answer)
         discovery = Discovery(
-            server.address, 1, 10.0, lambda told: taken.append(len(told.backends)), lambda *failed: None
+            server.address,
+            1,
+            10.0,
+            lambda received: applied.append(len(received.backends)),
+            lambda *failed: None,
         )
         discovery.watch(True)
         await until(lambda: connects > 1)
         discovery.watch(True)
-        await until(lambda: bool(taken), within=0.5)
+        await until(lambda: bool(applied), within=0.5)
         discovery.stop()
-        assert taken == [1]
+        assert applied == [1]
 
     run(test())
