--- a/gladegw/net/policy_router.py
+++ b/gladegw/net/policy_router.py
@@ -21,7 +21,7 @@
     parse_epoch,
 )
 from gladegw.coordination.serving_lease import ServingLease
-from gladegw.net.addresses import network, plain
+from gladegw.net.addresses import parse_network, unmap_ipv4
 from gladegw.net.features import PolicySettings
 from gladegw.net.request import BadRequestError, Headers, RoutedRequest
 from gladegw.net.routes import Generation, PoolRouter
@@ -43,7 +43,7 @@
         self.retention = TableRetention(float(settings.hold_s))
         self.tables: dict[PolicyEpoch, Generation] = {}  # usable tables, without the current one
         self.prepared_table: PreparedTable | None = None  # its generation is created on the first request
-        self.trusted_networks = tuple(network(text) for text in settings.stamp_from)
+        self.trusted_networks = tuple(parse_network(text) for text in settings.stamp_from)
         self.is_trusted = lru_cache(maxsize=1024)(self._is_trusted)
 
     # policy changes
@@ -90,7 +90,7 @@
     def _is_trusted(self, source: str) -> bool:
         """Whether policy epoch headers from this address are accepted."""
         try:
-            address = plain(ipaddress.ip_address(source))
+            address = unmap_ipv4(ipaddress.ip_address(source))
         except ValueError:
             return False
         return any(address in trusted for trusted in self.trusted_networks)
