--- a/gladegw/control/backoff.py
+++ b/gladegw/control/backoff.py
@@ -10,7 +10,7 @@
 class Backoff:
     """Capped exponential backoff.
 
-    Each delay is jittered by up to half, so that many processes do not return at once.
+    Each delay is shortened by a random part of up to half, so that many processes do not retry at once.
     """
 
     def __init__(self, random: Random) -> None:
--- a/gladegw/control/clock.py
+++ b/gladegw/control/clock.py
@@ -1,4 +1,4 @@
-"""Clock of lease bounds: monotonic, and including the time that the machine is suspended."""
+"""Clock for lease expiry: monotonic, and it also advances while the machine is suspended."""
 
 from __future__ import annotations
 
--- a/gladegw/control/fleet_status.py
+++ b/gladegw/control/fleet_status.py
@@ -13,24 +13,27 @@
 
 
 async def read(client: StoreClient, prefix: str) -> StoreCache:
-    """Read all records but bundles and timelines; raises StoreClientError.
+    """Read all records except bundles and timelines; raises StoreClientError.
 
     The read is linearizable, as operators act on the result.
     """
     view = StoreCache(Keys(prefix))
-    parts = view.keys.live, view.keys.reported
-    done = await client.do(*(Get(*part) for part in parts))
-    for part, found in zip(parts, done.found, strict=True):
-        view.load_snapshot(part, done.revision, found)
+    key_ranges = view.keys.live, view.keys.reported
+    result = await client.do(*(Get(*key_range) for key_range in key_ranges))
+    for key_range, entries in zip(key_ranges, result.found, strict=True):
+        view.load_snapshot(key_range, result.revision, entries)
     return view
 
 
-def _since(at: float) -> float:
-    return round(max(0.0, time.time() - at), 1) if at else 0.0
+def _seconds_since(timestamp: float) -> float:
+    return round(max(0.0, time.time() - timestamp), 1) if timestamp else 0.0
 
 
 def members(view: StoreCache) -> list[dict[str, Any]]:
-    """Return the live and the missing members; `since_s` depends on the clocks of the writers."""
+    """Return the live and the missing members.
+
+    `since_s` depends on the clock of the process that wrote the record.
+    """
     rows = [
         {
             "name": member.name,
@@ -38,7 +41,7 @@
             "version": member.version,
             "zone": member.zone,
             "state": member.state,
-            "since_s": _since(member.since),
+            "since_s": _seconds_since(member.since),
         }
         for _, member in view.members()
     ] + [
@@ -48,7 +51,7 @@
             "version": "",
             "zone": known.zone,
             "state": "missing",
-            "since_s": _since(known.lost),
+            "since_s": _seconds_since(known.lost),
         }
         for known in view.missing_members()
     ]
@@ -64,7 +67,7 @@
             "name": name,
             "holder": holders[name][1].holder,
             "token": holders[name][0].create_revision,
-            "since_s": _since(holders[name][1].since),
+            "since_s": _seconds_since(holders[name][1].since),
         }
         if name in holders
         else {"name": name, "holder": None, "token": 0, "since_s": 0.0}
@@ -84,5 +87,5 @@
         "silent": list(fleet.silent) if fleet is not None else [],
         "discovery": {digest: list(names) for digest, names in drift.discovery.items()} if drift else {},
         "routes": {digest: list(names) for digest, names in drift.routes.items()} if drift else {},
-        "differ_since_s": _since(drift.since) if drift is not None else 0.0,
+        "differ_since_s": _seconds_since(drift.since) if drift is not None else 0.0,
     }
--- a/gladegw/control/hedging.py
+++ b/gladegw/control/hedging.py
@@ -1,4 +1,4 @@
-"""Hedged calls to the store: what must be answered soon is asked of a second endpoint as well."""
+"""Hedged requests to the store: an urgent request is also sent to a second endpoint."""
 
 from __future__ import annotations
 
@@ -11,16 +11,15 @@
 
 T = TypeVar("T")
 
-HEDGE_FRACTION = 1 / 3  # of the time in which the answer is of use
+HEDGE_FRACTION = 1 / 3  # fraction of `time_left` after which the request is sent to a second endpoint
 
 
 async def hedged(request: Callable[[StoreClient], Awaitable[T]], client: StoreClient, time_left: float) -> T:
-    """Return the first answer to an idempotent request that is of use for `time_left` seconds.
+    """Send an idempotent request whose answer is needed within `time_left` seconds; return the first answer.
 
     If `client` has not answered after HEDGE_FRACTION of that time, the request is sent to its next endpoint
-    too; if only that one answers, `client` uses it from then on. If `time_left` is not above 0, an answer
-    comes too late for what it was to save, and one request is enough. Raises StoreClientError if none is
-    answered.
+    too; if that one answers first, `client` uses it from then on. If `time_left` is 0 or less, the answer is
+    too late anyway and the request is not hedged. Raises StoreClientError if no request is answered.
     """
     if time_left <= 0:
         return await request(client)
@@ -44,12 +43,12 @@
 
 
 async def _first_answer(tasks: Sequence[asyncio.Future[T]]) -> T:
-    """Return the result of the first task that has one; raises the fault of the last one if all fail."""
-    fault: StoreClientError | None = None
+    """Return the result of the first task that succeeds; if all fail, raise the error of the last one."""
+    last_error: StoreClientError | None = None
     for completed in asyncio.as_completed(tasks):
         try:
             return await completed
-        except StoreClientError as failed:
-            fault = failed
-    assert fault is not None
-    raise fault
+        except StoreClientError as error:
+            last_error = error
+    assert last_error is not None
+    raise last_error
--- a/gladegw/control/interfaces.py
+++ b/gladegw/control/interfaces.py
@@ -1,7 +1,7 @@
 """Interfaces through which the parts of a fleet member use the member.
 
 The member constructs its elections, watches and policy participant; these depend only on the protocols here,
-so that none of them imports the member.
+so that none of them imports the member's module.
 """
 
 from __future__ import annotations
@@ -122,8 +122,8 @@
     def random(self) -> Random:
         """Source of jitter."""
 
-    def watcher_of(self, part: KeyRange, changed: OnChange) -> RangeWatcher:
-        """Create the watcher of a range; `changed` is called after each change of it."""
+    def watcher_of(self, key_range: KeyRange, on_change: OnChange) -> RangeWatcher:
+        """Create the watcher of a range; `on_change` is called after each change of it."""
 
 
 class ParticipantHost(MemberHost, Protocol):
@@ -169,7 +169,7 @@
 
     @property
     def store_reached(self) -> asyncio.Event:
-        """Event that is set once the store has answered."""
+        """Event that is set once the store has answered after a fault."""
 
     async def publish_record(self) -> None:
         """Write the member's record to the store."""
--- a/gladegw/control/keys.py
+++ b/gladegw/control/keys.py
@@ -1,8 +1,9 @@
 """Keys of all records in the store, below the prefix of an installation.
 
-`live/` is watched by every member: members, duty holders and the policy. `told/` is read by duty holders
-only, as member metrics change every 2 s and watching them everywhere would grow with the square of the fleet.
-`kept/` is read by key and not watched: bundles and rollout timelines.
+`live/` holds the members, duty holders and the policy, and each member watches it or the parts it needs.
+`told/` holds what members report and is read by duty holders only: member metrics change every 2 s, and if
+each member watched them, the load would grow with the square of the fleet. `kept/` holds bundles and rollout
+timelines, which are read by key and not watched.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
     @property
     def claims(self) -> KeyRange:
-        """Range of the duty holders, which every member watches: the keys of `live/` before the members."""
+        """Range of the duty holders, watched by every member: the keys of `live/` before the members."""
         return self._below(LIVE_PREFIX)[0], self.members[0]
 
     @property
@@ -134,7 +135,7 @@
         return self._key(REPORTED_PREFIX, "policy", "ended", id)
 
     def history(self, epoch: int) -> bytes:
-        """Key of a committed epoch in the history; sorted by epoch."""
+        """Key of a committed epoch in the history; the keys sort by epoch."""
         return self._key(REPORTED_PREFIX, "policy", "history", f"{epoch:012d}")
 
     def bundle_attempts(self, digest: str, name: str) -> bytes:
@@ -154,7 +155,7 @@
         return self._key(RETAINED_PREFIX, "bundles", digest, f"{number:06d}")
 
     def split(self, key: bytes) -> list[str]:
-        """Split a key into its kind and names: the parts below `live/`, `told/` or `kept/`."""
+        """Split the part of a key below `live/`, `told/` or `kept/` into the record's kind and names."""
         return key.decode("utf-8", "replace")[len(self.prefix.rstrip("/")) + 1 :].split("/")[1:]
 
     def timeline(self, id: str) -> KeyRange:
@@ -162,5 +163,5 @@
         return self._below(RETAINED_PREFIX, "courses", id) if id else self._below(RETAINED_PREFIX, "courses")
 
     def timeline_point(self, id: str, stage: int, window: int) -> bytes:
-        """Key of one point of a rollout's timeline; sorted by stage and window."""
+        """Key of one point of a rollout's timeline; the keys sort by stage and window."""
         return self._key(RETAINED_PREFIX, "courses", id, f"{stage:03d}-{window:06d}")
--- a/gladegw/control/leader_election.py
+++ b/gladegw/control/leader_election.py
@@ -17,13 +17,14 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_INTERVAL_S = 0.2  # after a request with unknown outcome, or a failed step
+RETRY_INTERVAL_S = 0.2  # delay after a request with unknown outcome or a failed step
 
 
 class LeaderElection:
     """Election, holding and release of one duty at this process.
 
-    `on_change` is called with the duty's name, the token, and whether the work starts or stops.
+    `on_change` is called with the duty's name, the token, and True when the work starts or False when it
+    stops.
     """
 
     def __init__(
@@ -45,13 +46,16 @@
 
     @property
     def idle(self) -> bool:
-        """Whether another member holds the duty and no claim is due; changes of other keys have no effect."""
+        """Whether another member holds the duty and no claim is due.
+
+        Changes of other keys then have no effect on the election.
+        """
         return self.duty.phase is Phase.IDLE and self.key in self.cache.entries and self.claim_timer is None
 
-    # store updates
-    def on_key(self, found: KeyValue | None, revision: int) -> None:
+    # events from the store and the member
+    def on_key(self, entry: KeyValue | None, revision: int) -> None:
         """Process the state of the duty's key as of a store revision."""
-        token, lease = (found.create_revision, found.lease) if found is not None else (0, 0)
+        token, lease = (entry.create_revision, entry.lease) if entry is not None else (0, 0)
         event = duties.event_of_key(token, lease, self.member.lease)
         self.on_event(event, token, revision)
 
@@ -74,21 +78,21 @@
             self.key not in self.cache.entries
             and self.cache.known_revision(self.member.keys.claims) >= self.duty.seen_revision
         )
-        may = vacant and self.duty.phase is Phase.IDLE and self.member.may_claim and not self.released
-        if not may:
+        claimable = vacant and self.duty.phase is Phase.IDLE and self.member.may_claim and not self.released
+        if not claimable:
             if self.claim_timer is not None:
                 self.claim_timer.cancel()
                 self.claim_timer = None
         elif self.claim_timer is None:
-            wait = self.member.claim_delay(self.work.name)
-            self.claim_timer = self.member.loop.call_later(wait, self._claim)
+            delay = self.member.claim_delay(self.work.name)
+            self.claim_timer = self.member.loop.call_later(delay, self._claim)
 
     def _claim(self) -> None:
         self.claim_timer = None
         if self.key not in self.cache.entries and self.member.may_claim and not self.released:
             self.on_event(Event.CLAIM_DUE)
 
-    # actions
+    # actions of the state machine
     def _send(self, action: Action) -> None:
         task = self.member.loop.create_task(self._request(action))
         self.pending_requests.add(task)
@@ -100,38 +104,38 @@
         try:
             if action is Action.READ:
                 await asyncio.sleep(RETRY_INTERVAL_S)
-                # Linearizable, as a claim depends on it.
-                revision, found = await member.client.get(Get(self.key))
-                self.on_key(found[0] if found else None, revision)
+                # Linearizable, because a claim depends on it.
+                revision, entries = await member.client.get(Get(self.key))
+                self.on_key(entries[0] if entries else None, revision)
                 return
             if action is Action.CLAIM:
                 record = DutyHolderRecord(
                     holder=member.name, incarnation=member.incarnation, since=time.time()
                 )
-                done = await member.client.txn(duties.claim(self.key, encode(record), lease))
-                if done.succeeded:
-                    event = duties.event_of_key(done.revision, lease, member.lease)
-                    self.on_event(event, done.revision, done.revision)
+                result = await member.client.txn(duties.claim(self.key, encode(record), lease))
+                if result.succeeded:
+                    event = duties.event_of_key(result.revision, lease, member.lease)
+                    self.on_event(event, result.revision, result.revision)
                     return
             else:
                 successor = member.successor(self.work.name)
-                appointment = (
+                put_successor = (
                     (Put(member.keys.successor(self.work.name), encode(SuccessorRecord(name=successor))),)
                     if successor
                     else ()
                 )
-                done = await member.client.txn(duties.release(self.key, lease, appointment))
-                if done.succeeded:
-                    self.on_event(Event.VACANT, 0, done.revision)
+                result = await member.client.txn(duties.release(self.key, lease, put_successor))
+                if result.succeeded:
+                    self.on_event(Event.VACANT, 0, result.revision)
                     return
-            self.on_key(done.found[0][0] if done.found[0] else None, done.revision)
+            self.on_key(result.found[0][0] if result.found[0] else None, result.revision)
         except StoreClientError as fault:
             member.log_fault(f"{self.work.name}: {action.value}: {fault}")
             if action is Action.RELEASE:
                 await asyncio.sleep(RETRY_INTERVAL_S)
             self.on_event(Event.UNKNOWN)
 
-    # the work
+    # work of the duty
     async def grant(self, ttl: int) -> int:
         """Create a lease that is not renewed; see `DutyContext`."""
         return (await self.member.client.grant(ttl))[0]
@@ -145,24 +149,24 @@
         token = self.duty.token
         if not duties.may_act(self.duty, self.member.lease, self.member.clock()):
             raise NotHolderError(self.work.name)
-        done = await self.member.client.txn(duties.fenced(self.key, token, *operations, compares=compares))
-        if not done.succeeded:
-            self.on_key(done.found[0][0] if done.found[0] else None, done.revision)
+        result = await self.member.client.txn(duties.fenced(self.key, token, *operations, compares=compares))
+        if not result.succeeded:
+            self.on_key(result.found[0][0] if result.found[0] else None, result.revision)
             raise NotHolderError(self.work.name, begun=True)
-        return done
+        return result
 
     def _start_work(self) -> None:
         self.on_change(self.work.name, self.duty.token, True)
         self.member.reported_watch.want(self.work.name, self.work.reads_reported)
         self.member.live_watch.want(self.work.name, True)
-        log.warning("coordination: holds %s, token %d", self.work.name, self.duty.token)
+        log.warning("coordination: holds duty %s, token %d", self.work.name, self.duty.token)
         self.work_task = self.member.loop.create_task(self._run_work(self.duty.token))
 
     def _stop_work(self, token: int) -> None:
         self.on_change(self.work.name, token, False)
         self.member.reported_watch.want(self.work.name, False)
         self.member.live_watch.want(self.work.name, False)
-        log.warning("coordination: holds %s no more, token %d", self.work.name, token)
+        log.warning("coordination: no longer holds duty %s, token %d", self.work.name, token)
         task, self.work_task = self.work_task, None
         if task is not None:
             task.cancel()
@@ -183,13 +187,13 @@
                 await self.work.step(self)
                 pause = self.work.period
             except NotHolderError:
-                pause = RETRY_INTERVAL_S  # the loss is processed by `on_key`, or when the lease expires
+                pause = RETRY_INTERVAL_S  # `on_key` or the expiry of the lease stops the work
             except StoreClientError as fault:
                 pause = RETRY_INTERVAL_S
                 self.member.log_fault(f"{self.work.name}: {fault}")
             except Exception:
                 pause = RETRY_INTERVAL_S
-                log.exception("coordination: %s", self.work.name)
+                log.exception("coordination: a step of duty %s failed", self.work.name)
             await asyncio.sleep(max(pause, self.work.period))
 
     def release(self) -> None:
--- a/gladegw/control/member.py
+++ b/gladegw/control/member.py
@@ -1,7 +1,7 @@
 """Membership of this process in the fleet: its lease, its record, its view of the others, and its duties.
 
-It runs on a thread of its own, so that a busy serving loop does not delay the renewal of the lease. From the
-serving side it only reads metrics.
+It runs on its own thread, so that a busy serving loop does not delay the renewal of the lease. It only reads
+metrics from the serving thread.
 """
 
 from __future__ import annotations
@@ -35,8 +35,7 @@
 from gladegw.coordination.duty import Event
 from gladegw.coordination.lease import Lease
 from gladegw.coordination.records import KnownMemberRecord, MemberMetricsRecord, MemberRecord, encode
-from gladegw.coordination.store import Put, Txn
-from gladegw.coordination.store import StoreEvent as Change
+from gladegw.coordination.store import Put, StoreEvent, Txn
 
 if TYPE_CHECKING:
     from gladegw.control.policy_participant import PolicyParticipant, ServingHost
@@ -45,15 +44,15 @@
 log = logging.getLogger(__name__)
 
 CLAIM_INTERVAL_S = 0.05  # head start of each member over the next one in the claim order
-METRICS_INTERVAL_S = 2.0  # between checks whether the own metrics have changed
-MIN_LEASE_CHECK_INTERVAL_S = 0.02  # least interval between checks of the lease's bound
+METRICS_INTERVAL_S = 2.0  # between checks whether this member's metrics have changed
+MIN_LEASE_CHECK_INTERVAL_S = 0.02  # shortest interval between checks whether the lease has expired
 HANDOVER_TIMEOUT_S = 1.5
 
 
 class FleetMember:
     """Member of the fleet.
 
-    `metrics` is called on the member's thread, as is everything else unless stated otherwise.
+    All methods, and the callback `metrics`, run on the member's thread unless stated otherwise.
     """
 
     def __init__(
@@ -87,16 +86,16 @@
         self.last_logged: dict[str, float] = {}
         self.random = Random(self.incarnation)
         self.thread: threading.Thread | None = None
-        self.registered_at = 0  # revision
+        self.registered_at = 0  # store revision of the registration
         self.stored_record: MemberRecord | None = None  # last record that the store has confirmed
         self.participant: PolicyParticipant | None = None
         if host is not None:
-            # Loaded only here: members without policies do without its modules.
+            # Imported here, so that members without policies do not load its modules.
             from gladegw.control.policy_participant import PolicyParticipant
 
             self.participant = PolicyParticipant(self, host)
         self.ready = threading.Event()
-        self.revoking: set[asyncio.Task[None]] = set()
+        self.revocations: set[asyncio.Task[None]] = set()
 
     # called from other threads
     @property
@@ -125,11 +124,11 @@
         self.ready.wait()
 
     def _main(self) -> None:
-        """Run the member; the process continues to serve whatever ends it."""
+        """Run the member; if it fails, the process continues to serve."""
         try:
             asyncio.run(self.run())
         except Exception:
-            log.exception("coordination: ended")
+            log.exception("coordination: the fleet member failed")
         finally:
             self.ready.set()
 
@@ -139,17 +138,17 @@
             self.loop.call_soon_threadsafe(self._on_lifecycle_state, state)
 
     def shut_down(self) -> None:
-        """Hand all duties over, sign off and end the thread, within HANDOVER_TIMEOUT_S and a margin."""
+        """Hand over all duties, leave the fleet and end the thread, in HANDOVER_TIMEOUT_S and a margin."""
         if self.thread is not None and self.thread.is_alive():
             self.loop.call_soon_threadsafe(self.stopping.set)
             self.thread.join(HANDOVER_TIMEOUT_S + 0.5)
 
     # called on the member's thread
     async def run(self) -> None:
-        """Run until shut down, then hand over and sign off."""
+        """Run until `shut_down` is called, then hand the duties over and leave the fleet."""
         self.loop = asyncio.get_running_loop()
         self.stopping = asyncio.Event()
-        self.store_reached = asyncio.Event()  # set once the store has answered
+        self.store_reached = asyncio.Event()  # set once the store has answered after a fault
         self.reported_watch = ReportedWatch(self)
         self.elections = [LeaderElection(self, work, self.on_duty_change) for work in self.works]
         self.live_watch = LiveWatch(self, self._on_update)
@@ -168,8 +167,11 @@
             async with asyncio.timeout(HANDOVER_TIMEOUT_S):
                 await self._hand_over()
         except (TimeoutError, StoreClientError) as fault:
-            log.info("coordination: signed off by the lease's end: %s", fault or "no answer in time")
-        running += self.revoking
+            log.info(
+                "coordination: the hand-over at shutdown failed, the lease expires by itself: %s",
+                fault or "no answer in time",
+            )
+        running += self.revocations
         for task in running:
             task.cancel()
         for election in self.elections:
@@ -216,7 +218,7 @@
         """Whether duties may be claimed: the lease is valid, and the store's state under it is known."""
         return (
             self.registered
-            and self.live_watch.informed
+            and self.live_watch.ranges_known
             and not self.shutting_down
             and self.lease.is_valid(self.clock())
         )
@@ -232,10 +234,10 @@
                 await self._renew()
                 backoff.reset()
             except StoreRejectedError as fault:
-                self.log_fault(f"the store refuses: {fault}")
+                self.log_fault(f"the store rejected the request: {fault}")
                 await asyncio.sleep(backoff.max_delay())
             except StoreClientError as fault:
-                self.log_fault(f"the store is not reached: {fault}")
+                self.log_fault(f"the store is unreachable: {fault}")
                 self.store_reached.clear()
                 with contextlib.suppress(TimeoutError):  # retry at once if another call is answered
                     async with asyncio.timeout(backoff.next_delay()):
@@ -250,7 +252,7 @@
         await self._register()
 
     async def _register(self) -> None:
-        """Write the own record under the lease; after a fault the next renewal tries again."""
+        """Write this member's record under the lease; after a fault, the next renewal tries again."""
         if not self.lease.id or self.shutting_down:
             return
         record = self.record
@@ -260,15 +262,15 @@
             Put(known, encode(KnownMemberRecord(name=self.name, zone=self.record.zone))),
         )
         try:
-            done = await self.client.txn(Txn((), operations))
+            result = await self.client.txn(Txn((), operations))
         except StoreRejectedError as fault:
-            self.log_fault(f"the store refuses the member's record: {fault}")
+            self.log_fault(f"the store rejected the member's record: {fault}")
             return
         except StoreClientError:
             return
         self.stored_record = record
         if not self.registered:
-            self.registered, self.registered_at = True, done.revision
+            self.registered, self.registered_at = True, result.revision
             if self.participant is not None:
                 self.participant.on_rejoin()
                 self.participant.on_update()
@@ -276,7 +278,7 @@
             election.schedule_claim()
 
     async def publish_record(self) -> None:
-        """Write the changed record; after a fault the next renewal tries again."""
+        """Write the changed record; after a fault, the next renewal tries again."""
         await self._register()
 
     async def _renew(self) -> None:
@@ -291,44 +293,46 @@
     async def _watch_lease_bound(self) -> None:
         """Stop the duties once the lease has expired.
 
-        Safety does not depend on it: each effect checks the lease itself.
+        Safety does not depend on this task: each effect checks the lease itself.
         """
         while True:
-            left = self.lease.until - self.clock() if self.lease.id else self.ttl / 10
-            await asyncio.sleep(max(MIN_LEASE_CHECK_INTERVAL_S, min(left, METRICS_INTERVAL_S)))
+            time_left = self.lease.until - self.clock() if self.lease.id else self.ttl / 10
+            await asyncio.sleep(max(MIN_LEASE_CHECK_INTERVAL_S, min(time_left, METRICS_INTERVAL_S)))
             if self.lease.id and not self.lease.is_valid(self.clock()):
                 self._on_lease_expired()
 
     def _on_lease_expired(self) -> None:
         """Give up an expired lease and revoke it.
 
-        It is not renewed, as its duties may have been claimed by others. It is revoked because
-        the store may still receive renewals while its responses are lost; others would have to wait for the
-        last one.
+        It is not renewed, because others may have claimed its duties. It is revoked because the store may
+        still receive renewals while its responses are lost: without the revocation, the other members would
+        have to wait until the last renewal expires.
         """
-        over, self.lease, self.registered = self.lease.id, Lease(), False
+        expired_id, self.lease, self.registered = self.lease.id, Lease(), False
         for election in self.elections:
             election.on_event(Event.EXPIRED)
-        if over:
-            task = self.loop.create_task(self._revoke(over))
-            self.revoking.add(task)
-            task.add_done_callback(self.revoking.discard)
+        if expired_id:
+            task = self.loop.create_task(self._revoke(expired_id))
+            self.revocations.add(task)
+            task.add_done_callback(self.revocations.discard)
 
     async def _revoke(self, id: int) -> None:
         with contextlib.suppress(StoreClientError):
             await self.client.revoke(id)
 
     # other members
-    def watcher_of(self, part: KeyRange, changed: OnChange) -> StoreWatcher:
-        """Create the watcher of a range; `changed` is called after each change of it."""
+    def watcher_of(self, key_range: KeyRange, on_change: OnChange) -> StoreWatcher:
+        """Create the watcher of a range; `on_change` is called after each change of it."""
         silence = max(2.0, self.options.ttl / 2)
         backoff = Backoff(self.random)
-        return StoreWatcher(self.watch_client, self.cache, part, silence, backoff, self.log_fault, changed)
+        return StoreWatcher(
+            self.watch_client, self.cache, key_range, silence, backoff, self.log_fault, on_change
+        )
 
-    def _on_update(self, events: list[Change] | None) -> None:
+    def _on_update(self, events: list[StoreEvent] | None) -> None:
         """Process changes of live keys.
 
-        It runs at each member for each change, so its cost must not grow with the size of the fleet.
+        Each member runs this for each change, so its cost must not grow with the size of the fleet.
         """
         now = self.clock()
         keys = [event.kv.key for event in events if not event.deleted] if events is not None else None
@@ -341,9 +345,9 @@
             self.flap_detector.forget(now)
         if self.participant is not None:
             self.participant.on_update()
-        touched = {event.kv.key for event in events} if events is not None else None
+        changed_keys = {event.kv.key for event in events} if events is not None else None
         for election in self.elections:
-            if touched is None or election.key in touched or not election.idle:
+            if changed_keys is None or election.key in changed_keys or not election.idle:
                 election.on_key(
                     self.cache.entries.get(election.key), self.cache.known_revision(self.keys.claims)
                 )
@@ -357,12 +361,12 @@
         successor = self.cache.successor(duty)
         if successor == self.name:
             return 0.0
-        there = self.live_watch.members
-        if there > MAX_RANKED_MEMBERS or not self.live_watch.complete.is_set():
-            own = self.flap_detector.weights((self.name,), self.clock())[self.name]
-            return election_order.estimated_claim_delay(duty, self.name, own, there, CLAIM_INTERVAL_S) + (
-                CLAIM_INTERVAL_S if successor else 0.0
-            )
+        member_count = self.live_watch.members
+        if member_count > MAX_RANKED_MEMBERS or not self.live_watch.complete.is_set():
+            own_weight = self.flap_detector.weights((self.name,), self.clock())[self.name]
+            return election_order.estimated_claim_delay(
+                duty, self.name, own_weight, member_count, CLAIM_INTERVAL_S
+            ) + (CLAIM_INTERVAL_S if successor else 0.0)
         weights = self._weights(duty)
         return election_order.claim_delay(duty, self.name, weights, CLAIM_INTERVAL_S) + (
             CLAIM_INTERVAL_S if successor in weights else 0.0
@@ -374,21 +378,25 @@
 
     async def _publish_metrics(self) -> None:
         last: MemberMetricsRecord | None = None
-        under = 0
+        published_lease = 0
         while True:
             await asyncio.sleep(METRICS_INTERVAL_S * self.random.uniform(0.8, 1.2))
-            now = self.metrics()
-            if now is None or not self.registered or (now == last and under == self.lease.id):
+            current = self.metrics()
+            if (
+                current is None
+                or not self.registered
+                or (current == last and published_lease == self.lease.id)
+            ):
                 continue
-            if self.record.state in ("lame", "leaving"):  # its successor of the same name may report metrics
+            if self.record.state in ("lame", "leaving"):  # a newer process of this name may publish metrics
                 continue
             try:
-                under = self.lease.id
-                value = encode(msgspec.structs.replace(now, incarnation=self.incarnation))
-                await self.client.do(Put(self.keys.member_metrics(self.name), value, under))
-                last = now
+                published_lease = self.lease.id
+                value = encode(msgspec.structs.replace(current, incarnation=self.incarnation))
+                await self.client.do(Put(self.keys.member_metrics(self.name), value, published_lease))
+                last = current
             except StoreClientError as fault:
-                self.log_fault(f"figures: {fault}")
+                self.log_fault(f"the metrics were not published: {fault}")
 
 
 __all__ = ["FleetMember", "StoreOptions"]
--- a/gladegw/control/startup.py
+++ b/gladegw/control/startup.py
@@ -25,9 +25,9 @@
     from gladegw.net.policy_router import PolicyRouter
     from gladegw.net.timing import RequestTiming
 
-ListBackends = Callable[[], Iterable[tuple[int, bool]]]  # backends, and whether each receives requests
+ListBackends = Callable[[], Iterable[tuple[int, bool]]]  # backend number, and whether it receives requests
 
-MAX_MEMORY_FRACTION = 0.95  # of the memory limit, above which a second table is rejected
+MAX_MEMORY_FRACTION = 0.95  # fraction of the memory limit above which a prepared policy is rejected
 
 
 def version() -> str:
@@ -37,7 +37,7 @@
         return configured
     try:
         return importlib.metadata.version("gladegw")
-    except importlib.metadata.PackageNotFoundError:  # run from a checkout
+    except importlib.metadata.PackageNotFoundError:  # the program runs from a source checkout
         return ""
 
 
@@ -50,7 +50,8 @@
 ) -> MemberMetricsRecord:
     """Return the current metrics.
 
-    Called on the member's thread: counters may be inconsistent by one step.
+    Called on the member's thread while the serving thread updates the counters: they may differ from each
+    other by one step.
     """
     counters = {"upstream_tries": ledger.upstream_attempts, "in_progress": ledger.in_progress}
     for cls, handled in list(ledger.handled.items()):
@@ -84,7 +85,7 @@
 
 
 def resident_bytes() -> int:
-    """Return the resident memory of this process in bytes; 0 if the system does not report it."""
+    """Return the resident memory of this process in bytes; 0 if it cannot be read."""
     try:
         return int(Path("/proc/self/statm").read_text(encoding="ascii").split()[1]) * resource.getpagesize()
     except (OSError, IndexError, ValueError):
@@ -92,7 +93,10 @@
 
 
 def serving_host(router: PolicyRouter, serving: asyncio.AbstractEventLoop) -> ServingHost:
-    """Return the functions that pass policies to the router on the serving loop."""
+    """Return the callbacks through which the policy participant prepares and activates policies.
+
+    The router is changed on the serving loop only.
+    """
     from gladegw.control.policy_bundle import BundleError, select_file
     from gladegw.control.policy_participant import ServingHost
 
@@ -128,7 +132,7 @@
     host: ServingHost | None = None,
     timing: RequestTiming | None = None,
 ) -> FleetMember:
-    """Start and return the member; an unreachable store is logged and retried."""
+    """Start and return the fleet member. If the store is unreachable, this is logged and retried."""
     options = StoreOptions(
         settings.addresses, settings.prefix, settings.ttl_s, settings.timeout_ms / 1000, settings.token_file
     )
--- a/gladegw/control/store_cache.py
+++ b/gladegw/control/store_cache.py
@@ -28,8 +28,8 @@
 class StoreCache:
     """Cache of store entries by key.
 
-    Each range of keys is known up to a revision of its own. Records are decoded on first use after each
-    change of their key.
+    Each range of keys is known up to its own revision. Records are decoded on first use after each change
+    of their key.
     """
 
     def __init__(self, keys: Keys) -> None:
@@ -38,44 +38,50 @@
         self.entries: dict[bytes, KeyValue] = {}
         self.keys_by_kind: dict[str, set[bytes]] = {}
         self.decoded: dict[bytes, tuple[int, Record | None]] = {}
-        self.changed = asyncio.Event()  # set at each change
+        self.changed = asyncio.Event()  # set at each change; those who wait for it clear it
 
-    def known_revision(self, part: KeyRange) -> int:
+    def known_revision(self, key_range: KeyRange) -> int:
         """Return the revision up to which a range is completely known; 0 if it is not."""
-        first, end = part
+        first, end = key_range
         return max(
-            (known for over, known in self.known_revisions.items() if over[0] <= first and over[1] >= end),
+            (
+                known
+                for cached, known in self.known_revisions.items()
+                if cached[0] <= first and cached[1] >= end
+            ),
             default=0,
         )
 
-    def load_snapshot(self, part: KeyRange, revision: int, found: Iterable[KeyValue]) -> None:
+    def load_snapshot(self, key_range: KeyRange, revision: int, entries: Iterable[KeyValue]) -> None:
         """Replace a range by a complete read of it at a revision."""
-        by_key = {kv.key: kv for kv in found}
-        for key in [key for key in self.entries if within(key, *part) and key not in by_key]:
+        by_key = {kv.key: kv for kv in entries}
+        for key in [key for key in self.entries if within(key, *key_range) and key not in by_key]:
             self._remove(key)
         for kv in by_key.values():
             self._put(kv)
-        self.known_revisions[part] = revision
+        self.known_revisions[key_range] = revision
         self.changed.set()
 
-    def apply_events(self, part: KeyRange, revision: int, events: Iterable[StoreEvent]) -> None:
+    def apply_events(self, key_range: KeyRange, revision: int, events: Iterable[StoreEvent]) -> None:
         """Apply the events of a watched range up to a revision."""
         for event in events:
             if event.deleted:
                 self._remove(event.kv.key)
             else:
                 self._put(event.kv)
-        self.known_revisions[part] = max(self.known_revisions.get(part, 0), revision)
+        self.known_revisions[key_range] = max(self.known_revisions.get(key_range, 0), revision)
         self.changed.set()
 
-    def drop_range(self, part: KeyRange) -> None:
+    def drop_range(self, key_range: KeyRange) -> None:
         """Remove a range that is no longer watched."""
-        self.load_snapshot(part, 0, ())
-        del self.known_revisions[part]
+        self.load_snapshot(key_range, 0, ())
+        del self.known_revisions[key_range]
 
-    def retain_ranges(self, *parts: KeyRange) -> None:
+    def retain_ranges(self, *key_ranges: KeyRange) -> None:
         """Forget the known revisions of all other ranges; their entries remain until the next snapshot."""
-        self.known_revisions = {part: known for part, known in self.known_revisions.items() if part in parts}
+        self.known_revisions = {
+            key_range: known for key_range, known in self.known_revisions.items() if key_range in key_ranges
+        }
 
     def _put(self, kv: KeyValue) -> None:
         self.entries[kv.key] = kv
@@ -97,9 +103,11 @@
             try:
                 record = records.decode(entry.value, form)
             except RecordError as fault:
-                log.warning("coordination: %s can't be read: %s", key.decode("utf-8", "replace"), fault)
+                log.warning(
+                    "coordination: the record %s is invalid: %s", key.decode("utf-8", "replace"), fault
+                )
             known = self.decoded[key] = (entry.mod_revision, record)
-        return cast("R | None", known[1])  # a key's records have one type
+        return cast("R | None", known[1])  # all records of a key have the same type
 
     def _records_of_kind(self, kind: str, form: type[R]) -> Iterator[tuple[KeyValue, R]]:
         for key in sorted(self.keys_by_kind.get(kind, ())):
@@ -108,14 +116,14 @@
                 yield self.entries[key], record
 
     def records(self, *kind: str, form: type[R]) -> list[tuple[list[str], R]]:
-        """Return all records below a key prefix, each with the remaining parts of its key."""
-        found = []
+        """Return all records below a key prefix, each with the remaining segments of its key."""
+        matching = []
         for key in sorted(self.keys_by_kind.get(kind[0], ())):
-            parts = self.keys.split(key)
-            record = self.read(key, form) if parts[: len(kind)] == list(kind) else None
+            segments = self.keys.split(key)
+            record = self.read(key, form) if segments[: len(kind)] == list(kind) else None
             if record is not None:
-                found.append((parts[len(kind) :], record))
-        return found
+                matching.append((segments[len(kind) :], record))
+        return matching
 
     def members(self) -> list[tuple[KeyValue, MemberRecord]]:
         """Return the member records with their entries."""
@@ -135,8 +143,8 @@
 
     def successor(self, duty: str) -> str:
         """Return the designated successor of a duty, or an empty string."""
-        found = self.read(self.keys.successor(duty), SuccessorRecord)
-        return found.name if found is not None else ""
+        record = self.read(self.keys.successor(duty), SuccessorRecord)
+        return record.name if record is not None else ""
 
     def missing_members(self) -> list[KnownMemberRecord]:
         """Return the known members without a live process of their name."""
--- a/gladegw/control/store_client.py
+++ b/gladegw/control/store_client.py
@@ -1,7 +1,7 @@
 """Store client over the etcd v3 API by gRPC (etcd.io/docs, "API reference").
 
 Reads are linearizable unless `serializable` is set: they need a quorum of the store. Serializable reads may
-return an older state, which is enough for pages and reports.
+return an older state, which is enough for status pages and reports.
 """
 
 from __future__ import annotations
@@ -24,9 +24,15 @@
 
 log = logging.getLogger(__name__)
 
-# Faults of one endpoint or of its connection to the leader: another endpoint may answer, and the outcome of a
-# write is unknown. Any other status is the store's decision on the request.
-ELSEWHERE = (Status.UNAVAILABLE, Status.DEADLINE_EXCEEDED, Status.CANCELLED, Status.UNKNOWN, Status.INTERNAL)
+# Statuses caused by one endpoint or by its connection to the leader: another endpoint may answer, and the
+# outcome of a write is unknown. Any other status is the store's decision on the request.
+ENDPOINT_FAULTS = (
+    Status.UNAVAILABLE,
+    Status.DEADLINE_EXCEEDED,
+    Status.CANCELLED,
+    Status.UNKNOWN,
+    Status.INTERNAL,
+)
 
 T = TypeVar("T")
 
@@ -78,7 +84,7 @@
         other.endpoint_index = self.endpoint_index + 1
         return other
 
-    def _failed(self, channel: Channel) -> None:
+    def _on_endpoint_failure(self, channel: Channel) -> None:
         """Use the next endpoint, unless another call has already replaced the failed channel."""
         if channel is self.channel:
             self.use_next_endpoint()
@@ -97,21 +103,21 @@
             async with asyncio.timeout(self.timeout):
                 return await request(channel, self._metadata())
         except GRPCError as fault:
-            if fault.status in ELSEWHERE:
-                self._failed(channel)
+            if fault.status in ENDPOINT_FAULTS:
+                self._on_endpoint_failure(channel)
                 raise StoreUnreachableError(fault.message or fault.status.name.lower()) from None
             raise StoreRejectedError(fault.message or fault.status.name.lower()) from None
         except (OSError, ProtocolError, StreamTerminatedError, EOFError) as fault:
-            self._failed(channel)
-            why = " ".join(str(fault).split()) or type(fault).__name__
+            self._on_endpoint_failure(channel)
+            reason = " ".join(str(fault).split()) or type(fault).__name__
             raise StoreUnreachableError(
-                "no answer in time" if isinstance(fault, TimeoutError) else why
+                "no answer in time" if isinstance(fault, TimeoutError) else reason
             ) from None
         except StoreClientError:
             raise
         except Exception as fault:  # the response does not follow the protocol
-            self._failed(channel)
-            raise StoreUnreachableError(f"rubbish: {type(fault).__name__}") from None
+            self._on_endpoint_failure(channel)
+            raise StoreUnreachableError(f"malformed response: {type(fault).__name__}") from None
 
     async def txn(self, txn: Txn) -> TxnResult:
         """Execute a transaction."""
@@ -119,8 +125,8 @@
         reply = await self._call(
             lambda channel, metadata: services.KVStub(channel).Txn(message, metadata=metadata)
         )
-        found = tuple(store_messages.key_values_in(part) for part in reply.responses)
-        return TxnResult(reply.header.revision, reply.succeeded, found)
+        entries = tuple(store_messages.key_values_in(part) for part in reply.responses)
+        return TxnResult(reply.header.revision, reply.succeeded, entries)
 
     async def do(self, *operations: Operation) -> TxnResult:
         """Execute operations unconditionally in one transaction."""
@@ -172,7 +178,7 @@
                 await stream.send_message(pb.LeaseKeepAliveRequest(ID=id), end=True)
                 reply = await stream.recv_message()
                 if reply is None:
-                    raise StoreUnreachableError("a renewal was not answered")
+                    raise StoreUnreachableError("the lease renewal was not answered")
                 return int(reply.TTL)
 
         return await self._call(request)
@@ -217,25 +223,25 @@
                             reply = await stream.recv_message()
                     except TimeoutError:
                         if progress_requested:
-                            self._failed(channel)
-                            raise WatchLostError("it fell silent") from None
+                            self._on_endpoint_failure(channel)
+                            raise WatchLostError("no response, although progress was requested") from None
                         progress_requested = True
                         progress = pb.WatchProgressRequest()
                         await stream.send_message(pb.WatchRequest(progress_request=progress))
                         continue
                     progress_requested = False
                     if reply is None:
-                        self._failed(channel)
-                        raise WatchLostError("it ended")
+                        self._on_endpoint_failure(channel)
+                        raise WatchLostError("the store closed the watch")
                     if reply.canceled:
-                        why = reply.cancel_reason or "it was cancelled"
-                        raise WatchLostError(why, bool(reply.compact_revision))
+                        reason = reply.cancel_reason or "the store cancelled the watch"
+                        raise WatchLostError(reason, bool(reply.compact_revision))
                     pending += [store_messages.event(event) for event in reply.events]
                     if reply.fragment or reply.created:
                         continue
                     complete, pending = pending, []
                     yield reply.header.revision, complete
         except (GRPCError, OSError, ProtocolError, StreamTerminatedError) as fault:
-            self._failed(channel)
-            why = (fault.message or "") if isinstance(fault, GRPCError) else " ".join(str(fault).split())
-            raise WatchLostError(why or type(fault).__name__) from None
+            self._on_endpoint_failure(channel)
+            reason = (fault.message or "") if isinstance(fault, GRPCError) else " ".join(str(fault).split())
+            raise WatchLostError(reason or type(fault).__name__) from None
--- a/gladegw/control/store_messages.py
+++ b/gladegw/control/store_messages.py
@@ -1,6 +1,6 @@
 """Conversion between the store's operations and messages of the etcd v3 API.
 
-The client and the stand-in server share it.
+Both the client and the test rig's store server use it.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
     Target.MOD,
     Target.VALUE,
     Target.LEASE,
-]  # indexed by the number in the protocol
-RELATIONS = ["=", ">", "<", "!="]
+]  # indexed by the number of the target in the protocol
+RELATIONS = ["=", ">", "<", "!="]  # indexed by the number of the result in the protocol
 
 
 def key_value(kv: Any) -> KeyValue:
@@ -41,8 +41,10 @@
 def operation_message(operation: Operation) -> Any:
     """Build the message of an operation."""
     if isinstance(operation, Get):
-        asked = pb.RangeRequest(key=operation.key, range_end=operation.end, revision=operation.revision)
-        return pb.RequestOp(request_range=asked)
+        range_request = pb.RangeRequest(
+            key=operation.key, range_end=operation.end, revision=operation.revision
+        )
+        return pb.RequestOp(request_range=range_request)
     if isinstance(operation, Put):
         put = pb.PutRequest(key=operation.key, value=operation.value, lease=operation.lease)
         return pb.RequestOp(request_put=put)
@@ -89,8 +91,8 @@
     """
     kind = message.WhichOneof("request")
     if kind == "request_range":
-        asked = message.request_range
-        return Get(asked.key, asked.range_end, asked.revision)
+        range_request = message.request_range
+        return Get(range_request.key, range_request.range_end, range_request.revision)
     if kind == "request_put":
         put = message.request_put
         if put.ignore_value or put.ignore_lease:
--- a/gladegw/control/store_options.py
+++ b/gladegw/control/store_options.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-LOG_INTERVAL_S = 10.0  # between two lines about the same kind of fault
+LOG_INTERVAL_S = 10.0  # shortest time between two log lines about the same kind of fault
 
 
 @dataclass(frozen=True, slots=True)
--- a/gladegw/control/store_watcher.py
+++ b/gladegw/control/store_watcher.py
@@ -18,15 +18,15 @@
 from gladegw.control.store_client import StoreClient
 from gladegw.coordination.store import Get, StoreEvent
 
-MAX_RANKED_MEMBERS = 64  # members up to which each watches all
-MAX_WATCHED_MEMBERS = 2 * MAX_RANKED_MEMBERS  # hysteresis: members above which watching all ends
-RECOUNT_INTERVAL_S = 30.0  # between counts of the members where they are not all watched
+MAX_RANKED_MEMBERS = 64  # fleet size up to which each member watches all member records
+MAX_WATCHED_MEMBERS = 2 * MAX_RANKED_MEMBERS  # hysteresis: fleet size above which it stops watching them
+RECOUNT_INTERVAL_S = 30.0  # longest time between two counts of the members while they are not all watched
 
 
 class StoreWatcher:
     """Keeps one key range of the cache current.
 
-    A watch counts as lost after `silence` seconds without a response, although progress was requested.
+    The watch counts as lost after `silence` seconds without a response, although progress was requested.
     """
 
     def __init__(
@@ -46,21 +46,23 @@
         """Read and watch the range until cancelled; faults are logged and retried."""
         while True:
             try:
-                # Linearizable, as claims depend on it.
-                revision, found = await self.client.get(Get(*self.key_range))
-                self.cache.load_snapshot(self.key_range, revision, found)
+                # Linearizable, because claims of duties depend on it.
+                revision, entries = await self.client.get(Get(*self.key_range))
+                self.cache.load_snapshot(self.key_range, revision, entries)
                 self.backoff.reset()
                 self.on_change(None)
-                async for now, events in self.client.watch(*self.key_range, revision + 1, self.silence):
-                    self.cache.apply_events(self.key_range, now, events)
+                async for watched_revision, events in self.client.watch(
+                    *self.key_range, revision + 1, self.silence
+                ):
+                    self.cache.apply_events(self.key_range, watched_revision, events)
                     if events:
                         self.on_change(events)
             except StoreRejectedError as fault:
-                self.log_fault(f"the store refuses: {fault}")
+                self.log_fault(f"the store rejected the request: {fault}")
                 await asyncio.sleep(self.backoff.max_delay())
             except StoreClientError as fault:
                 if not isinstance(fault, WatchLostError):
-                    self.log_fault(f"the store is not reached: {fault}")
+                    self.log_fault(f"the store is unreachable: {fault}")
                 await asyncio.sleep(self.backoff.next_delay())
 
 
@@ -88,7 +90,7 @@
             host.cache.drop_range(host.keys.reported)
 
     async def wait_loaded(self) -> None:
-        """Wait until the range has been read since it was requested."""
+        """Wait until the range has been read after the watch was started."""
         await self.loaded.wait()
 
     def stop(self) -> None:
@@ -102,16 +104,16 @@
 class LiveWatch:
     """Watch of the live keys (`live/`).
 
-    All of them are watched in a small fleet and while a duty is held, else only the duty holders and the
-    policy: watching all member records at all members grows with the square of the fleet, and a member
-    without duties needs only their number.
+    A member watches all live keys in a small fleet and while it holds a duty, otherwise only the duty holders
+    and the policy: if each member watched all member records, the load would grow with the square of the
+    fleet, and a member without duties needs only their number.
     """
 
     def __init__(self, host: WatchHost, on_change: OnChange) -> None:
         self.host, self.on_change = host, on_change
         self.held_duties: set[str] = set()
         self.member_count = 0
-        self.complete = asyncio.Event()  # set while the whole range is known and watched
+        self.complete = asyncio.Event()  # set while all live keys are known and watched
         self.resize_needed = asyncio.Event()
         self.watches_all = False
         self.tasks: list[asyncio.Task[None]] = []
@@ -125,9 +127,11 @@
         return [keys.claims] if self.host.participant is None else [keys.claims, keys.policy]
 
     @property
-    def informed(self) -> bool:
+    def ranges_known(self) -> bool:
         """Whether all watched ranges, on which claims depend, are known."""
-        return bool(self.tasks) and all(self.host.cache.known_revision(part) for part in self.key_ranges)
+        return bool(self.tasks) and all(
+            self.host.cache.known_revision(key_range) for key_range in self.key_ranges
+        )
 
     @property
     def members(self) -> int:
@@ -139,7 +143,7 @@
         )
 
     def want(self, duty: str, held: bool) -> None:
-        """Record whether a duty is held and reconsider the watched ranges."""
+        """Record whether a duty is held, and have `run` select the watched ranges again."""
         if held:
             self.held_duties.add(duty)
         else:
@@ -158,31 +162,32 @@
                         self.member_count = await host.client.count(*host.keys.members)
                     backoff.reset()
                 except StoreClientError as fault:
-                    host.log_fault(f"the store is not reached: {fault}")
+                    host.log_fault(f"the store is unreachable: {fault}")
                     await asyncio.sleep(backoff.next_delay())
-                    if not self.tasks:  # size unknown: treat the fleet as small
+                    if not self.tasks:  # the fleet's size is unknown: treat it as small
                         self._start(True)
                     continue
-                most = MAX_WATCHED_MEMBERS if self.watches_all else MAX_RANKED_MEMBERS
+                size_limit = MAX_WATCHED_MEMBERS if self.watches_all else MAX_RANKED_MEMBERS
                 self.member_count = self.members
-                self._start(bool(self.held_duties) or self.member_count <= most)
+                self._start(bool(self.held_duties) or self.member_count <= size_limit)
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(RECOUNT_INTERVAL_S * host.random.uniform(0.7, 1.0)):
                         await self.resize_needed.wait()
         finally:
             self._stop()
 
-    def _start(self, wide: bool) -> None:
-        if self.tasks and wide is self.watches_all:
+    def _start(self, watch_all: bool) -> None:
+        if self.tasks and watch_all is self.watches_all:
             return
         self._stop()
-        self.watches_all = wide
+        self.watches_all = watch_all
         host = self.host
-        if not wide:
+        if not watch_all:
             host.cache.load_snapshot(host.keys.members, 0, ())
         host.cache.retain_ranges(*self.key_ranges, host.keys.reported)
         self.tasks = [
-            host.loop.create_task(host.watcher_of(part, self._on_update).run()) for part in self.key_ranges
+            host.loop.create_task(host.watcher_of(key_range, self._on_update).run())
+            for key_range in self.key_ranges
         ]
 
     def _on_update(self, events: list[StoreEvent] | None) -> None:
@@ -190,7 +195,7 @@
             self.complete.set()
         if self.watches_all and not self.held_duties and self.members > MAX_WATCHED_MEMBERS:
             self.resize_needed.set()
-        if self.informed:
+        if self.ranges_known:
             self.on_change(events)
 
     def _stop(self) -> None:
--- a/gladegw/control/supervisor_client.py
+++ b/gladegw/control/supervisor_client.py
@@ -30,8 +30,8 @@
 class SupervisorClient:
     """Connection of one supervisor to the store.
 
-    `order` is the latest version order and `status` returns the record to publish. `watch` and `publish` run
-    as one task each; faults of the store do not affect the supervised processes.
+    `order` is the latest version order and `status` returns the record to publish. `watch` and `publish`
+    each run as one task. Faults of the store do not affect the supervised processes.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
             log.warning("supervise: %s", " ".join(message.split()))
 
     def on_update(self, events: object) -> None:
-        """Apply the program record and the heartbeat to the order."""
+        """Update the version order from the program record and the controller's heartbeat."""
         program = self.cache.read(self.keys.program, ProgramRecord)
         heartbeat = self.cache.entries.get(self.keys.rollout_heartbeat)
         if program is not None:
@@ -84,7 +84,7 @@
         await watcher.run()
 
     async def publish(self) -> None:
-        """Publish the status record at each change, under a lease that is replaced when it expires."""
+        """Publish the status record at each change, under a lease that is replaced after it expires."""
         backoff, lease, due = Backoff(self.random), 0, 0.0
         last: SupervisorRecord | None = None
         while True:
@@ -104,7 +104,7 @@
             except StoreClientError as fault:
                 if isinstance(fault, StoreRejectedError):
                     lease = 0
-                self.log_fault(f"the store is not reached: {fault}")
+                self.log_fault(f"the store is unreachable: {fault}")
                 last = None
                 await asyncio.sleep(backoff.next_delay())
 
--- a/tests/control/test_fleet.py
+++ b/tests/control/test_fleet.py
@@ -112,7 +112,7 @@
             while time.monotonic() < end:
                 number += 1
                 assert await served(node, str(number))
-            assert await node.line("holds digest no more")
+            assert await node.line("no longer holds duty digest")
             for member in (0, 1):
                 await at.order("up", member=member)
             after = await at.duties(lambda now: all_held(now) and now != before)
--- a/tests/control/test_fleet_hard.py
+++ b/tests/control/test_fleet_hard.py
@@ -81,7 +81,7 @@
             await at.members(lambda found: [one["state"] for one in found] == ["ready"])
             await at.order("full", size=1)
             assert (await node.operator("LAMEDUCK")).startswith("SUCCESS")
-            assert await node.line("WARNING", "the store refuses the member's record")
+            assert await node.line("WARNING", "the store rejected the member's record")
             await at.order("full", size=1 << 30)
             await at.members(lambda found: [one["state"] for one in found] == ["lame"])
 
@@ -101,7 +101,7 @@
                 for member in (0, 1):
                     await at.order(stopped, member=member)
                 holder = first if before["digest"][0] == "p1" else second
-                assert await holder.line("holds digest no more")
+                assert await holder.line("no longer holds duty digest")
                 for number in range(40):
                     assert await served(first, f"a{number}") and await served(second, f"b{number}")
                 for member in (0, 1):
--- a/tests/control/test_fleet_steps.py
+++ b/tests/control/test_fleet_steps.py
@@ -57,13 +57,13 @@
             elif step == "claim unanswered":  # the store has it, and nobody has been told that
                 await at.duties(held_by("p1"))
             else:
-                assert await first.line("holds digest, token")
+                assert await first.line("coordination: holds duty digest, token")
             if step.startswith("hand-over"):
                 held = await at.duties(held_by("p1"))
                 (link.there if step == "hand-over unsent" else link.back).hold()
                 first.process.send_signal(signal.SIGTERM)
                 if step == "hand-over unsent":
-                    assert await first.line("holds digest no more")
+                    assert await first.line("no longer holds duty digest")
                 else:
                     await at.duties(lambda now: all(holder != "p1" for holder, _ in now.values()))
                 assert first.process.returncode is None
@@ -102,7 +102,7 @@
                 assert (await first.operator("LAMEDUCK")).startswith("SUCCESS")
             else:
                 first.process.send_signal(signal.SIGTERM)
-            assert await first.line("holds digest no more")
+            assert await first.line("no longer holds duty digest")
             first.process.send_signal(signal.SIGTERM)
             link.heal()
             assert await first.code() == 0
--- a/tests/rig/test_scenario_store.py
+++ b/tests/rig/test_scenario_store.py
@@ -82,7 +82,8 @@
     verdict = judge_folder(folder)
     assert verdict.breaches == () and verdict.requests > 100
     log = "".join(file.read_text() for file in folder.glob("proxies/*/log"))
-    assert "holds digest," in log and "holds digest no more" in log  # the cut ended it
+    # the cut ended it
+    assert "coordination: holds duty digest," in log and "no longer holds duty digest" in log
     record = read(folder / RECORD)
     put = next(op for op in record if op.kind == "write" and op.answered and op.value)
     after = max(op.end for op in record if op.answered) + 1
