--- a/tests/control/test_leader_election.py
+++ b/tests/control/test_leader_election.py
@@ -1,4 +1,4 @@
-"""A duty's steps while they fail, on a clock that jumps."""
+"""Failing steps of a duty, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -20,17 +20,18 @@
 @pytest.mark.parametrize(
     "fault", [StoreUnreachableError("gone"), NotHolderError("fails"), ValueError("planted")]
 )
-def test_a_step_that_fails_at_once_is_not_made_again_at_once(fault: Exception) -> None:
-    """Found by a simulated course: a holder at the very end of its bound asked on, and no time passed."""
-    steps: list[float] = []
+def test_a_failing_step_is_repeated_only_after_a_delay(fault: Exception) -> None:
+    """A holder whose lease was about to expire repeated its failing step without a delay. On a virtual clock
+    such a loop never ends, because no time passes."""
+    step_times: list[float] = []
 
-    class Fails(DutyWork):
+    class FailingWork(DutyWork):
         name = "fails"
         period = 0.0
 
         async def step(self, holding: DutyContext) -> None:
-            steps.append(asyncio.get_running_loop().time())
-            if len(steps) > 100:
+            step_times.append(asyncio.get_running_loop().time())
+            if len(step_times) > 100:
                 raise asyncio.CancelledError
             raise fault
 
@@ -41,12 +42,12 @@
         member = SimpleNamespace(
             keys=keys, cache=StoreCache(keys), log_fault=lambda text: None, live_watch=live
         )
-        keeper = LeaderElection(cast(Any, member), Fails(), lambda name, token, begun: None)
-        keeper.duty = Duty(Phase.HELD, 7)
-        working = asyncio.create_task(keeper._run_work(7))
+        election = LeaderElection(cast(Any, member), FailingWork(), lambda name, token, begun: None)
+        election.duty = Duty(Phase.HELD, 7)
+        working = asyncio.create_task(election._run_work(7))
         await asyncio.sleep(1.0 + RETRY_INTERVAL_S / 2)
         working.cancel()
 
     with virtual(1) as loop:
         loop.run_until_complete(run())
-    assert len(steps) == 1 + round(1.0 / RETRY_INTERVAL_S)
+    assert len(step_times) == 1 + round(1.0 / RETRY_INTERVAL_S)
--- a/tests/control/test_program_rollouts.py
+++ b/tests/control/test_program_rollouts.py
@@ -13,7 +13,7 @@
 
 import msgspec
 import pytest
-from support.fleet import PREFIX, Conducted, Store, store
+from support.fleet import PREFIX, RolloutCommands, Store, store
 from support.loopback import PATIENCE, run
 
 from gladegw.control import fleet_status
@@ -38,7 +38,7 @@
 ROUTES = 'pool "all" {\n  names = ["*"]\n}\nroute "all" {\n  prefix = "/"\n  pool = "all"\n}\n'
 
 
-class Site(Conducted):
+class Site(RolloutCommands):
     def __init__(self, at: Store, folder: Path, running: list[Supervised], settings: Path) -> None:
         self.at, self.folder, self.settings = at, folder, settings
         self.by_name = {one.name: one for one in running}
--- a/tests/control/test_rollout_sockets.py
+++ b/tests/control/test_rollout_sockets.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from support.fleet import Conducted, store
+from support.fleet import RolloutCommands, store
 from support.loopback import PATIENCE, ROOT, Proxy, run
 from support.policy_site import Site
 
@@ -36,7 +36,7 @@
 )
 
 
-class Rolled(Conducted, Site):
+class Rolled(RolloutCommands, Site):
     loads: list[asyncio.Task[None]]
 
     def block(self, deadline: int, endpoints: list[str] | None = None) -> str:
--- a/tests/control/test_store_clients.py
+++ b/tests/control/test_store_clients.py
@@ -1,4 +1,4 @@
-"""The stand-in store, asked by clients that others wrote, each in a process of its own."""
+"""The test rig's store, used by third-party etcd clients, each in a process of its own."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from support.fleet import store
 from support.loopback import run
 
-AETCD = """
+AETCD_SCRIPT = """
 import asyncio, sys, aetcd
 async def main(port):
     async with aetcd.Client(host="127.0.0.1", port=port) as client:
@@ -36,7 +36,7 @@
 asyncio.run(main(int(sys.argv[1])))
 """
 
-SDK = """
+ETCD_SDK_SCRIPT = """
 import sys, pyetcd
 client = pyetcd.client(host="127.0.0.1", port=int(sys.argv[1]))
 client.put("/a", "1")
@@ -60,14 +60,14 @@
 """
 
 
-@pytest.mark.parametrize("code", [AETCD, SDK], ids=["aetcd", "etcd-sdk-python"])
-def test_another_client_works_against_the_stand_in(code: str) -> None:
+@pytest.mark.parametrize("code", [AETCD_SCRIPT, ETCD_SDK_SCRIPT], ids=["aetcd", "etcd-sdk-python"])
+def test_third_party_clients_work_with_the_store_of_the_rig(code: str) -> None:
     async def test() -> None:
-        async with store(1) as at:
-            port = at.endpoints[0].rpartition(":")[2]
-            found = await asyncio.to_thread(
+        async with store(1) as cluster:
+            port = cluster.endpoints[0].rpartition(":")[2]
+            completed = await asyncio.to_thread(
                 subprocess.run, (sys.executable, "-c", code, port), capture_output=True, text=True, timeout=30
             )
-            assert found.stdout == "ok\n", found.stderr
+            assert completed.stdout == "ok\n", completed.stderr
 
     run(test())
--- a/tests/supervisor/test_mixed_versions.py
+++ b/tests/supervisor/test_mixed_versions.py
@@ -101,7 +101,7 @@
             block = at.block()
             async with proxy({"s-1": Backend()}, features=block, name="p1", program=programs[0]) as first:
                 before = await at.duties(held_by("p1"))
-                await at.digested(before["digest"][1])
+                await at.wait_for_digest(before["digest"][1])
                 async with proxy(
                     {"s-1": Backend()}, features=block, name="p2", program=programs[1]
                 ) as second:
@@ -111,7 +111,7 @@
                     first.process.terminate()
                     after = await at.duties(held_by("p2"))
                     assert all(after[name][1] > before[name][1] for name in before)
-                    await at.digested(after["digest"][1])
+                    await at.wait_for_digest(after["digest"][1])
                     assert all_held(await at.duties(held_by("p2")))
 
     run(test())
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -1,4 +1,4 @@
-"""A stand-in store as a process, and what a fleet before it says of itself."""
+"""The test rig's store as a process, and helpers that read the state of a fleet from it."""
 
 from __future__ import annotations
 
@@ -25,23 +25,28 @@
 
 PREFIX = "/malabar"
 TTL = 1  # s
-STATUS_INTERVAL_S = 0.2  # between two `gladegw rollout status`, each of which is a new process
+STATUS_INTERVAL_S = 0.2  # between two runs of `gladegw rollout status`, each of which starts a process
 
 
 class Store:
+    """The rig's store process and a client of it; `child` reads commands from its standard input."""
+
     def __init__(self, child: asyncio.subprocess.Process, endpoints: list[str]) -> None:
         self.child, self.endpoints = child, endpoints
-        self.client = StoreClient([("127.0.0.1", int(at.rpartition(":")[2])) for at in endpoints], 1.0)
+        self.client = StoreClient(
+            [("127.0.0.1", int(endpoint.rpartition(":")[2])) for endpoint in endpoints], 1.0
+        )
 
     def block(self, endpoints: list[str] | None = None, **more: Any) -> str:
-        """The settings file's."""
-        named = ", ".join(f'"{at}"' for at in endpoints or self.endpoints)
+        """Return the coordination block of a settings file."""
+        quoted = ", ".join(f'"{endpoint}"' for endpoint in endpoints or self.endpoints)
         settings = {"ttl_s": TTL, "timeout_ms": 500, **more}
         lines = [f"  {key} = {value}" for key, value in settings.items()]
-        first = ["coordination {", f"  endpoints = [{named}]", f'  prefix = "{PREFIX}"']
-        return "\n".join([*first, *lines, "}\n"])
+        header = ["coordination {", f"  endpoints = [{quoted}]", f'  prefix = "{PREFIX}"']
+        return "\n".join([*header, *lines, "}\n"])
 
     async def order(self, do: str, **more: Any) -> str:
+        """Send a command to the store process and return its answer."""
         assert self.child.stdin is not None and self.child.stdout is not None
         self.child.stdin.write(msgspec.json.encode({"do": do, **more}) + b"\n")
         async with asyncio.timeout(PATIENCE):
@@ -50,6 +55,7 @@
         return answer
 
     async def view(self) -> Any:
+        """Read the fleet's records; a failed read is repeated."""
         async with asyncio.timeout(PATIENCE):
             while True:
                 with contextlib.suppress(StoreClientError):
@@ -57,61 +63,63 @@
                 await asyncio.sleep(0.02)
 
     async def members(self, wanted: Callable[[list[dict[str, Any]]], bool]) -> list[dict[str, Any]]:
-        found: list[dict[str, Any]] = await self._until(fleet_status.members, wanted)
-        return found
+        """Return the members once they are as wanted."""
+        members: list[dict[str, Any]] = await self._wait_for(fleet_status.members, wanted)
+        return members
 
     async def duties(self, wanted: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
-        """Holder and token by duty, once they are as wanted."""
+        """Return the holder and token of each duty once they are as wanted."""
 
-        def told(view: Any) -> dict[str, Any]:
+        def holders(view: Any) -> dict[str, Any]:
             return {duty["name"]: (duty["holder"], duty["token"]) for duty in fleet_status.duties(view)}
 
-        found: dict[str, Any] = await self._until(told, wanted)
-        return found
+        duties: dict[str, Any] = await self._wait_for(holders, wanted)
+        return duties
 
-    async def digested(self, token: int) -> None:
-        """Until the holder of `digest` under this token has written."""
+    async def wait_for_digest(self, token: int) -> None:
+        """Wait until the holder of the duty `digest` has written with this token or a later one."""
 
-        def told(view: Any) -> int:
-            found = view.read(view.keys.fleet_record("digest"), FleetSummaryRecord)
-            return found.token if found is not None else 0
+        def summary_token(view: Any) -> int:
+            summary = view.read(view.keys.fleet_record("digest"), FleetSummaryRecord)
+            return summary.token if summary is not None else 0
 
-        await self._until(told, lambda newest: bool(newest >= token))
+        await self._wait_for(summary_token, lambda newest: bool(newest >= token))
 
-    async def _until(self, told: Callable[[Any], Any], wanted: Callable[[Any], bool]) -> Any:
-        end = time.monotonic() + PATIENCE
+    async def _wait_for(self, extract: Callable[[Any], Any], wanted: Callable[[Any], bool]) -> Any:
+        deadline = time.monotonic() + PATIENCE
         while True:
-            found = told(await self.view())
-            if wanted(found):
-                return found
-            assert time.monotonic() < end, found
+            state = extract(await self.view())
+            if wanted(state):
+                return state
+            assert time.monotonic() < deadline, state
             await asyncio.sleep(0.01)
 
     async def tokens(self) -> list[int]:
-        """Of all effects of the duty `digest` that the store accepted, in their order."""
+        """Return the tokens of all writes of the duty `digest` that the store accepted, in their order."""
         revision, _ = await self.client.get(Get(b"x"))
-        found: list[tuple[int, int]] = []
-        for at in range(2, revision + 1):
-            _, kvs = await self.client.get(Get(f"{PREFIX}/told/fleet/digest".encode(), b"", at))
+        writes: list[tuple[int, int]] = []
+        for read_revision in range(2, revision + 1):
+            _, kvs = await self.client.get(Get(f"{PREFIX}/told/fleet/digest".encode(), b"", read_revision))
             for kv in kvs:
                 with contextlib.suppress(RecordError):
-                    found.append((kv.mod_revision, decode(kv.value, FleetSummaryRecord).token))
-        return [token for _, token in sorted(set(found))]
+                    writes.append((kv.mod_revision, decode(kv.value, FleetSummaryRecord).token))
+        return [token for _, token in sorted(set(writes))]
 
 
 @contextlib.asynccontextmanager
 async def store(members: int = 3, *more: str) -> AsyncIterator[Store]:
+    """Run the rig's store with this number of members; `more` are further command-line words."""
     child, endpoints = await launch(members, *more)
     try:
-        found = Store(child, endpoints)
-        yield found
-        found.client.close()
+        running = Store(child, endpoints)
+        yield running
+        running.client.close()
     finally:
         await process.end(child)
 
 
-class Conducted:
-    """A folder with settings, and `gladegw rollout` before them."""
+class RolloutCommands:
+    """Runs `gladegw rollout` with the settings file of a folder."""
 
     folder: Path
     settings: Path
@@ -123,7 +131,7 @@
         return str(file)
 
     def _rollout(self, *words: str) -> tuple[int, Any]:
-        told = subprocess.run(
+        completed = subprocess.run(
             (sys.executable, "-m", "gladegw", "rollout", *words, "-f", str(self.settings), "--json"),
             cwd=ROOT,
             capture_output=True,
@@ -131,27 +139,31 @@
             timeout=150,
             check=False,
         )
-        assert told.stdout, told.stderr
-        return told.returncode, json.loads(told.stdout)
+        assert completed.stdout, completed.stderr
+        return completed.returncode, json.loads(completed.stdout)
 
     async def rollout(self, *words: str) -> tuple[int, Any]:
+        """Run a subcommand of `gladegw rollout`; return its exit code and its JSON output."""
         return await asyncio.to_thread(self._rollout, *words)
 
     async def until(self, wanted: Any, patience: float = 3 * PATIENCE) -> Any:
-        end = time.monotonic() + patience
+        """Return the rollout's status once it is as wanted."""
+        deadline = time.monotonic() + patience
         while True:
-            _, found = await self.rollout("status")
-            if wanted(found):
-                return found
-            assert time.monotonic() < end, found
+            _, status = await self.rollout("status")
+            if wanted(status):
+                return status
+            assert time.monotonic() < deadline, status
             await asyncio.sleep(STATUS_INTERVAL_S)
 
 
 def held_by(name: str) -> Callable[[dict[str, Any]], bool]:
+    """Return a predicate: whether the member holds all duties."""
     return lambda duties: bool(duties) and all(holder == name for holder, _ in duties.values())
 
 
 def all_held(duties: dict[str, Any]) -> bool:
+    """Whether each of the three duties has a holder."""
     return len(duties) == 3 and all(holder for holder, _ in duties.values())
 
 
@@ -162,6 +174,7 @@
 
 
 async def served(node: Proxy, id: str) -> bool:
+    """Whether the proxy answers a request with status 200."""
     caller = await node.caller()
     try:
         return (await caller.call("stock", id.rjust(16, "0"))).code == 200
