--- a/tests/supervisor/test_mixed_versions.py
+++ b/tests/supervisor/test_mixed_versions.py
@@ -103,7 +103,7 @@
             block = fleet_store.block()
             async with proxy({"s-1": Backend()}, features=block, name="p1", program=programs[0]) as first:
                 before = await fleet_store.duties(held_by("p1"))
-                await fleet_store.digested(before["digest"][1])
+                await fleet_store.wait_for_digest(before["digest"][1])
                 async with proxy(
                     {"s-1": Backend()}, features=block, name="p2", program=programs[1]
                 ) as second:
@@ -115,7 +115,7 @@
                     first.process.terminate()
                     after = await fleet_store.duties(held_by("p2"))
                     assert all(after[name][1] > before[name][1] for name in before)
-                    await fleet_store.digested(after["digest"][1])
+                    await fleet_store.wait_for_digest(after["digest"][1])
                     assert all_held(await fleet_store.duties(held_by("p2")))
 
     run(test())
