--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -2,7 +2,7 @@
 
     python benchmarks/routing.py [--json]
 
-Prints one line a size. The figures in docs/routing.md come from it.
+Prints one line per kind and number of routes. The figures in docs/routing.md come from it.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 from gladegw.apps.write import file_of
 from gladegw.routing.checks import check_table
 from gladegw.routing.matcher import Table
-from gladegw.routing.model import Ask
+from gladegw.routing.model import RequestView
 from gladegw.routing.read import read_text
 
 SIZES = (10, 500, 5000)
 HOSTS, AREAS = 50, 40
-ASKS, ROUNDS = 2000, 7
+REQUESTS, ROUNDS = 2000, 7
 APPS, ROUTES = 200, 25
 
 
 def table_text(routes: int, kind: str) -> str:
-    """Routes by host and prefix; `header` and `regex` are what the last part of their names says."""
+    """Routes by host and prefix. Kind `header` adds a header matcher, kind `regex` replaces the prefix."""
     out = ['pool "p" {}']
     for number in range(routes):
         host = f'  host = "s{number % HOSTS}.example"\n' if number % 2 else ""
@@ -46,44 +46,44 @@
 
 def lookups(routes: int, kind: str) -> dict[str, Any]:
     text = table_text(routes, kind)
-    begun = time.perf_counter()
+    started = time.perf_counter()
     description = read_text(text, "routes.hcl")
-    read = time.perf_counter()
+    read_done = time.perf_counter()
     tracemalloc.start()
     table = Table(description)
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    before = time.perf_counter()
+    check_started = time.perf_counter()
     findings = check_table(table)
-    checked = time.perf_counter()
-    draws = random.Random(1)
+    check_done = time.perf_counter()
+    random_source = random.Random(1)
     headers = [(b"host", b"s"), (b"x-side", b"south"), (b"x-caller", b"dash")]
-    asks = []
-    for _ in range(ASKS):
-        number = draws.randrange(routes)
+    requests = []
+    for _ in range(REQUESTS):
+        number = random_source.randrange(routes)
         target = f"/app{number % AREAS}/area{number}/12/x?y=1"
-        asks.append(Ask("GET", target, f"s{number % HOSTS}.example:8080", headers, 500.0))
-    assert all(table.find(ask) for ask in asks) and not findings
-    best = float("inf")
+        requests.append(RequestView("GET", target, f"s{number % HOSTS}.example:8080", headers, 500.0))
+    assert all(table.find(request) for request in requests) and not findings
+    best_lookup = float("inf")
     for _ in range(ROUNDS):
         start = time.perf_counter()
-        for ask in asks:
-            table.find(ask)
-        best = min(best, (time.perf_counter() - start) / ASKS)
-    whole = float("inf")  # with making the request's view, as the front does
+        for request in requests:
+            table.find(request)
+        best_lookup = min(best_lookup, (time.perf_counter() - start) / REQUESTS)
+    best_request = float("inf")  # includes creating the RequestView, as the proxy does for each request
     for _ in range(ROUNDS):
         start = time.perf_counter()
-        for ask in asks:
-            table.find(Ask("GET", ask.path, ask.host, headers, 500.0))
-        whole = min(whole, (time.perf_counter() - start) / ASKS)
+        for request in requests:
+            table.find(RequestView("GET", request.path, request.host, headers, 500.0))
+        best_request = min(best_request, (time.perf_counter() - start) / REQUESTS)
     return {
         "kind": kind,
         "routes": routes,
-        "lookup_us": round(best * 1e6, 2),
-        "request_us": round(whole * 1e6, 2),
-        "lookups_per_s": round(1 / best),
-        "read_s": round(read - begun, 3),
-        "check_s": round(checked - before, 3),
+        "lookup_us": round(best_lookup * 1e6, 2),
+        "request_us": round(best_request * 1e6, 2),
+        "lookups_per_s": round(1 / best_lookup),
+        "read_s": round(read_done - started, 3),
+        "check_s": round(check_done - check_started, 3),
         "table_kb": memory // 1024,
     }
 
@@ -108,18 +108,18 @@
     start = time.perf_counter()
     findings: list[Any] = []
     landscape = read_texts(texts, findings)
-    read = time.perf_counter()
-    findings += [found for found in check(landscape) if found.code != "R302"]
-    checked = time.perf_counter()
+    read_done = time.perf_counter()
+    findings += [finding for finding in check(landscape) if finding.code != "R302"]
+    check_done = time.perf_counter()
     files = [file_of(app, sidecar(app, landscape)) for app in landscape.apps]
     end = time.perf_counter()
     assert not findings, findings[0]
     return {
         "apps": len(files),
         "routes": sum(1 for _ in landscape.routes()),
-        "read_s": round(read - start, 2),
-        "check_s": round(checked - read, 2),
-        "build_s": round(end - checked, 2),
+        "read_s": round(read_done - start, 2),
+        "check_s": round(check_done - read_done, 2),
+        "build_s": round(end - check_done, 2),
         "whole_s": round(end - start, 2),
         "kb": sum(len(text) for _, text in files) // 1024,
     }
@@ -128,13 +128,13 @@
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--json", action="store_true")
-    found = [lookups(routes, kind) for kind in ("prefix", "header", "regex") for routes in SIZES]
-    made = build()
+    lookup_rows = [lookups(routes, kind) for kind in ("prefix", "header", "regex") for routes in SIZES]
+    build_row = build()
     if parser.parse_args().json:
-        print(json.dumps({"lookups": found, "landscape": made}))
+        print(json.dumps({"lookups": lookup_rows, "landscape": build_row}))
         return
-    for one in [*found, made]:
-        print("  ".join(f"{key} {value}" for key, value in one.items()))
+    for row in [*lookup_rows, build_row]:
+        print("  ".join(f"{key} {value}" for key, value in row.items()))
 
 
 if __name__ == "__main__":
--- a/gladegw/apps/check.py
+++ b/gladegw/apps/check.py
@@ -12,7 +12,7 @@
 from gladegw.routing.matcher import Table
 from gladegw.routing.model import Description, Route
 from gladegw.routing.overlap import overlaps
-from gladegw.routing.read import check_references, circles
+from gladegw.routing.read import check_references, find_cycles
 
 
 def check(landscape: Landscape) -> list[Finding]:
@@ -111,7 +111,7 @@
     """What multiplies or runs out along the calls from one application to the next."""
     apps = {app.name: app for app in landscape.apps}
     edges = {app.name: app.calls for app in landscape.apps}
-    found = circles(edges)
+    found = find_cycles(edges)
     for circle in found:
         app = apps[circle[0]]
         what = "applications call each other in a circle: " + " -> ".join((*circle, circle[0]))
--- a/gladegw/apps/sidecar.py
+++ b/gladegw/apps/sidecar.py
@@ -11,7 +11,7 @@
 from gladegw.routing.checks import classes_of
 from gladegw.routing.expect import outcome
 from gladegw.routing.matcher import Table, refusals
-from gladegw.routing.model import Ask, Description, Match, Pool, Route
+from gladegw.routing.model import Description, Match, Pool, RequestView, Route
 
 MOST_MOVED = 50  # examples of requests that a change moves
 
@@ -122,7 +122,7 @@
     why_not: tuple[tuple[str, str, int, tuple[str, ...]], ...]  # route, file, line, reasons
 
 
-def explain(description: Description, ask: Ask) -> Explained:
+def explain(description: Description, ask: RequestView) -> Explained:
     table = Table(description)
     won = table.find(ask)
     others: dict[str, tuple[str, str, int, tuple[str, ...]]] = {}
@@ -136,7 +136,7 @@
     return Explained(outcome(route), str(route) if route is not None else "", tuple(others.values()))
 
 
-def asked(text: str) -> Ask:
+def asked(text: str) -> RequestView:
     """`METHOD TARGET name:value ...`; host, budget_ms and source are names too. Raises ValueError."""
     parts = text.split()
     if len(parts) < 2 or not parts[1].startswith("/"):
@@ -154,6 +154,6 @@
         for name, value in values.items()
         if name != "host"
     ]
-    return Ask(
+    return RequestView(
         parts[0].upper(), parts[1], values.get("host", ""), raw, budget, values.get("x-caller", ""), source
     )
--- a/gladegw/net/request.py
+++ b/gladegw/net/request.py
@@ -12,7 +12,7 @@
 from gladegw.net.upload import RequestBody
 
 if TYPE_CHECKING:
-    from gladegw.routing.model import Ask, Route
+    from gladegw.routing.model import RequestView, Route
 
 BUDGET_PATTERN = re.compile(rb"(\d{1,15}(?:\.\d{1,9})?)([mu])")
 SCHEME_AND_HOST = re.compile(rb"^https?://[^/?#]*(?=/|$)", re.IGNORECASE)
@@ -34,7 +34,7 @@
     attempts: int  # maximum number; 0: as in the settings
     route: Route
     pool: str  # the preferred pool, before any fallback
-    ask: Ask
+    ask: RequestView
     generation: int  # of the route table
     recorded_headers: tuple[str, ...]  # names of the headers that routes match, for capture records
     table: Any = None  # the pools for this request, also after a newer route table is in use
--- a/gladegw/net/route_actions.py
+++ b/gladegw/net/route_actions.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from gladegw.net.request import BadRequestError, Headers
-from gladegw.routing.model import Answer, Ask, Redirect, Route
+from gladegw.routing.model import Answer, Redirect, RequestView, Route
 
 
 def fixed_response(answer: Answer) -> BadRequestError:
@@ -12,7 +12,7 @@
     return BadRequestError(answer.code, answer.body or "answered by a route", headers)
 
 
-def redirect_response(redirect: Redirect, ask: Ask) -> BadRequestError:
+def redirect_response(redirect: Redirect, ask: RequestView) -> BadRequestError:
     """The redirect response of a route."""
     query = f"?{ask.query_text}" if ask.query_text else ""
     location = redirect.location.replace("{path}", ask.path).replace("{query}", query)
@@ -28,7 +28,7 @@
     return [pair for pair in headers if pair[0] not in removed] + added
 
 
-def rewrite_target(rewrite: str, matched: str, ask: Ask) -> str:
+def rewrite_target(rewrite: str, matched: str, ask: RequestView) -> str:
     """The target with the matched prefix, or the complete matched path, replaced by `rewrite`."""
     rest = ask.path[len(matched) :]
     path = (rewrite.rstrip("/") + rest if rest else rewrite) or "/"
--- a/gladegw/net/routes.py
+++ b/gladegw/net/routes.py
@@ -32,16 +32,16 @@
 from gladegw.routing.matcher import Table
 from gladegw.routing.model import (
     TENANT_HEADER,
-    Ask,
     Description,
     Endpoint,
     Pool,
+    RequestView,
 )
-from gladegw.routing.pools import Members, Membership, standing_in
-from gladegw.routing.quotas import Division
+from gladegw.routing.pools import Members, Membership, first_usable_pool
+from gladegw.routing.quotas import QuotaDivision
 from gladegw.routing.reload import change
 from gladegw.routing.source import digest_of
-from gladegw.routing.split import first_pool, unit
+from gladegw.routing.split import first_pool, unit_hash
 
 log = logging.getLogger(__name__)
 
@@ -156,7 +156,7 @@
 def available_pool(routed: RoutedRequest, served: Mapping[str, ServedPool]) -> str | None:
     """The first pool of the route and its fallbacks that has a usable member; None if there is none."""
     pools = {name: served_pool.pool for name, served_pool in served.items()}
-    return standing_in(
+    return first_usable_pool(
         routed.pool, routed.route.fallback, pools, lambda pool: served[pool].members.usable > 0
     )
 
@@ -250,7 +250,7 @@
         for pool in new.table.description.pools:
             served[pool.name].pool = served[pool.name].membership.pool = pool
         self.current = new
-        self.division = Division(
+        self.division = QuotaDivision(
             tuple(served),
             {
                 tenant.name: tenant.quota_per_s / self.config.settings.balancers
@@ -418,7 +418,7 @@
         `listing` is the list just received from discovery. Without it, the update does not count as fresh
         information about the endpoints.
         """
-        served_pool.members = served_pool.membership.look(
+        served_pool.members = served_pool.membership.update(
             self.endpoints, time.monotonic(), self._ejected(served_pool.driver)
         )
         entries = [self.backends[name].entry for name in sorted(served_pool.members.names)]
@@ -451,7 +451,7 @@
 
     def _update_quotas(self) -> None:
         """Divide the tenants' quotas among the pools, by the requests that each one gets."""
-        for pool, parts in self.division.parts(time.monotonic()).items():
+        for pool, parts in self.division.parts_by_pool(time.monotonic()).items():
             self.current.served[pool].driver.balancer.quota.update(parts)
 
     # requests
@@ -499,7 +499,7 @@
     ) -> RoutedRequest:
         """Route a request by a given generation; raises BadRequestError as `route` does."""
         header_values = dict(headers)
-        ask = Ask(
+        ask = RequestView(
             method.decode("latin-1"),
             target.decode("latin-1"),
             header_values.get(b"host", b"").decode("latin-1"),
@@ -541,7 +541,7 @@
         assert routed is not None
         served: dict[str, ServedPool] = routed.table
         name = available_pool(routed, served)
-        self.division.arrived(request.tenant, name or routed.pool)
+        self.division.record_arrival(request.tenant, name or routed.pool)
         if name is None:
             advice = (
                 ((b"retry-after", b"%.3f" % NO_MEMBER_RETRY_AFTER_S),)
@@ -598,7 +598,7 @@
         idempotent = self.effects.get(request.cls) is api.Effect.IDEMPOTENT
         if target is None or not idempotent or len(self.mirrored) >= self.settings.mirrors:
             return
-        if mirror.share < 1 and unit(routed.ask.call_id, "mirror") >= mirror.share:
+        if mirror.share < 1 and unit_hash(routed.ask.call_id, "mirror") >= mirror.share:
             return
         copy = dataclasses.replace(request, id=b"")
         call = target.driver.on_request(copy, DiscardedResponse())
--- a/gladegw/replay.py
+++ b/gladegw/replay.py
@@ -230,11 +230,11 @@
         )
     if table is None:
         return None
-    from gladegw.routing.model import Ask
+    from gladegw.routing.model import RequestView
     from gladegw.routing.split import first_pool
 
     headers = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in route["headers"].items()]
-    ask = Ask(
+    ask = RequestView(
         route["method"],
         route["target"],
         route["host"],
--- a/gladegw/routing/__init__.py
+++ b/gladegw/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routes and pools: which requests go where, decided without I/O, clock or randomness of its own."""
+"""Routes and pools: decide where each request goes, without I/O, a clock or a random source."""
--- a/gladegw/routing/cells.py
+++ b/gladegw/routing/cells.py
@@ -1,9 +1,10 @@
-"""Decides over matchers, not by samples: cuts what can be asked into cells in which no matcher changes its
-mind.
- All requests of a cell are alike to every matcher in play, so one look at a cell answers for all of them.
-Exact paths, segment prefixes, hosts, methods, values, ranges of time and source ranges are cut exactly. A
-regular expression is asked exactly on a value that is named somewhere; on what is left it is uncertain, and
-then the answer is sound: what can't be excluded is told as possible.
+"""Decides questions about all requests at once: divides the possible requests into cells.
+
+Within a cell, each matcher concerned has the same result for all requests, so one evaluation holds for the
+whole cell. Exact paths, segment prefixes, hosts, methods, values, ranges of time and source ranges are
+divided exactly. A regular expression is evaluated exactly on values that some matcher names; its result for
+all other values is uncertain. The answer is then conservative: what can't be excluded is reported as
+possible.
 """
 
 from __future__ import annotations
@@ -16,23 +17,24 @@
 
 from gladegw.routing import regex
 from gladegw.routing.matcher import Entry, Table, host_holds, path_holds, text_holds
-from gladegw.routing.model import TENANT_HEADER, Ask, Match, Network, Path, Text
+from gladegw.routing.model import TENANT_HEADER, Match, Network, Path, RequestView, Text
 
-MOST_STEPS = 400_000  # looks at atoms, after which a question is given up as undecided
+MAX_STEPS = 400_000  # atoms evaluated, after which Undecided is raised
 
-UNNAMED = "_"  # a label of a host that no pattern may hold
+UNNAMED_LABEL = "_"  # a host label that no pattern can contain
 
-Truth = bool | None  # None: can't be told
-Dimension = tuple[str, str]  # kind, and a name for headers and query parameters
+Truth = bool | None  # None: uncertain
+Dimension = tuple[str, str]  # (kind, name); the name is set for headers and query parameters
 
 
 class Undecided(Exception):
-    """The question has too many cells."""
+    """The region has too many cells to decide a question about it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Atom:
-    """Values that all matchers in play take for the same; `open`: any value but those that are named."""
+    """Values for which each matcher concerned has the same result, with one sample of them. `open`: the
+    values that no matcher names."""
 
     sample: Any
     open: bool = False
@@ -43,6 +45,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Cell:
+    """Requests for which each matcher concerned has the same result."""
+
     host: str = ""
     path: Atom = ROOT
     method: str = "GET"
@@ -50,27 +54,28 @@
     source: str = ""
     headers: tuple[tuple[str, str], ...] = ()
     query: tuple[tuple[str, str], ...] = ()
-    sure: bool = True  # surely a cell of what was asked about
+    sure: bool = True  # whether its requests certainly belong to the region
     hits: tuple[tuple[tuple[Entry, Truth], ...], ...] = field(default=(), compare=False)  # by table
 
     def winners(self, table: int = 0) -> tuple[Entry | None, ...]:
-        """Who may take the requests of this cell; one, where that is certain. None: nobody does."""
-        found: list[Entry | None] = [entry for entry, _ in self.hits[table]]
-        if not found or self.hits[table][-1][1] is not True:
-            found.append(None)
-        return tuple(found)
-
-    def ask(self) -> Ask:
-        """A request of this cell."""
+        """The entries that may take the requests of this cell, a single one if that is certain. None stands
+        for no entry."""
+        winners: list[Entry | None] = [entry for entry, _ in self.hits[table]]
+        if not winners or self.hits[table][-1][1] is not True:
+            winners.append(None)
+        return tuple(winners)
+
+    def example(self) -> RequestView:
+        """A sample request of this cell."""
         raw = [(name.encode(), value.encode("latin-1", "replace")) for name, value in self.headers]
         query = "&".join(f"{name}={value}" for name, value in self.query)
         target = self.path.sample + (f"?{query}" if query else "")
         tenant = dict(self.headers).get(TENANT_HEADER, "")
-        return Ask(self.method, target, self.host, raw, self.budget_ms, tenant, self.source)
+        return RequestView(self.method, target, self.host, raw, self.budget_ms, tenant, self.source)
 
     def __str__(self) -> str:
-        asked = self.ask()
-        target = asked.path + (f"?{asked.query_text}" if asked.query_text else "")
+        request = self.example()
+        target = request.path + (f"?{request.query_text}" if request.query_text else "")
         parts = [self.method, target]
         if self.host:
             parts.append(f"host:{self.host}")
@@ -82,25 +87,25 @@
         return " ".join(parts)
 
 
-def unused(word: str, taken: Iterable[str]) -> str:
-    names = set(taken)
-    number, found = 0, word
-    while found in names:
+def unused_name(stem: str, taken: Iterable[str]) -> str:
+    taken_names = set(taken)
+    number, name = 0, stem
+    while name in taken_names:
         number += 1
-        found = f"{word}{number}"
-    return found
+        name = f"{stem}{number}"
+    return name
 
 
-def path_truth(wanted: Path, atom: Atom) -> Truth:
-    if wanted.kind == "prefix":
-        return path_holds(wanted, atom.sample)
-    if wanted.kind == "exact":
-        return not atom.open and atom.sample == wanted.value
+def path_truth(pattern: Path, atom: Atom) -> Truth:
+    if pattern.kind == "prefix":
+        return path_holds(pattern, atom.sample)
+    if pattern.kind == "exact":
+        return not atom.open and atom.sample == pattern.value
     if not atom.open:
-        return path_holds(wanted, atom.sample)
-    start = regex.literal_start(wanted.value)
-    below = atom.sample[: atom.sample.rfind("/") + 1]  # all paths of the atom begin with this
-    return None if below.startswith(start) or start.startswith(below) else False
+        return path_holds(pattern, atom.sample)
+    start = regex.literal_start(pattern.value)
+    folder = atom.sample[: atom.sample.rfind("/") + 1]  # all paths of the atom begin with this folder
+    return None if folder.startswith(start) or start.startswith(folder) else False
 
 
 def class_of(path: str) -> str:
@@ -108,84 +113,86 @@
 
 
 def route_truth(match: Match, atom: Atom) -> Truth:
-    """Path and class together: the class is the path's first part."""
+    """Whether path and class of a match hold; the class is the first segment of the path."""
     if match.classes and class_of(atom.sample) not in match.classes:
         return False
     return path_truth(match.path, atom)
 
 
-Wanted = tuple[Any, ...]
+Requirement = tuple[Any, ...]
 
 
-def wanted(match: Match) -> dict[Dimension, Wanted]:
-    """What a match asks in each dimension but host and path."""
-    found: dict[Dimension, Wanted] = {}
+def match_requirements(match: Match) -> dict[Dimension, Requirement]:
+    """The requirements of a match in each dimension except host and path."""
+    requirements: dict[Dimension, Requirement] = {}
     if match.methods:
-        found["method", ""] = (match.methods,)
+        requirements["method", ""] = (match.methods,)
     if match.budget_ms is not None:
-        found["budget", ""] = (match.budget_ms,)
+        requirements["budget", ""] = (match.budget_ms,)
     if match.sources:
-        found["source", ""] = match.sources
+        requirements["source", ""] = match.sources
     for kind, texts in (("header", match.headers), ("query", match.query)):
         for text in texts:
-            found[kind, text.name] = (text,)
+            requirements[kind, text.name] = (text,)
     if match.tenants:
         key = ("header", TENANT_HEADER)
-        found[key] = (*found.get(key, ()), match.tenants)
-    return found
+        requirements[key] = (*requirements.get(key, ()), match.tenants)
+    return requirements
 
 
-def value_truth(dimension: Dimension, asked: Wanted, atom: Atom) -> Truth:
+def value_truth(dimension: Dimension, requirement: Requirement, atom: Atom) -> Truth:
     kind = dimension[0]
     if kind == "method":
-        return atom.sample in asked[0]
+        return atom.sample in requirement[0]
     if kind == "budget":
-        return bool(asked[0][0] <= atom.sample < asked[0][1])
+        return bool(requirement[0][0] <= atom.sample < requirement[0][1])
     if kind == "source":
-        return bool(atom.sample) and any(ip_address(atom.sample) in net for net in asked)
+        return bool(atom.sample) and any(ip_address(atom.sample) in net for net in requirement)
     result: Truth = True
-    for one in asked:
-        if isinstance(one, Text):
-            if one.kind == "regex" and atom.open:
+    for part in requirement:
+        if isinstance(part, Text):
+            if part.kind == "regex" and atom.open:
                 holds: Truth = None
             else:
-                holds = text_holds(one, atom.sample)
+                holds = text_holds(part, atom.sample)
         else:
-            holds = atom.sample in one
+            holds = atom.sample in part
         if holds is False:
             return False
         result = None if holds is None else result
     return result
 
 
-def value_atoms(dimension: Dimension, asked: Iterable[Wanted]) -> list[Atom]:
-    """All that can be told apart in a dimension by what is asked there; what is not named first."""
+def value_atoms(dimension: Dimension, requirements: Iterable[Requirement]) -> list[Atom]:
+    """Divides a dimension into atoms that the requirements can tell apart."""
     kind = dimension[0]
     if kind == "method":
-        named = sorted({method for one in asked for method in one[0]} | {"GET", "POST"})
-        return [*(Atom(method) for method in named), Atom(unused("OTHER", named), True)]
+        named = sorted(
+            {method for requirement in requirements for method in requirement[0]} | {"GET", "POST"}
+        )
+        return [*(Atom(method) for method in named), Atom(unused_name("OTHER", named), True)]
     if kind == "budget":
-        edges = sorted({edge for one in asked for edge in one[0]} | {0.0})
+        edges = sorted({edge for requirement in requirements for edge in requirement[0]} | {0.0})
         return [Atom(edge) for edge in edges]
     if kind == "source":
-        return _source_atoms(net for one in asked for net in one)
+        return _source_atoms(net for requirement in requirements for net in requirement)
     values: set[str] = set()
-    for one in asked:
-        for part in one:
+    for requirement in requirements:
+        for part in requirement:
             values |= {part.value} if isinstance(part, Text) and part.kind == "is" else set()
             values |= set(part) if isinstance(part, tuple) else set()
     named = sorted(values)
-    return [Atom(None), Atom(unused("other", named), True), *(Atom(value) for value in named)]
+    return [Atom(None), Atom(unused_name("other", named), True), *(Atom(value) for value in named)]
 
 
 def _source_atoms(networks: Iterable[Network]) -> list[Atom]:
-    found = {""}
+    addresses = {""}
     for net in networks:
         first, last = int(net.network_address), int(net.broadcast_address)
         top = (1 << net.max_prefixlen) - 1
         kind = type(net.network_address)
-        found |= {str(kind(value)) for value in {0, first, last, max(0, first - 1), min(top, last + 1)}}
-    return [Atom(text) for text in sorted(found)]
+        addresses |= {str(kind(value)) for value in {0, first, last, max(0, first - 1), min(top, last + 1)}}
+    return [Atom(text) for text in sorted(addresses)]
 
 
 def literal_folder(pattern: str) -> str:
@@ -193,12 +200,12 @@
     return start[: max(0, start.rfind("/"))]
 
 
-class Question:
-    """One walk over the cells of a region, for one table or several at once."""
+class CellWalk:
+    """Enumerates the cells of a region, for one table or several at once."""
 
-    def __init__(self, tables: Sequence[Table], region: Match, most: int = MOST_STEPS) -> None:
-        self.tables, self.region, self.left = tables, region, most
-        self.wanted: dict[int, dict[Dimension, Wanted]] = {}
+    def __init__(self, tables: Sequence[Table], region: Match, max_steps: int = MAX_STEPS) -> None:
+        self.tables, self.region, self.steps_left = tables, region, max_steps
+        self.requirements_by_entry: dict[int, dict[Dimension, Requirement]] = {}
         named = {*region.path.value.split("/"), *region.classes}
         for table in tables:
             named.update(table.classes)
@@ -206,15 +213,15 @@
         while word in named or any(word in table.segments for table in tables):
             number += 1
             word = f"other{number}"
-        self.other = word  # a part of a path that nothing names
+        self.other_segment = word  # a path segment that no matcher names
 
     def step(self) -> None:
-        self.left -= 1
-        if self.left < 0:
+        self.steps_left -= 1
+        if self.steps_left < 0:
             raise Undecided
 
     def cells(self) -> Iterator[Cell]:
-        own = wanted(self.region)
+        own = match_requirements(self.region)
         for host in self.hosts():
             for path in self.paths(host):
                 self.step()
@@ -227,20 +234,20 @@
 
     # hosts and paths
     def hosts(self) -> Iterator[str]:
-        """The region's own first, then those that some table names within it."""
+        """Sample hosts: those of the region first, then those that a table names within it."""
         patterns = self.region.hosts or ("",)
         listed = [table.hosts for table in self.tables]
         seen: set[str] = set()
         for pattern in chain(patterns, *listed):
-            sample = pattern or UNNAMED
+            sample = pattern or UNNAMED_LABEL
             if pattern.startswith("*."):
-                sample = UNNAMED + pattern[1:]
+                sample = UNNAMED_LABEL + pattern[1:]
             if sample not in seen and any(host_holds(own, sample) for own in patterns):
                 seen.add(sample)
                 yield sample
 
     def named_paths(self, host: str) -> Iterator[Iterable[str]]:
-        """The texts by which paths are told apart, the region's own first."""
+        """The texts that divide the paths, those of the region first."""
         own = self.region.path
         yield [literal_folder(own.value)] if own.kind == "regex" else [own.value]
         yield [f"/{name}" for name in self.region.classes]
@@ -262,101 +269,104 @@
                 continue
             seen.add(text)
             if own.kind != "exact":
-                yield Atom(f"{text.removesuffix('/')}/{self.other}", True)
+                yield Atom(f"{text.removesuffix('/')}/{self.other_segment}", True)
             if text:
                 yield Atom(text)
         if inside in ("", "/") and own.kind != "exact":
             if "" not in seen:
-                yield Atom(f"/{self.other}", True)
+                yield Atom(f"/{self.other_segment}", True)
             if "/" not in seen:
                 yield Atom("/")
 
     @staticmethod
     def candidates(table: Table, host: str, path: Atom) -> list[tuple[Entry, Truth]]:
-        """Entries whose host and path hold, or may hold, in their order."""
-        found: list[tuple[Entry, Truth]] = []
+        """Entries whose host and path match, or may match, by descending precedence."""
+        matching: list[tuple[Entry, Truth]] = []
         for paths in table.paths(host):
-            part: list[tuple[Entry, Truth]] = []
+            group: list[tuple[Entry, Truth]] = []
             if not path.open:
-                part += [(entry, True) for entry in paths.exact.get(path.sample, ())]
+                group += [(entry, True) for entry in paths.exact.get(path.sample, ())]
             if paths.regexes:
                 text = path.sample
-                below = (
-                    paths.below(text[: text.rfind("/") + 1])
+                possible = (
+                    paths.regexes_below(text[: text.rfind("/") + 1])
                     if path.open
-                    else [entry for _, _, entry in paths.near(text)]
+                    else [entry for _, _, entry in paths.regex_candidates(text)]
                 )
-                for entry in below:
+                for entry in possible:
                     truth = path_truth(entry.match.path, path)
                     if truth is not False:
-                        part.append((entry, truth))
-            at = path.sample
+                        group.append((entry, truth))
+            prefix = path.sample
             while True:
-                part += [(entry, True) for entry in paths.prefixes.get(at, ())]
-                if not at:
+                group += [(entry, True) for entry in paths.prefixes.get(prefix, ())]
+                if not prefix:
                     break
-                at = at[: at.rfind("/")]
+                prefix = prefix[: prefix.rfind("/")]
             name = class_of(path.sample)
-            found += [one for one in part if not one[0].match.classes or name in one[0].match.classes]
-        return found
+            matching += [pair for pair in group if not pair[0].match.classes or name in pair[0].match.classes]
+        return matching
 
     # the other dimensions
-    def of(self, entry: Entry) -> dict[Dimension, Wanted]:
-        found = self.wanted.get(id(entry))
-        if found is None:
-            found = self.wanted[id(entry)] = wanted(entry.match)
-        return found
+    def requirements_of(self, entry: Entry) -> dict[Dimension, Requirement]:
+        requirements = self.requirements_by_entry.get(id(entry))
+        if requirements is None:
+            requirements = self.requirements_by_entry[id(entry)] = match_requirements(entry.match)
+        return requirements
 
     def divide(
         self,
         cell: Cell,
         lists: list[list[tuple[Entry, Truth]]],
-        own: dict[Dimension, Wanted],
+        own: dict[Dimension, Requirement],
         done: frozenset[Dimension] = frozenset(),
     ) -> Iterator[Cell]:
-        """Cuts on until no matcher that counts has anything left to ask."""
-        cut: list[list[tuple[Entry, Truth]]] = []
-        left: set[Dimension] = set(own)
-        for some in lists:
+        """Divides a cell dimension by dimension until no candidate has a requirement left."""
+        relevant: list[list[tuple[Entry, Truth]]] = []
+        remaining: set[Dimension] = set(own)
+        for entries in lists:
             kept: list[tuple[Entry, Truth]] = []
-            for entry, truth in some:
+            for entry, truth in entries:
                 kept.append((entry, truth))
-                open_ones = self.of(entry).keys() - done
-                left |= open_ones
-                if truth is True and not open_ones:
-                    break  # it takes all that comes this far
-            cut.append(kept)
-        left -= done
-        if not left:
-            yield replace(cell, hits=tuple(tuple(some) for some in cut))
+                open_dimensions = self.requirements_of(entry).keys() - done
+                remaining |= open_dimensions
+                if truth is True and not open_dimensions:
+                    break  # it takes all requests that reach it; later entries get none
+            relevant.append(kept)
+        remaining -= done
+        if not remaining:
+            yield replace(cell, hits=tuple(tuple(entries) for entries in relevant))
             return
-        dimension = min(left)
-        asked = [
-            self.of(entry)[dimension] for some in cut for entry, _ in some if dimension in self.of(entry)
+        dimension = min(remaining)
+        requirements = [
+            self.requirements_of(entry)[dimension]
+            for entries in relevant
+            for entry, _ in entries
+            if dimension in self.requirements_of(entry)
         ]
         if dimension in own:
-            asked.append(own[dimension])
-        for atom in value_atoms(dimension, asked):
+            requirements.append(own[dimension])
+        for atom in value_atoms(dimension, requirements):
             self.step()
             inside: Truth = value_truth(dimension, own[dimension], atom) if dimension in own else True
             if inside is False:
                 continue
-            some_lists: list[list[tuple[Entry, Truth]]] = []
-            for some in cut:
+            narrowed: list[list[tuple[Entry, Truth]]] = []
+            for entries in relevant:
                 kept = []
-                for entry, truth in some:
-                    asks = self.of(entry).get(dimension)
-                    holds = True if asks is None else value_truth(dimension, asks, atom)
+                for entry, truth in entries:
+                    requirement = self.requirements_of(entry).get(dimension)
+                    holds = True if requirement is None else value_truth(dimension, requirement, atom)
                     if holds is not False:
                         kept.append((entry, None if holds is None else truth))
-                some_lists.append(kept)
-            made = self.placed(cell, dimension, atom)
-            made = made if inside is True else replace(made, sure=False)
-            rest = {key: value for key, value in own.items() if key != dimension}
-            yield from self.divide(made, some_lists, rest, done | {dimension})
+                narrowed.append(kept)
+            part = self.with_atom(cell, dimension, atom)
+            part = part if inside is True else replace(part, sure=False)
+            remaining_own = {key: value for key, value in own.items() if key != dimension}
+            yield from self.divide(part, narrowed, remaining_own, done | {dimension})
 
     @staticmethod
-    def placed(cell: Cell, dimension: Dimension, atom: Atom) -> Cell:
+    def with_atom(cell: Cell, dimension: Dimension, atom: Atom) -> Cell:
         kind, name = dimension
         if kind == "method":
             return replace(cell, method=atom.sample)
@@ -372,50 +382,50 @@
         return replace(cell, query=cell.query + pair)
 
 
-def cells(tables: Sequence[Table], region: Match, most: int = MOST_STEPS) -> Iterator[Cell]:
-    """All cells of a region; raises Undecided where there are too many."""
-    return Question(tables, region, most).cells()
+def cells(tables: Sequence[Table], region: Match, max_steps: int = MAX_STEPS) -> Iterator[Cell]:
+    """The cells of a region; raises Undecided if there are too many."""
+    return CellWalk(tables, region, max_steps).cells()
 
 
 def region_of(entry: Entry) -> Match:
     return replace(entry.match, hosts=(entry.host,) if entry.host else ())
 
 
-def reach(table: Table, entry: Entry) -> tuple[str, tuple[Entry, ...]]:
-    """Whether an entry takes any request: `yes`, `maybe`, `never` or `nothing` (no request can match it),
-    and who takes its requests instead."""
+def reachability(table: Table, entry: Entry) -> tuple[str, tuple[Entry, ...]]:
+    """Whether an entry takes any request: `yes`, `maybe`, `never` or `nothing` (no request can match it). For
+    `never`, also the entries that take its requests instead."""
     before: dict[Entry, None] = {}
     any_cell = False
     try:
         for cell in cells([table], region_of(entry)):
             any_cell = True
             hits = cell.hits[0]
-            for place, (found, truth) in enumerate(hits):
-                if found is entry:  # nobody before it surely takes this cell
-                    return ("yes" if truth is True and place == 0 and cell.sure else "maybe"), ()
-                before[found] = None
+            for position, (candidate, truth) in enumerate(hits):
+                if candidate is entry:  # no entry before it certainly takes this cell
+                    return ("yes" if truth is True and position == 0 and cell.sure else "maybe"), ()
+                before[candidate] = None
     except Undecided:
         return "maybe", ()
     return ("never", tuple(before)) if any_cell else ("nothing", ())
 
 
-def meet(one: Entry, other: Entry) -> Truth:
-    """Whether some request matches both; None: it can't be excluded."""
+def can_both_match(one: Entry, other: Entry) -> Truth:
+    """Whether some request matches both entries; None if that can't be excluded."""
     hosts = {one.host, other.host} - {""}
     if len(hosts) == 2:
         samples = [host if not host.startswith("*.") else "any-other" + host[1:] for host in hosts]
         if not any(host_holds(one.host, host) and host_holds(other.host, host) for host in samples):
             return False
-    result = _paths_meet(one.match, other.match)
-    asked, more = wanted(one.match), wanted(other.match)
-    for dimension in asked.keys() & more.keys():
+    result = _paths_can_both_match(one.match, other.match)
+    requirements, other_requirements = match_requirements(one.match), match_requirements(other.match)
+    for dimension in requirements.keys() & other_requirements.keys():
         if result is False:
             return False
         best: Truth = False
-        for atom in value_atoms(dimension, [asked[dimension], more[dimension]]):
+        for atom in value_atoms(dimension, [requirements[dimension], other_requirements[dimension]]):
             truths = (
-                value_truth(dimension, asked[dimension], atom),
-                value_truth(dimension, more[dimension], atom),
+                value_truth(dimension, requirements[dimension], atom),
+                value_truth(dimension, other_requirements[dimension], atom),
             )
             if False not in truths:
                 if None not in truths:
@@ -426,13 +436,13 @@
     return result
 
 
-def _paths_meet(one: Match, other: Match) -> Truth:
+def _paths_can_both_match(one: Match, other: Match) -> Truth:
     if one.path.kind == "regex" and other.path.kind == "regex":
-        apart = one.classes and other.classes and not set(one.classes) & set(other.classes)
-        if one.path == other.path and not apart:
+        disjoint_classes = one.classes and other.classes and not set(one.classes) & set(other.classes)
+        if one.path == other.path and not disjoint_classes:
             return True
-        start, more = regex.literal_start(one.path.value), regex.literal_start(other.path.value)
-        if not (start.startswith(more) or more.startswith(start)):
+        start, other_start = regex.literal_start(one.path.value), regex.literal_start(other.path.value)
+        if not (start.startswith(other_start) or other_start.startswith(start)):
             return False
     best: Truth = False
     named = [match.path.value for match in (one, other) if match.path.kind != "regex"]
--- a/gladegw/routing/expect.py
+++ b/gladegw/routing/expect.py
@@ -1,6 +1,6 @@
-"""Expectations beside the configuration, decided over the table without any traffic.
+"""Expectations in the configuration about what the route table does, decided without any traffic.
 
-An expectation is of one request, or of all requests that match something; the latter is decided over the
+An expectation is about one request, or about all requests that match a region. The latter is decided over the
 matchers (see `cells`), not by samples.
 """
 
@@ -14,12 +14,12 @@
 from gladegw.routing.fields import Fields
 from gladegw.routing.findings import Finding, Place
 from gladegw.routing.matcher import Entry, Table, refusals
-from gladegw.routing.model import TENANT_HEADER, Ask, Match, Route
+from gladegw.routing.model import TENANT_HEADER, Match, RequestView, Route
 from gladegw.routing.read import MATCHERS, match_of
-from gladegw.routing.source import Block, Named
+from gladegw.routing.source import Block, Reference
 from gladegw.routing.split import shares
 
-WANTS = (
+WANT_KINDS = (
     "goes_to",
     "never",
     "answers",
@@ -32,8 +32,8 @@
     "sends",
     "path",
 )
-CLOSE = 1e-6  # of a share
-MOST_NAMED = 3  # other routes that a failure names
+SHARE_TOLERANCE = 1e-6
+MAX_ROUTES_EXPLAINED = 3  # other routes that a failure explains
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
     place: Place
 
     def __str__(self) -> str:
-        value = f'{self.value.kind} "{self.value.name}"' if isinstance(self.value, Named) else self.value
+        value = f'{self.value.kind} "{self.value.name}"' if isinstance(self.value, Reference) else self.value
         return f"{self.kind} {value}"
 
 
@@ -52,9 +52,9 @@
     name: str
     place: Place
     wants: tuple[Want, ...]
-    ask: Ask | None = None
+    request: RequestView | None = None
     region: Match | None = None
-    app: str = ""  # whose sidecar
+    app: str = ""  # the application whose sidecar is asked about
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,16 +63,16 @@
     place: Place
     expected: str
     got: str
-    impossible: bool = False  # no route can ever satisfy it
+    impossible: bool = False  # no route of the table can satisfy it
 
 
 @dataclass(slots=True)
 class Result:
     failures: list[Failure] = field(default_factory=list)
-    touched: set[str] = field(default_factory=set)  # routes that some expectation was decided on
+    touched: set[str] = field(default_factory=set)  # routes that take or may take a request of an expectation
 
 
-def _ask(block: Block, findings: list[Finding]) -> Ask:
+def _read_request(block: Block, findings: list[Finding]) -> RequestView:
     fields = Fields(block, findings)
     path = fields.text("path", "/")
     headers = {}
@@ -86,7 +86,7 @@
         headers.setdefault(TENANT_HEADER, tenant)
     if not path.startswith("/"):
         fields.fault("R501", "path must begin with '/'", "path")
-    ask = Ask(
+    request = RequestView(
         method=fields.text("method", "GET"),
         target=path,
         host=fields.text("host") or headers.get("host", ""),
@@ -99,27 +99,27 @@
         source=fields.text("source"),
     )
     fields.done()
-    return ask
+    return request
 
 
 def read_expect(block: Block, findings: list[Finding]) -> Expectation:
     fields = Fields(block, findings, ("request", "all"))
-    request, every = fields.inner("request"), fields.inner("all")
-    if (request is None) == (every is None):
-        fields.fault("R501", "takes either a request or an all block")
+    request_block, all_block = fields.inner("request"), fields.inner("all")
+    if (request_block is None) == (all_block is None):
+        fields.fault("R501", "needs either a request or an all block")
     region = None
-    if every is not None:
-        inner = Fields(every, findings, MATCHERS)
-        region = match_of(inner)
-        inner.done()
+    if all_block is not None:
+        region_fields = Fields(all_block, findings, MATCHERS)
+        region = match_of(region_fields)
+        region_fields.done()
     wants = []
-    for kind in WANTS:
+    for kind in WANT_KINDS:
         if not fields.has(kind):
             continue
         value = fields.raw(kind)
         if kind in ("goes_to", "never"):
-            value = Named("pool", value) if isinstance(value, str) else value
-            if not isinstance(value, Named) or value.kind not in ("pool", "route"):
+            value = Reference("pool", value) if isinstance(value, str) else value
+            if not isinstance(value, Reference) or value.kind not in ("pool", "route"):
                 fields.fault("R501", f'{kind} is pool "name" or route "name"', kind)
                 continue
         elif kind == "answers" and type(value) is not int:
@@ -132,24 +132,24 @@
     app = fields.text("app")
     fields.done()
     if not wants:
-        fields.fault("R501", f"wants nothing; it takes {', '.join(WANTS)}")
-    ask = _ask(request, findings) if request is not None else None
-    return Expectation(block.label, block.place, tuple(wants), ask, region, app)
+        fields.fault("R501", f"expects nothing; it needs at least one of {', '.join(WANT_KINDS)}")
+    request = _read_request(request_block, findings) if request_block is not None else None
+    return Expectation(block.label, block.place, tuple(wants), request, region, app)
 
 
 def outcome(route: Route | None) -> str:
-    """What becomes of a request that a route takes, in words."""
+    """Describes what a route does with a request; None: no route takes it."""
     if route is None:
         return "no route takes it"
-    at = f"route {route} ({route.place.file}:{route.place.line}) "
+    prefix = f"route {route} ({route.place.file}:{route.place.line}) "
     if route.answer is not None:
-        return at + f"answers {route.answer.code}"
+        return prefix + f"answers {route.answer.code}"
     if route.redirect is not None:
-        return at + f"redirects to {route.redirect.location}"
+        return prefix + f"redirects to {route.redirect.location}"
     if route.split is not None:
         parts = ", ".join(f"{name} {share:.4g}" for name, share in shares(route.split.weights).items())
-        return at + f"splits it: {parts}"
-    return at + f'leads to pool "{route.pool}"'
+        return prefix + f"splits it: {parts}"
+    return prefix + f'leads to pool "{route.pool}"'
 
 
 def _first_pools(route: Route) -> tuple[str, ...]:
@@ -159,7 +159,7 @@
 
 
 def holds(want: Want, route: Route | None, cls: str) -> bool:
-    """Whether a request of this class that this route takes is as wanted."""
+    """Whether a request of class `cls` satisfies an expectation if `route` takes it."""
     kind, value = want.kind, want.value
     if kind == "answers":
         code = 404 if route is None else route.answer.code if route.answer else 0
@@ -180,10 +180,10 @@
     if kind == "redirects":
         return route.redirect is not None and bool(route.redirect.location == value)
     if kind == "split":
-        told = shares(route.split.weights) if route.split else {route.pool: 1.0} if route.pool else {}
-        wanted = shares([(name, float(weight)) for name, weight in value.items()])
-        every = told.keys() | wanted.keys()
-        return all(abs(told.get(name, 0.0) - wanted.get(name, 0.0)) < CLOSE for name in every)
+        actual = shares(route.split.weights) if route.split else {route.pool: 1.0} if route.pool else {}
+        expected = shares([(name, float(weight)) for name, weight in value.items()])
+        pools = actual.keys() | expected.keys()
+        return all(abs(actual.get(name, 0.0) - expected.get(name, 0.0)) < SHARE_TOLERANCE for name in pools)
     if kind == "class":
         return bool((route.cls or cls) == value)
     if kind == "timeout_ms":
@@ -191,95 +191,95 @@
     if kind == "attempts":
         return bool(route.attempts == value)
     if kind == "sends":
-        put = dict((*route.edits.put, *route.edits.add))
-        return all(put.get(name.lower()) == text for name, text in value.items())
+        sent_headers = dict((*route.edits.put, *route.edits.add))
+        return all(sent_headers.get(name.lower()) == text for name, text in value.items())
     return bool(route.rewrite == value)  # path
 
 
-def _impossible(table: Table, wants: Sequence[Want], cls: str) -> bool:
-    """No route of the table is as wanted, whatever it is asked."""
+def _is_impossible(table: Table, wants: Sequence[Want], cls: str) -> bool:
+    """Whether no route of the table satisfies all of `wants` for any request."""
     routes: list[Route | None] = [*table.description.routes, None]
     return not any(all(holds(want, route, cls) for want in wants) for route in routes)
 
 
-def _others(table: Table, want: Want, ask: Ask, won: Entry | None) -> str:
-    """Why each route that would do as wanted does not take the request."""
-    found: list[str] = []
-    more = 0
+def _explain_other_routes(table: Table, want: Want, request: RequestView, won: Entry | None) -> str:
+    """Explains why the routes that would satisfy an expectation don't take the request."""
+    explanations: list[str] = []
+    omitted = 0
     for entry in table.entries:
         if won is not None and entry.route is won.route:
             continue
-        if not holds(want, entry.route, ask.cls):
+        if not holds(want, entry.route, request.cls):
             continue
-        if len(found) == MOST_NAMED:
-            more += 1
+        if len(explanations) == MAX_ROUTES_EXPLAINED:
+            omitted += 1
             continue
-        why = refusals(entry, ask) or ["the one that takes it goes first"]
-        found.append(f"route {entry.route} would, but {'; '.join(why)}")
-    return "".join(f"; {one}" for one in found) + (f"; and {more} more" if more else "")
+        reasons = refusals(entry, request) or ["the route that takes it has precedence"]
+        explanations.append(f"route {entry.route} would, but {'; '.join(reasons)}")
+    return "".join(f"; {text}" for text in explanations) + (f"; and {omitted} more" if omitted else "")
 
 
-def decide(table: Table, expectation: Expectation, into: Result) -> None:
-    if expectation.ask is not None:
-        _decide_one(table, expectation, expectation.ask, into)
+def decide(table: Table, expectation: Expectation, result: Result) -> None:
+    if expectation.request is not None:
+        _decide_one(table, expectation, expectation.request, result)
     elif expectation.region is not None:
-        _decide_all(table, expectation, expectation.region, into)
+        _decide_all(table, expectation, expectation.region, result)
 
 
-def _decide_one(table: Table, expectation: Expectation, ask: Ask, into: Result) -> None:
-    won = table.find(ask)
+def _decide_one(table: Table, expectation: Expectation, request: RequestView, result: Result) -> None:
+    won = table.find(request)
     route = won.route if won is not None else None
     if route is not None:
-        into.touched.add(str(route))
+        result.touched.add(str(route))
     for want in expectation.wants:
-        if holds(want, route, ask.cls):
+        if holds(want, route, request.cls):
             continue
-        got = outcome(route) + _others(table, want, ask, won)
-        never = _impossible(table, expectation.wants, ask.cls)
-        if never:
-            got = f"no route can ever satisfy this: {_why_never(table, expectation.wants, ask.cls)}; {got}"
-        into.failures.append(Failure(expectation.name, want.place, str(want), got, never))
+        got = outcome(route) + _explain_other_routes(table, want, request, won)
+        impossible = _is_impossible(table, expectation.wants, request.cls)
+        if impossible:
+            got = f"no route can ever satisfy this: {_conflict(table, expectation.wants, request.cls)}; {got}"
+        result.failures.append(Failure(expectation.name, want.place, str(want), got, impossible))
 
 
-def _why_never(table: Table, wants: Sequence[Want], cls: str) -> str:
+def _conflict(table: Table, wants: Sequence[Want], cls: str) -> str:
     for want in wants:
-        if _impossible(table, [want], cls):
-            return f"none is as wanted by {want}"
+        if _is_impossible(table, [want], cls):
+            return f"none satisfies {want}"
     return "its wants exclude each other: " + " and ".join(map(str, wants))
 
 
-def _decide_all(table: Table, expectation: Expectation, region: Match, into: Result) -> None:
-    failed: dict[Place, Failure] = {}  # by the want's place
+def _decide_all(table: Table, expectation: Expectation, region: Match, result: Result) -> None:
+    failed: dict[Place, Failure] = {}  # by the place of the want
     any_cell = False
     cls = region.classes[0] if region.classes else ""
 
-    def fail(want: Want, got: str, never: bool = False) -> None:
-        failed.setdefault(want.place, Failure(expectation.name, want.place, f"all: {want}", got, never))
+    def fail(want: Want, got: str, impossible: bool = False) -> None:
+        failed.setdefault(want.place, Failure(expectation.name, want.place, f"all: {want}", got, impossible))
 
     try:
         for cell in cells([table], region):
             any_cell = True
             winners = cell.winners()
             sure = cell.sure and len(winners) == 1
-            asked = cell.ask()
+            example = cell.example()
             for won in winners:
                 route = won.route if won is not None else None
                 if route is not None:
-                    into.touched.add(str(route))
+                    result.touched.add(str(route))
                 for want in expectation.wants:
-                    if want.place in failed or holds(want, route, asked.cls):
+                    if want.place in failed or holds(want, route, example.cls):
                         continue
                     doubt = "" if sure else " can't be excluded (a regular expression decides):"
-                    fail(want, f"{cell}:{doubt} {outcome(route)}", _impossible(table, [want], cls))
+                    fail(want, f"{cell}:{doubt} {outcome(route)}", _is_impossible(table, [want], cls))
             if len(failed) == len(expectation.wants):
                 break
     except Undecided:
         for want in expectation.wants:
-            fail(want, "undecided: too many cases; narrow what it asks about")
+            fail(want, "undecided: too many cases; make its matchers narrower")
     if not any_cell and not failed:
         for want in expectation.wants:
-            fail(want, "no request can match what it asks about: its matchers exclude each other", True)
-    into.failures += failed.values()
+            fail(want, "no request can match it: its matchers exclude each other", True)
+    result.failures += failed.values()
 
 
 def decide_all(table: Table, expectations: Iterable[Expectation]) -> Result:
--- a/gladegw/routing/findings.py
+++ b/gladegw/routing/findings.py
@@ -1,5 +1,4 @@
-"""What is wrong with a description: one finding a fault, each with its place and a code that never
-changes."""
+"""Findings: one for each fault in a description, with its place in the file and a code that never changes."""
 
 from __future__ import annotations
 
@@ -54,10 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    code: str  # of CODES
+    code: str  # one of CODES
     place: Place
     message: str
-    other: Place | None = None  # the other place involved
+    other: Place | None = None  # another place involved, such as the first of two duplicates
     hint: str = ""
 
     def __str__(self) -> str:
@@ -67,7 +66,7 @@
 
 
 class RoutingError(Exception):
-    """A description can't be used; the message is its first finding, in one line."""
+    """A description can't be used. The message is the first finding, on one line."""
 
     def __init__(self, findings: Iterable[Finding]) -> None:
         self.findings = sorted(set(findings), key=lambda found: (found.place, found.code, found.message))
@@ -75,6 +74,6 @@
 
 
 def nearest(word: str, known: Iterable[str]) -> str:
-    """A hint that names the known word most like this one; empty where none is."""
-    found = difflib.get_close_matches(word, list(known), n=1, cutoff=0.6)
-    return f"did you mean {found[0]}?" if found else ""
+    """A hint that names the most similar known word; empty if none is similar."""
+    matches = difflib.get_close_matches(word, list(known), n=1, cutoff=0.6)
+    return f"did you mean {matches[0]}?" if matches else ""
--- a/gladegw/routing/matcher.py
+++ b/gladegw/routing/matcher.py
@@ -1,10 +1,11 @@
-"""The compiled table: an immutable matcher whose look-up does not grow with the routes.
- Precedence, the most specific first, in the order of the Gateway API (HTTPRoute, precedence of rules): an
-exact host before a wildcard (the longer first) before any host; an exact path before a regular expression
-(the longer first) before a prefix (the longer first); a method; more headers; more query parameters; and
-beyond that API a source range (the narrower first), tenants, classes, a range of remaining time (the narrower
-first). Two routes that are equal in all of this and can match the same request are an error when the table is
-checked.
+"""The compiled route table: immutable, with a look-up time that does not grow with the number of routes.
+
+Precedence, the most specific first, follows the Gateway API (HTTPRoute, precedence of rules): an exact host
+before a wildcard host (the longer first) before no host; an exact path before a regular expression (the
+longer first) before a prefix (the longer first); with a method; more headers; more query parameters. Beyond
+that API: a source range (the narrower first), tenants, classes, a range of remaining time (the narrower
+first). The check of the table reports two routes that are equal in all of this and can match the same
+request.
 """
 
 from __future__ import annotations
@@ -15,30 +16,30 @@
 from typing import Any
 
 from gladegw.routing import regex
-from gladegw.routing.model import TENANT_HEADER, Ask, Description, Match, Network, Path, Route, Text
+from gladegw.routing.model import TENANT_HEADER, Description, Match, Network, Path, RequestView, Route, Text
 
-Rank = tuple[Any, ...]  # the lower goes first
-Condition = Callable[[Ask], bool]
+Rank = tuple[Any, ...]  # the lowest has precedence
+Condition = Callable[[RequestView], bool]
 PATH_ORDER = {"exact": 0, "regex": 1, "prefix": 2}
-WIDEST = 1e18
+UNBOUNDED_WIDTH = 1e18
 
 
 def rank_of(match: Match, host: str) -> Rank:
-    wild = host.startswith("*.")
+    wildcard = host.startswith("*.")
     budget = match.budget_ms
-    width = min((net.prefixlen for net in match.sources), default=-1)
+    prefix_length = min((net.prefixlen for net in match.sources), default=-1)
     return (
-        0 if host and not wild else 1 if wild else 2,
+        0 if host and not wildcard else 1 if wildcard else 2,
         -len(host),
         PATH_ORDER[match.path.kind],
         -len(match.path.value),
         0 if match.methods else 1,
         -len(match.headers),
         -len(match.query),
-        -width,
+        -prefix_length,
         0 if match.tenants else 1,
         0 if match.classes else 1,
-        budget[1] - budget[0] if budget is not None else WIDEST,
+        budget[1] - budget[0] if budget is not None else UNBOUNDED_WIDTH,
     )
 
 
@@ -47,59 +48,59 @@
         return False
     if text.kind == "is":
         return value == text.value
-    return text.kind == "present" or regex.full(text.value, value)
+    return text.kind == "present" or regex.full_match(text.value, value)
 
 
-def source_holds(networks: tuple[Network, ...], ask: Ask) -> bool:
-    address = ask.address
+def source_holds(networks: tuple[Network, ...], request: RequestView) -> bool:
+    address = request.address
     return address is not None and any(address in net for net in networks)
 
 
-def conditions(match: Match) -> tuple[Condition, ...]:
-    """What is left to ask once host and path hold, the cheapest first."""
-    found: list[Condition] = []
+def match_conditions(match: Match) -> tuple[Condition, ...]:
+    """The conditions of a match besides host and path, the cheapest first."""
+    result: list[Condition] = []
     if match.methods:
         methods = frozenset(match.methods)
-        found.append(lambda ask: ask.method in methods)
+        result.append(lambda request: request.method in methods)
     if match.tenants:
         tenants = frozenset(match.tenants)
-        found.append(lambda ask: ask.tenant in tenants)
+        result.append(lambda request: request.tenant in tenants)
     if match.classes:
         classes = frozenset(match.classes)
-        found.append(lambda ask: ask.cls in classes)
+        result.append(lambda request: request.cls in classes)
     if match.budget_ms is not None:
         low, high = match.budget_ms
-        found.append(lambda ask: low <= ask.budget_ms < high)
+        result.append(lambda request: low <= request.budget_ms < high)
     for text in match.headers:
-        found.append(lambda ask, text=text: text_holds(text, ask.headers.get(text.name)))  # type: ignore[misc]
+        result.append(lambda request, text=text: text_holds(text, request.headers.get(text.name)))  # type: ignore[misc]
     for text in match.query:
-        found.append(lambda ask, text=text: text_holds(text, ask.query.get(text.name)))  # type: ignore[misc]
+        result.append(lambda request, text=text: text_holds(text, request.query.get(text.name)))  # type: ignore[misc]
     if match.sources:
         networks = match.sources
-        found.append(lambda ask: source_holds(networks, ask))
-    return tuple(found)
+        result.append(lambda request: source_holds(networks, request))
+    return tuple(result)
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Entry:
-    """One host of one match of a route, with its place in the order."""
+    """One host of one match of a route, with its precedence."""
 
     rank: Rank
     route: Route
     match: Match
-    host: str  # empty: any
-    rest: tuple[Condition, ...]
+    host: str  # empty: any host
+    conditions: tuple[Condition, ...]
 
     @property
     def order(self) -> Rank:
         return (*self.rank, str(self.route), self.route.matches.index(self.match))
 
-    def holds(self, ask: Ask) -> bool:
-        return all(condition(ask) for condition in self.rest)
+    def holds(self, request: RequestView) -> bool:
+        return all(condition(request) for condition in self.conditions)
 
 
 def host_holds(pattern: str, host: str) -> bool:
-    """A wildcard stands for one label or more (Gateway API, Hostname)."""
+    """Whether a host pattern matches; a wildcard matches one label or more (Gateway API, Hostname)."""
     if not pattern:
         return True
     if pattern.startswith("*."):
@@ -107,26 +108,26 @@
     return host == pattern
 
 
-def path_holds(wanted: Path, path: str) -> bool:
-    if wanted.kind == "exact":
-        return path == wanted.value
-    if wanted.kind == "prefix":
-        return path == wanted.value or path.startswith(wanted.value + "/")
-    return regex.full(wanted.value, path)
+def path_holds(pattern: Path, path: str) -> bool:
+    if pattern.kind == "exact":
+        return path == pattern.value
+    if pattern.kind == "prefix":
+        return path == pattern.value or path.startswith(pattern.value + "/")
+    return regex.full_match(pattern.value, path)
 
 
-class Paths:
-    """All entries of one host pattern, by path."""
+class PathIndex:
+    """The entries of one host pattern, indexed by path."""
 
-    __slots__ = ("deepest", "exact", "prefixes", "regexes", "regexes_deepest", "starts")
+    __slots__ = ("exact", "literal_starts", "prefix_depth", "prefixes", "regex_depth", "regexes")
 
     def __init__(self, entries: Sequence[Entry]) -> None:
         self.exact: dict[str, list[Entry]] = {}
         self.prefixes: dict[str, list[Entry]] = {}
-        # By the folder that a pattern's literal start lies in: only these can hold for a path below it.
+        # By the folder of the pattern's literal start: a pattern can match only paths below its folder.
         self.regexes: dict[str, list[tuple[int, Any, Entry]]] = {}
         starts: list[tuple[str, int, Entry]] = []
-        for place, entry in enumerate(sorted(entries, key=lambda one: one.order)):
+        for position, entry in enumerate(sorted(entries, key=lambda item: item.order)):
             path = entry.match.path
             if path.kind == "exact":
                 self.exact.setdefault(path.value, []).append(entry)
@@ -134,26 +135,26 @@
                 self.prefixes.setdefault(path.value, []).append(entry)
             else:
                 start = regex.literal_start(path.value)
-                starts.append((start, place, entry))
-                item = (place, regex.compiled(path.value), entry)
-                self.regexes.setdefault(start[: max(0, start.rfind("/"))], []).append(item)
-        self.starts = sorted(starts, key=lambda one: one[:2])
-        self.deepest = max((prefix.count("/") for prefix in self.prefixes), default=-1)
-        self.regexes_deepest = max((folder.count("/") for folder in self.regexes), default=-1)
+                starts.append((start, position, entry))
+                candidate = (position, regex.compiled(path.value), entry)
+                self.regexes.setdefault(start[: max(0, start.rfind("/"))], []).append(candidate)
+        self.literal_starts = sorted(starts, key=lambda item: item[:2])
+        self.prefix_depth = max((prefix.count("/") for prefix in self.prefixes), default=-1)
+        self.regex_depth = max((folder.count("/") for folder in self.regexes), default=-1)
 
     def groups(self, path: str) -> Iterator[Sequence[Entry]]:
-        """Entries whose path holds, the first in the order first."""
+        """Groups of entries whose path matches, by descending precedence."""
         found = self.exact.get(path)
         if found is not None:
             yield found
         if self.regexes:
-            found = [item[2] for item in self.near(path) if item[1].fullmatch(path) is not None]
+            found = [item[2] for item in self.regex_candidates(path) if item[1].fullmatch(path) is not None]
             if found:
                 yield found
-        if self.deepest < 0:
+        if self.prefix_depth < 0:
             return
         prefixes = self.prefixes
-        path = cut(path, self.deepest)
+        path = truncate_path(path, self.prefix_depth)
         while True:
             found = prefixes.get(path)
             if found is not None:
@@ -162,39 +163,41 @@
                 return
             path = path[: path.rfind("/")]
 
-    def near(self, path: str) -> list[tuple[int, Any, Entry]]:
-        """Regular expressions whose literal start does not rule a path out, in their order."""
+    def regex_candidates(self, path: str) -> list[tuple[int, Any, Entry]]:
+        """Regular expressions whose literal start does not exclude the path, by descending precedence."""
         found: list[tuple[int, Any, Entry]] = []
-        at = cut(path, self.regexes_deepest + 1)
+        folder = truncate_path(path, self.regex_depth + 1)
         while True:
-            at = at[: max(0, at.rfind("/"))]
-            found += self.regexes.get(at, ())
-            if not at:
+            folder = folder[: max(0, folder.rfind("/"))]
+            found += self.regexes.get(folder, ())
+            if not folder:
                 break
         if len(found) > 1:
             found.sort(key=lambda item: item[0])
         return found
 
-    def below(self, folder: str) -> list[Entry]:
-        """Regular expressions that may hold for some path below a folder (`/a/`), in their order."""
-        found = [(place, entry) for place, _, entry in self.near(folder)]
-        for number in range(bisect_left(self.starts, folder, key=lambda one: one[0]), len(self.starts)):
-            start, place, entry = self.starts[number]
+    def regexes_below(self, folder: str) -> list[Entry]:
+        """Entries whose regular expression may match paths below `folder` (`/a/`), in order of precedence."""
+        found = [(position, entry) for position, _, entry in self.regex_candidates(folder)]
+        for index in range(
+            bisect_left(self.literal_starts, folder, key=lambda item: item[0]), len(self.literal_starts)
+        ):
+            start, position, entry = self.literal_starts[index]
             if not start.startswith(folder):
                 break
-            found.append((place, entry))
+            found.append((position, entry))
         return [entry for _, entry in sorted(dict(found).items())]
 
 
-def cut(path: str, deepest: int) -> str:
-    """A path deeper than any that is named: only so many segments count."""
-    if path.count("/") > deepest:
-        return "/".join(path.split("/", deepest + 1)[: deepest + 1])
+def truncate_path(path: str, depth: int) -> str:
+    """The first `depth` segments of a path; deeper ones can't match any indexed text."""
+    if path.count("/") > depth:
+        return "/".join(path.split("/", depth + 1)[: depth + 1])
     return path
 
 
 class Table:
-    """Immutable once made. `find` is pure: the same request always gets the same entry."""
+    """The routes of a description; immutable. `find` is pure: equal requests get the same entry."""
 
     __slots__ = (
         "any_host",
@@ -212,7 +215,7 @@
         self.entries: tuple[Entry, ...] = tuple(
             sorted(
                 (
-                    Entry(rank_of(match, host), route, match, host, conditions(match))
+                    Entry(rank_of(match, host), route, match, host, match_conditions(match))
                     for route in description.routes
                     for match in route.matches
                     for host in match.hosts or ("",)
@@ -223,74 +226,77 @@
         by_host: dict[str, list[Entry]] = {}
         for entry in self.entries:
             by_host.setdefault(entry.host, []).append(entry)
-        self.any_host = Paths(by_host.pop("", []))
-        self.exact_hosts: dict[str, Paths] = {}
-        self.wild_hosts: dict[str, Paths] = {}  # by what follows the star, dot included
+        self.any_host = PathIndex(by_host.pop("", []))
+        self.exact_hosts: dict[str, PathIndex] = {}
+        self.wild_hosts: dict[str, PathIndex] = {}  # by the suffix after the star, with its dot
         for host, entries in by_host.items():
             if host.startswith("*."):
-                self.wild_hosts[host[1:]] = Paths(entries)
+                self.wild_hosts[host[1:]] = PathIndex(entries)
             else:
-                self.exact_hosts[host] = Paths(entries)
-        self.hosts = tuple(sorted(by_host))  # patterns
+                self.exact_hosts[host] = PathIndex(entries)
+        self.hosts = tuple(sorted(by_host))  # all host patterns except the empty one
         matches = [entry.match for entry in self.entries]
         self.classes = tuple(sorted({name for match in matches for name in match.classes}))
         self.segments = frozenset(part for match in matches for part in match.path.value.split("/"))
 
-    def paths(self, host: str) -> Iterator[Paths]:
-        """What may serve a host, the most specific first."""
+    def paths(self, host: str) -> Iterator[PathIndex]:
+        """The indexes whose host pattern matches, the most specific first."""
         if self.exact_hosts:
-            found = self.exact_hosts.get(host)
-            if found is not None:
-                yield found
+            index = self.exact_hosts.get(host)
+            if index is not None:
+                yield index
         if self.wild_hosts:
             dot = host.find(".", 1)
             while dot > 0:
-                found = self.wild_hosts.get(host[dot:])
-                if found is not None:
-                    yield found
+                index = self.wild_hosts.get(host[dot:])
+                if index is not None:
+                    yield index
                 dot = host.find(".", dot + 1)
         yield self.any_host
 
-    def find(self, ask: Ask) -> Entry | None:
-        """The first entry in the order that matches, or None."""
-        for paths in self.paths(ask.host):
-            for group in paths.groups(ask.path):
+    def find(self, request: RequestView) -> Entry | None:
+        """The matching entry with the highest precedence, or None."""
+        for index in self.paths(request.host):
+            for group in index.groups(request.path):
                 for entry in group:
-                    for condition in entry.rest:
-                        if not condition(ask):
+                    for condition in entry.conditions:
+                        if not condition(request):
                             break
                     else:
                         return entry
         return None
 
 
-def refusals(entry: Entry, ask: Ask) -> list[str]:
-    """Why an entry does not take a request: each matcher that does not hold, in words."""
-    match, found = entry.match, []
-    if not host_holds(entry.host, ask.host):
-        found.append(f"host {ask.host or '(none)'} is not {entry.host}")
-    if not path_holds(match.path, ask.path):
-        found.append(f"path {ask.path} is not {match.path}")
-    if match.methods and ask.method not in match.methods:
-        found.append(f"method {ask.method} is not {' or '.join(match.methods)}")
-    if match.tenants and ask.tenant not in match.tenants:
-        found.append(f"{TENANT_HEADER} {ask.tenant or '(none)'} is not {' or '.join(match.tenants)}")
-    if match.classes and ask.cls not in match.classes:
-        found.append(f"class {ask.cls} is not {' or '.join(match.classes)}")
-    if match.budget_ms is not None and not match.budget_ms[0] <= ask.budget_ms < match.budget_ms[1]:
+def refusals(entry: Entry, request: RequestView) -> list[str]:
+    """Why an entry does not match a request: one text for each condition that does not hold."""
+    match, reasons = entry.match, []
+    if not host_holds(entry.host, request.host):
+        reasons.append(f"host {request.host or '(none)'} is not {entry.host}")
+    if not path_holds(match.path, request.path):
+        reasons.append(f"path {request.path} is not {match.path}")
+    if match.methods and request.method not in match.methods:
+        reasons.append(f"method {request.method} is not {' or '.join(match.methods)}")
+    if match.tenants and request.tenant not in match.tenants:
+        reasons.append(f"{TENANT_HEADER} {request.tenant or '(none)'} is not {' or '.join(match.tenants)}")
+    if match.classes and request.cls not in match.classes:
+        reasons.append(f"class {request.cls} is not {' or '.join(match.classes)}")
+    if match.budget_ms is not None and not match.budget_ms[0] <= request.budget_ms < match.budget_ms[1]:
         low, high = match.budget_ms
-        found.append(f"remaining time {ask.budget_ms:g} ms is not in [{low:g}, {high:g})")
-    for kind, texts, values in (("header", match.headers, ask.headers), ("query", match.query, ask.query)):
+        reasons.append(f"remaining time {request.budget_ms:g} ms is not in [{low:g}, {high:g})")
+    for kind, texts, values in (
+        ("header", match.headers, request.headers),
+        ("query", match.query, request.query),
+    ):
         for text in texts:
             value = values.get(text.name)
             if not text_holds(text, value):
-                wanted = "present" if text.kind == "present" else f"{text.kind} {text.value!r}"
-                found.append(
-                    f"{kind} {text.name} {value!r} is not {wanted}"
+                condition = "present" if text.kind == "present" else f"{text.kind} {text.value!r}"
+                reasons.append(
+                    f"{kind} {text.name} {value!r} is not {condition}"
                     if value is not None
                     else f"{kind} {text.name} is missing"
                 )
-    if match.sources and not source_holds(match.sources, ask):
+    if match.sources and not source_holds(match.sources, request):
         nets = " or ".join(map(str, match.sources))
-        found.append(f"source {ask.source or '(none)'} is not in {nets}")
-    return found
+        reasons.append(f"source {request.source or '(none)'} is not in {nets}")
+    return reasons
--- a/gladegw/routing/model.py
+++ b/gladegw/routing/model.py
@@ -1,4 +1,4 @@
-"""Routes, pools and what a request shows of itself: immutable, checked once by the reader."""
+"""Immutable descriptions of routes and pools, checked once by the reader, and of the requests they match."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 NO_PLACE = Place("", 0)
 
 
-class Ask:
-    """What the matcher looks at of one request. Headers and query are read only when a route asks."""
+class RequestView:
+    """The parts of a request that matchers use. Headers and query are parsed only if a route needs them."""
 
     __slots__ = (
         "_headers",
@@ -51,23 +51,23 @@
 
     @property
     def headers(self) -> Mapping[str, str]:
-        """By lower-case name; several lines of one name are joined (RFC 9110, 5.3)."""
+        """Values by lower-case name; several lines of one name are joined (RFC 9110, 5.3)."""
         if self._headers is None:
-            found: dict[str, str] = {}
+            joined: dict[str, str] = {}
             for name, value in self.raw:
                 key, text = name.decode("latin-1").lower(), value.decode("latin-1")
-                found[key] = f"{found[key]}, {text}" if key in found else text
-            self._headers = found
+                joined[key] = f"{joined[key]}, {text}" if key in joined else text
+            self._headers = joined
         return self._headers
 
     @property
     def query(self) -> Mapping[str, str]:
-        """By name; the first of several counts."""
+        """Values by name; the first one if a name is repeated."""
         if self._query is None:
-            found: dict[str, str] = {}
+            values: dict[str, str] = {}
             for name, value in parse_qsl(self.query_text, keep_blank_values=True):
-                found.setdefault(name, value)
-            self._query = found
+                values.setdefault(name, value)
+            self._query = values
         return self._query
 
     @property
@@ -83,7 +83,7 @@
 
 
 def plain_host(host: str) -> str:
-    """Lower case, without port and final dot."""
+    """A host in lower case, without its port and its final dot."""
     host = host.lower()
     if host.startswith("["):
         return host.partition("]")[0].lstrip("[")
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Text:
-    """What is wanted of a header or a query parameter."""
+    """A condition on the value of one header or query parameter."""
 
     name: str
     kind: Literal["is", "present", "regex"]
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Path:
-    """`exact` is the whole path; `prefix` goes by segments ('' is all paths); `regex` is the whole path."""
+    """`exact` and `regex` match the whole path; `prefix` matches whole segments ('' matches each path)."""
 
     kind: Literal["exact", "prefix", "regex"] = "prefix"
     value: str = ""
@@ -117,30 +117,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Match:
-    """All that is set must hold; an empty tuple asks nothing."""
+    """A request matches if all fields that are set hold; an empty tuple permits any value."""
 
     path: Path = ANY_PATH
-    hosts: tuple[str, ...] = ()  # exact, or `*.` and a suffix
+    hosts: tuple[str, ...] = ()  # an exact host, or `*.` and a suffix
     methods: tuple[str, ...] = ()
     headers: tuple[Text, ...] = ()
     query: tuple[Text, ...] = ()
     classes: tuple[str, ...] = ()
     tenants: tuple[str, ...] = ()
-    budget_ms: tuple[float, float] | None = None  # from, and below
+    budget_ms: tuple[float, float] | None = None  # lower bound (inclusive) and upper bound (exclusive)
     sources: tuple[Network, ...] = ()
     place: Place = field(default=NO_PLACE, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    by: str  # `tenant`, `header:NAME`, `query:NAME` or `request` (each request by itself)
-    weights: tuple[tuple[str, float], ...]  # by pool
+    by: str  # `tenant`, `header:NAME`, `query:NAME`, or `request` (each request is assigned on its own)
+    weights: tuple[tuple[str, float], ...]  # (pool, weight)
 
 
 @dataclass(frozen=True, slots=True)
 class Redirect:
     code: int
-    location: str  # `{path}` and `{query}` stand for the request's
+    location: str  # `{path}` and `{query}` are replaced by those of the request
 
 
 @dataclass(frozen=True, slots=True)
@@ -153,12 +153,12 @@
 @dataclass(frozen=True, slots=True)
 class Mirror:
     pool: str
-    share: float = 1.0  # of the route's requests
+    share: float = 1.0  # fraction of the route's requests
 
 
 @dataclass(frozen=True, slots=True)
 class HeaderEdits:
-    put: tuple[tuple[str, str], ...] = ()  # in place of what is there
+    put: tuple[tuple[str, str], ...] = ()  # replaces existing headers of the name
     add: tuple[tuple[str, str], ...] = ()
     drop: tuple[str, ...] = ()
 
@@ -171,7 +171,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One of pool, split, redirect and answer is set."""
+    """Exactly one of `pool`, `split`, `redirect` and `answer` is set."""
 
     name: str
     matches: tuple[Match, ...]
@@ -179,18 +179,18 @@
     split: Split | None = None
     redirect: Redirect | None = None
     answer: Answer | None = None
-    fallback: tuple[str, ...] = ()  # after the pool's own
+    fallback: tuple[str, ...] = ()  # pools tried after the pool's own fallbacks
     mirror: Mirror | None = None
     edits: HeaderEdits = NO_EDITS
-    rewrite: str | None = None  # what stands for the matched prefix or the whole exact path
-    timeout_ms: float = 0.0  # 0: the caller's
-    attempts: int = 0  # 0: the settings'
-    cls: str = ""  # empty: the first part of the path
+    rewrite: str | None = None  # replaces the matched prefix, or the whole path if it is exact
+    timeout_ms: float = 0.0  # 0: the caller's timeout
+    attempts: int = 0  # 0: the number in the settings
+    cls: str = ""  # empty: the first segment of the path
     app: str = ""
     place: Place = field(default=NO_PLACE, compare=False)
 
     def pools(self) -> tuple[str, ...]:
-        """All that a request of this route may go to, without its mirror."""
+        """All pools that may serve a request of this route; the mirror's pool is not among them."""
         split = tuple(name for name, weight in self.split.weights if weight > 0) if self.split else ()
         return tuple(dict.fromkeys(((self.pool,) if self.pool else ()) + split + self.fallback))
 
@@ -200,13 +200,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Selector:
-    """Which endpoints are members; what is empty asks nothing."""
+    """Selects the endpoints that are members; an empty field permits any value."""
 
     zones: tuple[str, ...] = ()
     types: tuple[str, ...] = ()
     groups: tuple[int, ...] = ()
     names: tuple[str, ...] = ()  # shell patterns
-    statuses: tuple[str, ...] = ()  # Ready, Terminating; both, if none is named
+    statuses: tuple[str, ...] = ()  # Ready, Terminating; empty: both
     least_weight: float = 0.0
 
 
@@ -217,18 +217,18 @@
 class Pool:
     name: str
     selector: Selector = EVERY
-    local: bool = False  # members of the proxy's own zone, as long as enough of them are usable
-    spill_below: float = 0.5  # share of usable local members under which all zones serve; 0: never
-    spill_until: float = 0.7  # share from which the zone serves alone again
-    remember_s: float = 300.0  # for how long a member that vanished is still counted as expected
+    local: bool = False  # use only members of the proxy's own zone while enough of them are usable
+    spill_below: float = 0.5  # fraction of usable local members below which all zones serve; 0: never
+    spill_until: float = 0.7  # fraction from which the proxy's own zone serves alone again
+    remember_s: float = 300.0  # time for which a member that vanished still counts as expected
     subset: int = 0  # members that one proxy uses; 0: all
-    fallback: tuple[str, ...] = ()  # pools, where this one has no usable member
+    fallback: tuple[str, ...] = ()  # pools to use if this one has no usable member
     place: Place = field(default=NO_PLACE, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One of discovery's, as pools look at it."""
+    """An endpoint of the discovery list, with the attributes that selectors use."""
 
     name: str
     zone: str = ""
@@ -258,17 +258,17 @@
     aim_ms: float
     timeout_ms: float  # how long its callers wait
     effect: str = "repeatable"  # `repeatable`, `by_key` or `once`
-    attempts: int = 1  # of one request, over all nodes of a tier
+    attempts: int = 1  # maximum for one request over all nodes of a tier
     place: Place = field(default=NO_PLACE, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class Description:
-    """The routes and pools of one proxy, in the order of their names."""
+    """The routes and pools of one proxy, each sorted by name."""
 
     routes: tuple[Route, ...] = ()
     pools: tuple[Pool, ...] = ()
-    unchanged: bool = True  # the platform wants method, path and query as they came
+    unchanged: bool = True  # the platform requires that method, path and query are forwarded unchanged
     digest: str = ""
 
     def pool(self, name: str) -> Pool | None:
--- a/gladegw/routing/overlap.py
+++ b/gladegw/routing/overlap.py
@@ -1,21 +1,21 @@
-"""Which routes of different applications can match the same request, without comparing each with each."""
+"""Finds routes of different applications that can match the same request, without comparing all pairs."""
 
 from __future__ import annotations
 
 from bisect import bisect_left
 from collections.abc import Iterable, Iterator, Sequence
 
-from gladegw.routing.cells import Truth, meet
+from gladegw.routing.cells import Truth, can_both_match
 from gladegw.routing.matcher import Entry
 
 
 class Bucket:
-    """All entries of one host pattern, to be asked by path."""
+    """The entries of one host pattern, indexed by path. `close` ends the adding of entries."""
 
     def __init__(self) -> None:
         self.by_path: dict[str, list[Entry]] = {}
         self.regexes: list[Entry] = []
-        self.sorted: list[str] = []
+        self.sorted_paths: list[str] = []
 
     def add(self, entry: Entry) -> None:
         if entry.match.path.kind == "regex":
@@ -24,62 +24,62 @@
             self.by_path.setdefault(entry.match.path.value, []).append(entry)
 
     def close(self) -> None:
-        self.sorted = sorted(self.by_path)
+        self.sorted_paths = sorted(self.by_path)
 
     def near(self, entry: Entry) -> Iterator[Entry]:
-        """Those whose path may hold for some path of this entry."""
+        """Entries whose path can match some path that this entry matches."""
         yield from self.regexes
         path = entry.match.path
         if path.kind == "regex":
-            for some in self.by_path.values():
-                yield from some
+            for entries in self.by_path.values():
+                yield from entries
             return
-        at = path.value
-        while True:  # what lies above
-            yield from self.by_path.get(at, ())
-            if not at:
+        parent = path.value
+        while True:  # parent paths
+            yield from self.by_path.get(parent, ())
+            if not parent:
                 break
-            at = at[: at.rfind("/")]
-        if path.kind == "prefix":  # what lies below
+            parent = parent[: parent.rfind("/")]
+        if path.kind == "prefix":  # child paths
             first = path.value + "/"
-            for place in range(bisect_left(self.sorted, first), len(self.sorted)):
-                text = self.sorted[place]
+            for index in range(bisect_left(self.sorted_paths, first), len(self.sorted_paths)):
+                text = self.sorted_paths[index]
                 if not text.startswith(first):
                     break
                 yield from self.by_path[text]
 
 
-def _wider(host: str) -> Iterator[str]:
-    """Patterns that hold for all or some hosts of this one, itself first."""
+def _wider_hosts(host: str) -> Iterator[str]:
+    """The pattern itself, then each wider pattern that matches all of its hosts."""
     yield host
-    at = host[1:] if host.startswith("*.") else host
-    dot = at.find(".", 1)
+    suffix = host[1:] if host.startswith("*.") else host
+    dot = suffix.find(".", 1)
     while dot > 0:
-        yield "*" + at[dot:]
-        dot = at.find(".", dot + 1)
+        yield "*" + suffix[dot:]
+        dot = suffix.find(".", dot + 1)
     if host:
         yield ""
 
 
 def overlaps(entries: Sequence[Entry]) -> Iterable[tuple[Entry, Entry, Truth]]:
-    """One pair of entries for each pair of routes of different applications that meet; with it, whether they
-    surely do (None: a regular expression leaves it open)."""
+    """One pair of entries for each pair of routes of different applications that can match the same request,
+    with True if they certainly can, or None if that depends on a regular expression."""
     buckets: dict[str, Bucket] = {}
     for entry in entries:
         buckets.setdefault(entry.host, Bucket()).add(entry)
     for bucket in buckets.values():
         bucket.close()
-    found: dict[tuple[str, str], tuple[Entry, Entry, Truth]] = {}
+    pairs: dict[tuple[str, str], tuple[Entry, Entry, Truth]] = {}
     for entry in entries:
-        for host in _wider(entry.host):
+        for host in _wider_hosts(entry.host):
             for other in buckets[host].near(entry) if host in buckets else ():
                 if other.route.app == entry.route.app:
                     continue
-                one, two = sorted((entry, other), key=lambda found: found.route.place)
-                key = (str(one.route), str(two.route))
-                if found.get(key, (None, None, None))[2]:
+                first, second = sorted((entry, other), key=lambda item: item.route.place)
+                key = (str(first.route), str(second.route))
+                if pairs.get(key, (None, None, None))[2]:
                     continue
-                met = meet(one, two)
-                if met is not False:
-                    found[key] = (one, two, met)
-    return found.values()
+                truth = can_both_match(first, second)
+                if truth is not False:
+                    pairs[key] = (first, second, truth)
+    return pairs.values()
--- a/gladegw/routing/pools.py
+++ b/gladegw/routing/pools.py
@@ -1,6 +1,6 @@
-"""Who belongs to a pool now: selectors, the local zone and its spill-over, subsets, and pools that stand in.
+"""The members of a pool: selectors, the local zone and its spill-over, subsets, and fallback pools.
 
-Time is passed in, in seconds of any steady clock.
+Times are passed in, in seconds of any monotonic clock.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Members:
-    """What a pool holds, and why; `usable` is how many of the names are ready."""
+    """The members of a pool and the reason for them; `usable` counts those that are ready and not ejected."""
 
     names: frozenset[str]
     usable: int
@@ -36,35 +36,41 @@
 
 
 class Membership:
-    """One pool's members over time.
+    """Tracks the members of one pool over time.
 
-    Expected are the local members that are ready, and those that vanished without having been told to drain:
-    an orderly end lowers what is expected, a lost zone does not, until it is forgotten.
+    Local members that are ready count as expected, and so do those that vanished while ready, for
+    `remember_s`. An orderly drain lowers the expected number at once; the loss of a zone lowers it only after
+    that time.
     """
 
-    def __init__(self, pool: Pool, zone: str, me: str) -> None:
-        self.pool, self.zone, self.me = pool, zone, me
-        self.ready: set[str] = set()  # local members at the last look
-        self.vanished: dict[str, float] = {}  # since when
+    def __init__(self, pool: Pool, zone: str, proxy: str) -> None:
+        self.pool, self.zone, self.proxy = pool, zone, proxy
+        self.ready: set[str] = set()  # local members that were ready at the last update
+        self.vanished: dict[str, float] = {}  # local members that vanished while ready, with the time
         self.spilled = False
 
-    def look(self, endpoints: Iterable[Endpoint], now: float, ill: Set[str] = frozenset()) -> Members:
-        """`ill` are members that the pool's own module has taken out of use: listed, and not usable."""
-        chosen = [one for one in endpoints if one.status != "Gone" and selects(self.pool.selector, one)]
+    def update(self, endpoints: Iterable[Endpoint], now: float, ejected: Set[str] = frozenset()) -> Members:
+        """The members now. `ejected` are endpoints that the decision module of the pool has taken out of use:
+        they stay members but don't count as usable."""
+        chosen = [
+            endpoint
+            for endpoint in endpoints
+            if endpoint.status != "Gone" and selects(self.pool.selector, endpoint)
+        ]
         if not self.pool.local:
-            return self._made(chosen, ill, False, 0, "all zones")
-        local = [one for one in chosen if one.zone == self.zone]
-        expected = self._expected(local, now)
-        usable = sum(one.status == "Ready" and one.name not in ill for one in local)
+            return self._members(chosen, ejected, False, 0, "all zones")
+        local = [endpoint for endpoint in chosen if endpoint.zone == self.zone]
+        expected = self._expected_count(local, now)
+        usable = sum(endpoint.status == "Ready" and endpoint.name not in ejected for endpoint in local)
         share = usable / expected if expected else 0.0
-        bound = self.pool.spill_until if self.spilled else self.pool.spill_below
-        self.spilled = self.pool.spill_below > 0 and (usable == 0 or share < bound)
-        told = f"{usable} of {expected} local members usable"
-        return self._made(chosen if self.spilled else local, ill, self.spilled, expected, told)
-
-    def _expected(self, local: Sequence[Endpoint], now: float) -> int:
-        listed = {one.name for one in local}
-        ready = {one.name for one in local if one.status == "Ready"}
+        threshold = self.pool.spill_until if self.spilled else self.pool.spill_below
+        self.spilled = self.pool.spill_below > 0 and (usable == 0 or share < threshold)
+        reason = f"{usable} of {expected} local members usable"
+        return self._members(chosen if self.spilled else local, ejected, self.spilled, expected, reason)
+
+    def _expected_count(self, local: Sequence[Endpoint], now: float) -> int:
+        listed = {endpoint.name for endpoint in local}
+        ready = {endpoint.name for endpoint in local if endpoint.status == "Ready"}
         for name in self.ready - listed:
             self.vanished.setdefault(name, now)
         oldest = now - self.pool.remember_s
@@ -74,36 +80,40 @@
         self.ready = ready
         return len(ready) + len(self.vanished)
 
-    def _made(
-        self, chosen: Sequence[Endpoint], ill: Set[str], spilled: bool, expected: int, reason: str
+    def _members(
+        self, chosen: Sequence[Endpoint], ejected: Set[str], spilled: bool, expected: int, reason: str
     ) -> Members:
-        ready = [one.name for one in chosen if one.status == "Ready"]
+        ready = [endpoint.name for endpoint in chosen if endpoint.status == "Ready"]
         size = self.pool.subset
         if size and len(ready) > size:
-            kept = subset(self.me, ready, size)
-            # One that drains stays as long as it would belong here, so that its calls are seen to the end.
-            every = frozenset(subset(self.me, [one.name for one in chosen], size))
-            draining = [one.name for one in chosen if one.status != "Ready" and one.name in every]
-            usable = sum(name not in ill for name in kept)
-            told = f"{reason}; {size} of {len(ready)}"
-            return Members(frozenset(kept + draining), usable, spilled, expected, told)
-        usable = sum(name not in ill for name in ready)
-        return Members(frozenset(one.name for one in chosen), usable, spilled, expected, reason)
-
-
-def standing_in(
+            kept = subset(self.proxy, ready, size)
+            # A draining member stays while it would belong to the subset, so that its calls can complete.
+            subset_of_all = frozenset(subset(self.proxy, [endpoint.name for endpoint in chosen], size))
+            draining = [
+                endpoint.name
+                for endpoint in chosen
+                if endpoint.status != "Ready" and endpoint.name in subset_of_all
+            ]
+            usable = sum(name not in ejected for name in kept)
+            subset_reason = f"{reason}; {size} of {len(ready)}"
+            return Members(frozenset(kept + draining), usable, spilled, expected, subset_reason)
+        usable = sum(name not in ejected for name in ready)
+        return Members(frozenset(endpoint.name for endpoint in chosen), usable, spilled, expected, reason)
+
+
+def first_usable_pool(
     first: str, route_fallback: Sequence[str], pools: Mapping[str, Pool], usable: Callable[[str], bool]
 ) -> str | None:
-    """The pool that serves: the first, then its own fallbacks, then the route's, the first that has a usable
-    member. None: nobody can, and the request is answered at once."""
-    seen: set[str] = set()
-    waiting = [first, *route_fallback]
-    while waiting:
-        name = waiting.pop(0)
-        if name in seen or name not in pools:
+    """The first pool with a usable member among `first`, its own fallbacks (depth first) and those of the
+    route, in this order. None: there is none, and the request is rejected at once."""
+    visited: set[str] = set()
+    candidates = [first, *route_fallback]
+    while candidates:
+        name = candidates.pop(0)
+        if name in visited or name not in pools:
             continue
-        seen.add(name)
+        visited.add(name)
         if usable(name):
             return name
-        waiting[:0] = pools[name].fallback
+        candidates[:0] = pools[name].fallback
     return None
--- a/gladegw/routing/read.py
+++ b/gladegw/routing/read.py
@@ -1,4 +1,4 @@
-"""Blocks to routes and pools. Each fault becomes a finding, so that one run names them all."""
+"""Reads routes and pools from blocks. Each fault becomes a finding, so that one run reports all of them."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
 MATCHERS = ("header", "query")
 ROUTE_BLOCKS = ("match", "split", "redirect", "answer", "mirror", "edit_headers", *MATCHERS)
-KEPT = frozenset(  # headers that carry the platform's protocol or the framing
+PROTECTED_HEADERS = frozenset(  # headers that carry the platform's protocol or the framing
     "x-call-id idempotency-key x-budget x-caller x-again x-call-info x-call-cost content-length connection "
     "transfer-encoding upgrade te trailer keep-alive expect".split()
 )
@@ -71,7 +71,7 @@
         fields.fault("R005", "spill_until must not be below spill_below", "spill_until")
     if not pool.local and (fields.has("spill_below") or fields.has("spill_until")):
         key = "spill_below" if fields.has("spill_below") else "spill_until"
-        fields.fault("R007", f"{key} goes only with local = true", key)
+        fields.fault("R007", f"{key} requires local = true", key)
     if pool.name in pool.fallback:
         fields.fault("R403", "falls back to itself", "fallback")
     _name(block, findings)
@@ -81,9 +81,9 @@
 
 def _name(block: Block, findings: list[Finding]) -> None:
     if not NAME.fullmatch(block.label):
-        what = f"{block.label!r} is no name" if block.label else f"{block.name} needs a name"
+        message = f"{block.label!r} is not a valid name" if block.label else f"{block.name} needs a name"
         hint = "lower-case letters, digits, '.', '_' and '-', 63 at most"
-        findings.append(Finding("R006" if not block.label else "R005", block.place, what, None, hint))
+        findings.append(Finding("R006" if not block.label else "R005", block.place, message, None, hint))
 
 
 def _pattern(fields: Fields, key: str, pattern: str) -> bool:
@@ -98,20 +98,20 @@
 def _text(block: Block, findings: list[Finding]) -> Text | None:
     fields = Fields(block, findings)
     name = block.label.lower() if block.name == "header" else block.label
-    asked = [key for key in ("is", "present", "regex") if fields.has(key)]
+    conditions = [key for key in ("is", "present", "regex") if fields.has(key)]
     fields.done()
     if not name or (block.name == "header" and not TOKEN.fullmatch(name)):
         fields.fault("R006", f"{block.name} needs a name")
         return None
-    if len(asked) != 1:
-        fields.fault("R007", "takes one of is, present and regex")
+    if len(conditions) != 1:
+        fields.fault("R007", "needs exactly one of is, present and regex")
         return None
-    if asked == ["present"]:
+    if conditions == ["present"]:
         if not fields.truth("present", True):
             fields.wrong("present", "true")
         return Text(name, "present")
-    value = fields.text(asked[0], empty=True)
-    if asked == ["regex"]:
+    value = fields.text(conditions[0], empty=True)
+    if conditions == ["regex"]:
         return Text(name, "regex", value) if _pattern(fields, "regex", value) else None
     return Text(name, "is", value)
 
@@ -140,7 +140,7 @@
         return Path("regex", value) if value and _pattern(fields, "regex", value) else Path()
     if value and not value.startswith("/"):
         fields.fault("R008", f"{key} must begin with '/'", key)
-    elif "?" in value or "#" in value or any(mark <= " " for mark in value):
+    elif "?" in value or "#" in value or any(char <= " " for char in value):
         fields.fault("R008", f"{key} must hold no query, fragment or blank", key)
     return Path("exact", value) if key == "path" else Path("prefix", value.rstrip("/"))
 
@@ -159,24 +159,28 @@
     value = fields.raw("budget_ms")
     if value is None:
         return None
-    plain = isinstance(value, list) and len(value) == 2 and all(type(item) in (int, float) for item in value)
-    if not plain or not 0 <= value[0] < value[1]:
+    valid = isinstance(value, list) and len(value) == 2 and all(type(item) in (int, float) for item in value)
+    if not valid or not 0 <= value[0] < value[1]:
         fields.wrong("budget_ms", "[from, below] in milliseconds")
         return None
     return float(value[0]), float(value[1])
 
 
 def match_of(fields: Fields) -> Match:
-    """The matchers that stand in a block, which may hold other keys beside them."""
+    """Reads the matchers of a block, which may also have other keys."""
     hosts = fields.one_or_more("host", "hosts")
     for host in hosts:
         if not HOST.fullmatch(host):
             hint = "lower case, without port; a wildcard is '*.' and a suffix"
-            fields.fault("R008", f"{host!r} is no host", "host" if fields.has("host") else "hosts", hint)
+            fields.fault(
+                "R008", f"{host!r} is not a valid host", "host" if fields.has("host") else "hosts", hint
+            )
     methods = fields.one_or_more("method", "methods")
     for method in methods:
         if not re.fullmatch(r"[A-Z]{1,20}", method):
-            fields.fault("R008", f"{method!r} is no method", "method" if fields.has("method") else "methods")
+            fields.fault(
+                "R008", f"{method!r} is not a valid method", "method" if fields.has("method") else "methods"
+            )
     return Match(
         path=_path(fields),
         hosts=hosts,
@@ -231,12 +235,12 @@
     code = fields.whole("code", 0, 400, 599)
     if not fields.has("code"):
         fields.fault("R006", "code is missing")
-    wait = fields.number("retry_after", 0.0, 0.0, 86_400.0)
-    if wait and code not in (429, 503):
-        fields.fault("R007", "retry_after goes with 429 and 503", "retry_after")
+    retry_after = fields.number("retry_after", 0.0, 0.0, 86_400.0)
+    if retry_after and code not in (429, 503):
+        fields.fault("R007", "retry_after requires code 429 or 503", "retry_after")
     body = fields.text("body", empty=True)
     fields.done()
-    return Answer(code, body, wait)
+    return Answer(code, body, retry_after)
 
 
 def _mirror(block: Block, findings: list[Finding]) -> Mirror:
@@ -251,7 +255,7 @@
 
 def _edits(block: Block, findings: list[Finding]) -> HeaderEdits:
     fields = Fields(block, findings)
-    made: dict[str, tuple[tuple[str, str], ...]] = {}
+    edits: dict[str, tuple[tuple[str, str], ...]] = {}
     for key in ("put", "add"):
         pairs = []
         for name, value in fields.pairs(key).items():
@@ -259,30 +263,32 @@
                 fields.wrong(key, "an object of header names and texts")
                 continue
             pairs.append((name.lower(), value))
-        made[key] = tuple(pairs)
+        edits[key] = tuple(pairs)
     drop = tuple(name.lower() for name in fields.texts("drop"))
-    for key, names in (*((key, [name for name, _ in pairs]) for key, pairs in made.items()), ("drop", drop)):
+    for key, names in (*((key, [name for name, _ in pairs]) for key, pairs in edits.items()), ("drop", drop)):
         for name in names:
-            if name in KEPT:
-                fields.fault("R007", f"{name} belongs to the protocol and stays as it is", key)
+            if name in PROTECTED_HEADERS:
+                fields.fault("R007", f"{name} belongs to the protocol and can't be edited", key)
     fields.done()
-    return HeaderEdits(made["put"], made["add"], drop)
+    return HeaderEdits(edits["put"], edits["add"], drop)
 
 
 def _matches(block: Block, fields: Fields, findings: list[Finding]) -> tuple[Match, ...]:
     own = match_of(fields)
-    inner = list(block.of("match"))
-    if not inner:
+    inner_blocks = list(block.of("match"))
+    if not inner_blocks:
         return (own,)
     if replace(own, hosts=()) != Match():
-        fields.fault("R007", "matchers but hosts stand either in the route or in its match blocks")
-    found = []
-    for one in inner:
-        more = Fields(one, findings, MATCHERS)
-        match = match_of(more)
-        found.append(match if match.hosts else replace(match, hosts=own.hosts))
-        more.done()
-    return tuple(found)
+        fields.fault(
+            "R007", "matchers other than hosts belong in the route or in its match blocks, not in both"
+        )
+    matches = []
+    for inner_block in inner_blocks:
+        inner_fields = Fields(inner_block, findings, MATCHERS)
+        match = match_of(inner_fields)
+        matches.append(match if match.hosts else replace(match, hosts=own.hosts))
+        inner_fields.done()
+    return tuple(matches)
 
 
 def read_route(block: Block, findings: list[Finding], app: str = "") -> Route:
@@ -314,22 +320,22 @@
 
 
 def _check_actions(route: Route, fields: Fields) -> None:
-    ends = [
+    actions = [
         name
-        for name, found in (
+        for name, value in (
             ("pool", route.pool),
             ("split", route.split),
             ("redirect", route.redirect),
             ("answer", route.answer),
         )
-        if found
+        if value
     ]
-    if not ends:
+    if not actions:
         fields.fault("R006", "needs one of pool, split, redirect and answer")
-    elif len(ends) > 1:
-        fields.fault("R007", f"{ends[0]} and {ends[1]} exclude each other")
-    sends = bool(route.pool or route.split)
-    for key, there in (
+    elif len(actions) > 1:
+        fields.fault("R007", f"{actions[0]} and {actions[1]} exclude each other")
+    forwards = bool(route.pool or route.split)
+    for key, value in (
         ("fallback", route.fallback),
         ("mirror", route.mirror),
         ("rewrite", route.rewrite),
@@ -337,82 +343,83 @@
         ("attempts", route.attempts),
         ("edit_headers", route.edits),
     ):
-        if there and ends and not sends:
-            fields.fault("R007", f"{key} goes only with a pool or a split", key)
+        if value and actions and not forwards:
+            fields.fault("R007", f"{key} requires a pool or a split", key)
     if route.rewrite is not None:
-        if not route.rewrite.startswith("/") or any(mark in route.rewrite for mark in "?# "):
+        if not route.rewrite.startswith("/") or any(char in route.rewrite for char in "?# "):
             fields.fault("R008", "rewrite must be a path", "rewrite")
         if any(match.path.kind == "regex" for match in route.matches):
-            fields.fault("R007", "rewrite goes with path or prefix, not with regex", "rewrite")
+            fields.fault("R007", "rewrite can be used with path or prefix, not with regex", "rewrite")
 
 
 def check_references(description: Description, findings: list[Finding]) -> None:
-    """Names that nothing has, changes that the platform forbids, and fallbacks in a circle."""
+    """Reports unknown names, changes that the platform forbids, and cyclic fallbacks."""
     known = {pool.name: pool for pool in description.pools}
     for route in description.routes:
         mirrored = (route.mirror.pool,) if route.mirror is not None and route.mirror.pool else ()
         split = tuple(name for name, _ in route.split.weights) if route.split else ()
         for name in dict.fromkeys((*route.pools(), *split, *mirrored)):
             if name not in known:
-                what = f"route {route}: unknown pool {name}"
-                findings.append(Finding("R201", route.place, what, None, nearest(name, known)))
+                message = f"route {route}: unknown pool {name}"
+                findings.append(Finding("R201", route.place, message, None, nearest(name, known)))
         if route.rewrite is not None and description.unchanged:
-            what = f"route {route}: rewrite changes the path, and the platform wants it unchanged"
-            findings.append(Finding("R406", route.place, what, None, "set unchanged = false elsewhere"))
+            message = f"route {route}: rewrite changes the path, and the platform wants it unchanged"
+            findings.append(Finding("R406", route.place, message, None, "set unchanged = false elsewhere"))
     for pool in description.pools:
         for name in pool.fallback:
             if name not in known:
-                what = f"pool {pool.name}: unknown pool {name}"
-                findings.append(Finding("R201", pool.place, what, None, nearest(name, known)))
-    for circle in circles({pool.name: pool.fallback for pool in description.pools}):
-        if len(circle) > 1:
-            what = "fallbacks in a circle: " + " -> ".join((*circle, circle[0]))
-            findings.append(Finding("R403", known[circle[0]].place, what, known[circle[1]].place))
-
-
-def circles(edges: dict[str, tuple[str, ...]]) -> list[tuple[str, ...]]:
-    """One circle at least of each knot of names, each from its first name on; each edge is walked once."""
-    found: set[tuple[str, ...]] = set()
-    open_at: dict[str, int] = {}  # place in the trail
+                message = f"pool {pool.name}: unknown pool {name}"
+                findings.append(Finding("R201", pool.place, message, None, nearest(name, known)))
+    for cycle in find_cycles({pool.name: pool.fallback for pool in description.pools}):
+        if len(cycle) > 1:
+            message = "fallbacks in a circle: " + " -> ".join((*cycle, cycle[0]))
+            findings.append(Finding("R403", known[cycle[0]].place, message, known[cycle[1]].place))
+
+
+def find_cycles(edges: dict[str, tuple[str, ...]]) -> list[tuple[str, ...]]:
+    """Finds at least one cycle in each strongly connected component, in linear time: each edge is followed
+    once. A cycle begins with its least name."""
+    cycles: set[tuple[str, ...]] = set()
+    open_at: dict[str, int] = {}  # position in the trail
     closed: set[str] = set()
     for start in sorted(edges):
         if start in closed:
             continue
         trail = [start]
         open_at[start] = 0
-        below = [iter(edges[start])]
+        unfollowed = [iter(edges[start])]
         while trail:
-            name = next(below[-1], None)
+            name = next(unfollowed[-1], None)
             if name is None:
                 closed.add(trail[-1])
                 del open_at[trail.pop()]
-                below.pop()
+                unfollowed.pop()
             elif name in open_at:
-                circle = trail[open_at[name] :]
-                first = circle.index(min(circle))
-                found.add(tuple(circle[first:] + circle[:first]))
+                cycle = trail[open_at[name] :]
+                first = cycle.index(min(cycle))
+                cycles.add(tuple(cycle[first:] + cycle[:first]))
             elif name in edges and name not in closed:
                 open_at[name] = len(trail)
                 trail.append(name)
-                below.append(iter(edges[name]))
-    return sorted(found)
+                unfollowed.append(iter(edges[name]))
+    return sorted(cycles)
 
 
 def unique(blocks: Iterable[Block], findings: list[Finding]) -> list[Block]:
-    """The first of each name; the others are findings."""
+    """The first block of each name; further ones become findings."""
     first: dict[tuple[str, str], Block] = {}
     for block in blocks:
         before = first.setdefault((block.name, block.label), block)
         if before is not block:
-            what = f"a second {block.name} {block.label}".rstrip()
-            findings.append(Finding("R004", block.place, what, before.place, "rename or remove one"))
+            message = f"a second {block.name} {block.label}".rstrip()
+            findings.append(Finding("R004", block.place, message, before.place, "rename or remove one"))
     return list(first.values())
 
 
 def describe(
     documents: Sequence[Document], findings: list[Finding], allowed: tuple[str, ...] = ()
 ) -> Description:
-    """Routes and pools of files that hold nothing else but the `allowed` blocks."""
+    """Reads routes and pools from files that may also contain the `allowed` blocks."""
     blocks = unique([block for document in documents for block in document.blocks], findings)
     known = ("route", "pool", "routes", *allowed)
     unchanged = True
@@ -445,7 +452,7 @@
 
 
 def read_text(text: str, file: str, allowed: tuple[str, ...] = ()) -> Description:
-    """One file's routes and pools; raises RoutingError with all its findings."""
+    """Reads the routes and pools of one file; raises RoutingError with all findings."""
     findings: list[Finding] = []
     description = describe([read_source(text, file, findings)], findings, allowed)
     if findings:
--- a/gladegw/routing/regex.py
+++ b/gladegw/routing/regex.py
@@ -1,13 +1,13 @@
-"""Regular expressions in linear time (RE2), whole-value matches only. Imported where a route has one."""
+"""Regular expressions that match whole values in linear time (RE2, imported once a pattern is compiled)."""
 
 from __future__ import annotations
 
 from functools import lru_cache
 from typing import Any
 
-LONGEST = 1000  # characters of a pattern
-MEMORY = 1 << 20  # bytes of a compiled pattern
-PLAIN_STOP = set(".^$*+?()[]{}|\\")
+MAX_PATTERN_LENGTH = 1000  # characters
+MAX_PATTERN_BYTES = 1 << 20
+METACHARACTERS = set(".^$*+?()[]{}|\\")
 
 
 class PatternError(ValueError):
@@ -16,15 +16,15 @@
 
 @lru_cache(maxsize=20_000)
 def compiled(pattern: str) -> Any:
-    """Raises PatternError."""
+    """The compiled pattern; raises PatternError if it can't be used."""
     try:
         import re2
     except ModuleNotFoundError:
         raise PatternError("needs google-re2: pip install 'gladegw[routes]'") from None
-    if len(pattern) > LONGEST:
-        raise PatternError(f"the pattern has more than {LONGEST} characters")
+    if len(pattern) > MAX_PATTERN_LENGTH:
+        raise PatternError(f"the pattern has more than {MAX_PATTERN_LENGTH} characters")
     options = re2.Options()
-    options.max_mem = MEMORY
+    options.max_mem = MAX_PATTERN_BYTES
     options.log_errors = False
     try:
         return re2.compile(pattern, options)
@@ -34,40 +34,40 @@
         raise PatternError(text) from None
 
 
-def full(pattern: str, value: str) -> bool:
+def full_match(pattern: str, value: str) -> bool:
     return compiled(pattern).fullmatch(value) is not None
 
 
 @lru_cache(maxsize=20_000)
 def literal_start(pattern: str) -> str:
-    """What each match begins with, as far as it shows in the pattern; may be shorter than it could be."""
+    """A literal text that each match begins with; may be shorter than the longest such text."""
     depth = 0
     escaped = False
-    for mark in pattern:  # an alternative at the top makes the start uncertain
+    for char in pattern:  # an alternative at the top level: no common start is known
         if escaped:
             escaped = False
-        elif mark == "\\":
+        elif char == "\\":
             escaped = True
-        elif mark in "([":
+        elif char in "([":
             depth += 1
-        elif mark in ")]":
+        elif char in ")]":
             depth -= 1
-        elif mark == "|" and depth <= 0:
+        elif char == "|" and depth <= 0:
             return ""
-    found = []
-    at = 1 if pattern.startswith("^") else 0
-    while at < len(pattern):
-        mark = pattern[at]
+    literal = []
+    index = 1 if pattern.startswith("^") else 0
+    while index < len(pattern):
+        char = pattern[index]
         width = 1
-        if mark == "\\" and at + 1 < len(pattern) and not pattern[at + 1].isalnum():
-            mark, width = pattern[at + 1], 2
-        elif mark in PLAIN_STOP:
+        if char == "\\" and index + 1 < len(pattern) and not pattern[index + 1].isalnum():
+            char, width = pattern[index + 1], 2
+        elif char in METACHARACTERS:
             break
-        after = pattern[at + width : at + width + 1]
-        if after in ("*", "?", "{"):
-            break  # this one may not be there
-        found.append(mark)
-        at += width
-        if after == "+":
+        following = pattern[index + width : index + width + 1]
+        if following in ("*", "?", "{"):
+            break  # this character may occur zero times
+        literal.append(char)
+        index += width
+        if following == "+":
             break
-    return "".join(found)
+    return "".join(literal)
--- a/gladegw/routing/reload.py
+++ b/gladegw/routing/reload.py
@@ -1,4 +1,4 @@
-"""What a new table changes: which pools go on with what their modules learned, which begin, which end."""
+"""What a new table changes. The decision module of a pool that is kept retains what it has learned."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    kept: tuple[str, ...]  # pools, unchanged or only with another fallback
+    kept: tuple[str, ...]  # pools that are unchanged or differ only in their fallback
     begun: tuple[str, ...]
     ended: tuple[str, ...]
     routes: tuple[int, int, int]  # added, changed, removed
@@ -21,7 +21,7 @@
 
 
 def change(old: Description, new: Description) -> Change:
-    """A pool of the same name is another one once its members would be chosen otherwise."""
+    """Compares two descriptions. A pool is kept if name and selection of members are unchanged."""
     before = {pool.name: replace(pool, fallback=()) for pool in old.pools}
     after = {pool.name: replace(pool, fallback=()) for pool in new.pools}
     kept = tuple(name for name, pool in after.items() if before.get(name) == pool)
--- a/gladegw/routing/source.py
+++ b/gladegw/routing/source.py
@@ -1,8 +1,8 @@
-"""Reads HCL blocks to a tree in which each block, key and value knows its line and column.
+"""Parses HCL blocks to a tree that records the line and column of each block and key.
 
-The settings' own parser keeps no positions and takes tens of seconds for thousands of routes. This reads the
-part of HCL that descriptions use (blocks with labels, and literal values; nothing is computed), and one form
-more: a word before a text, as in `goes_to = pool "south"`.
+The parser of the settings keeps no positions and takes tens of seconds for thousands of routes. This one
+supports the part of HCL that descriptions use (blocks with labels and literal values, no expressions) and one
+extension: a word before a string, as in `goes_to = pool "south"`.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 from gladegw.routing.findings import Finding, Place, RoutingError
 
-LARGEST = 16 << 20  # bytes of a file
-DEEPEST = 16  # blocks and lists in one another
+MAX_FILE_LENGTH = 16 << 20  # characters
+MAX_NESTING = 16  # nested blocks and lists
 
 TOKEN = re.compile(
     r"(?P<blank>[ \t\r]+)|(?P<comment>\#[^\n]*|//[^\n]*|/\*.*?\*/)|(?P<line>\n)"
@@ -30,8 +30,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Named:
-    """A word before a text: `pool "south"`."""
+class Reference:
+    """A word before a string, as in `pool "south"`."""
 
     kind: str
     name: str
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class Block:
-    """`name "label" { ... }`; the label is empty where there is none."""
+    """`name "label" { ... }`; the label is empty if the block has none."""
 
     name: str
     label: str
@@ -59,14 +59,14 @@
         return (block for block in self.blocks if block.name in names)
 
     def place_of(self, key: str) -> Place:
-        found = self.attributes.get(key)
-        return found.place if found is not None else self.place
+        attribute = self.attributes.get(key)
+        return attribute.place if attribute is not None else self.place
 
 
 @dataclass(frozen=True, slots=True)
 class Document:
     file: str
-    digest: str  # of the text
+    digest: str  # of the file's text
     blocks: tuple[Block, ...]
 
 
@@ -83,187 +83,191 @@
 
 
 def tokens(text: str, file: str) -> Iterator[Token]:
-    """All tokens but blanks and comments; raises RoutingError at what is none."""
-    line, begun, at = 1, 0, 0
+    """The tokens except blanks and comments; raises RoutingError at text that is not a token."""
+    line, line_start, offset = 1, 0, 0
     match = TOKEN.match
-    while at < len(text):
-        found = match(text, at)
-        if found is None:
-            place = Place(file, line, at - begun + 1)
-            raise RoutingError([Finding("R001", place, f"unexpected {text[at]!r}")])
-        kind, word = found.lastgroup or "", found[0]
+    while offset < len(text):
+        token = match(text, offset)
+        if token is None:
+            place = Place(file, line, offset - line_start + 1)
+            raise RoutingError([Finding("R001", place, f"unexpected {text[offset]!r}")])
+        kind, token_text = token.lastgroup or "", token[0]
         if kind not in ("blank", "comment"):
-            yield Token(kind, word, line, at - begun + 1)
-        at = found.end()
-        count = word.count("\n") if kind in ("line", "comment") else 0
+            yield Token(kind, token_text, line, offset - line_start + 1)
+        offset = token.end()
+        count = token_text.count("\n") if kind in ("line", "comment") else 0
         if count:
             line += count
-            begun = found.start() + word.rindex("\n") + 1
-    yield Token("end", "", line, at - begun + 1)
+            line_start = token.start() + token_text.rindex("\n") + 1
+    yield Token("end", "", line, offset - line_start + 1)
 
 
 class Reader:
-    """A descent over the tokens of one file."""
+    """Recursive-descent parser of one file."""
 
     def __init__(self, text: str, file: str, findings: list[Finding]) -> None:
         self.file, self.findings = file, findings
-        self.coming = tokens(text, file)
-        self.now = next(self.coming)
+        self.remaining = tokens(text, file)
+        self.current = next(self.remaining)
 
     def place(self) -> Place:
-        return Place(self.file, self.now.line, self.now.column)
+        return Place(self.file, self.current.line, self.current.column)
 
     def fail(self, wanted: str) -> NoReturn:
-        got = {"line": "the end of the line", "end": "the end of the file"}.get(self.now.kind, self.now.text)
-        raise RoutingError([Finding("R001", self.place(), f"wanted {wanted}, found {got}")])
+        got = {"line": "the end of the line", "end": "the end of the file"}.get(
+            self.current.kind, self.current.text
+        )
+        raise RoutingError([Finding("R001", self.place(), f"expected {wanted}, found {got}")])
 
-    def step(self) -> Token:
-        token = self.now
+    def advance(self) -> Token:
+        token = self.current
         if token.kind != "end":
-            self.now = next(self.coming)
+            self.current = next(self.remaining)
         return token
 
     def skip_lines(self) -> None:
-        while self.now.kind == "line":
-            self.step()
+        while self.current.kind == "line":
+            self.advance()
 
-    def take(self, mark: str) -> None:
-        if self.now.text != mark:
+    def expect(self, mark: str) -> None:
+        if self.current.text != mark:
             self.fail(f"{mark!r}")
-        self.step()
+        self.advance()
 
-    def body(self, into: Block, depth: int) -> None:
-        """Attributes and blocks up to the closing brace or the end of the file."""
+    def read_body(self, parent: Block, depth: int) -> None:
+        """Reads attributes and blocks up to the closing brace or the end of the file."""
         while True:
-            while self.now.kind == "line" or self.now.text == ",":
-                self.step()
-            if self.now.kind == "end" or self.now.text == "}":
-                into.end_line = self.now.line
+            while self.current.kind == "line" or self.current.text == ",":
+                self.advance()
+            if self.current.kind == "end" or self.current.text == "}":
+                parent.end_line = self.current.line
                 return
-            if self.now.kind != "word":
+            if self.current.kind != "word":
                 self.fail("a name")
-            place, name = self.place(), self.step().text
-            if self.now.text in ("=", ":"):
-                self.step()
+            place, name = self.place(), self.advance().text
+            if self.current.text in ("=", ":"):
+                self.advance()
                 value = self.value(depth)
-                if self.now.kind not in ("line", "end") and self.now.text not in ("}", ","):
+                if self.current.kind not in ("line", "end") and self.current.text not in ("}", ","):
                     self.fail("the end of the line")
-                before = into.attributes.get(name)
-                if before is None:
-                    into.attributes[name] = Attribute(name, value, place)
+                first = parent.attributes.get(name)
+                if first is None:
+                    parent.attributes[name] = Attribute(name, value, place)
                 else:
-                    found = Finding("R004", place, f"{name} stands twice", before.place, "remove one")
-                    self.findings.append(found)
+                    duplicate = Finding("R004", place, f"{name} is set twice", first.place, "remove one")
+                    self.findings.append(duplicate)
                 continue
-            label = self.string() if self.now.kind == "text" else ""
-            if self.now.text != "{":
+            label = self.string() if self.current.kind == "text" else ""
+            if self.current.text != "{":
                 self.fail("'=' or a block")
-            if depth >= DEEPEST:
-                self.fail("fewer blocks in one another")
-            self.step()
+            if depth >= MAX_NESTING:
+                self.fail(f"at most {MAX_NESTING} nested blocks")
+            self.advance()
             block = Block(name, label, place)
-            self.body(block, depth + 1)
-            self.take("}")
-            into.blocks.append(block)
+            self.read_body(block, depth + 1)
+            self.expect("}")
+            parent.blocks.append(block)
 
     def string(self) -> str:
-        raw = self.now.text[1:-1]
+        raw = self.current.text[1:-1]
         if "\\" not in raw:
-            self.step()
+            self.advance()
             return raw
 
-        def plain(found: re.Match[str]) -> str:
-            mark = found[1]
-            if mark[0] == "u" and len(mark) == 5:
-                return chr(int(mark[1:], 16))
-            if mark not in ESCAPES:
-                self.fail(f"a known escape, not \\{mark}")
-            return ESCAPES[mark]
+        def unescape(escape: re.Match[str]) -> str:
+            char = escape[1]
+            if char[0] == "u" and len(char) == 5:
+                return chr(int(char[1:], 16))
+            if char not in ESCAPES:
+                self.fail(f"a known escape, not \\{char}")
+            return ESCAPES[char]
 
-        text = ESCAPE.sub(plain, raw)
-        self.step()
+        text = ESCAPE.sub(unescape, raw)
+        self.advance()
         return text
 
     def value(self, depth: int) -> Any:
-        if depth >= DEEPEST:
-            self.fail("fewer lists in one another")
-        now = self.now
-        if now.kind == "text":
+        if depth >= MAX_NESTING:
+            self.fail(f"at most {MAX_NESTING} nested lists")
+        token = self.current
+        if token.kind == "text":
             return self.string()
-        if now.kind == "number":
-            self.step()
-            return float(now.text) if any(mark in now.text for mark in ".eE") else int(now.text)
-        if now.kind == "word":
-            self.step()
-            if self.now.kind == "text":
-                return Named(now.text, self.string())
-            if now.text not in WORDS:
+        if token.kind == "number":
+            self.advance()
+            return float(token.text) if any(char in token.text for char in ".eE") else int(token.text)
+        if token.kind == "word":
+            self.advance()
+            if self.current.kind == "text":
+                return Reference(token.text, self.string())
+            if token.text not in WORDS:
                 raise RoutingError(
                     [
                         Finding(
                             "R001",
-                            Place(self.file, now.line, now.column),
-                            f"{now.text} is no value",
-                            hint="a text stands in quotes",
+                            Place(self.file, token.line, token.column),
+                            f"{token.text} is not a value",
+                            hint="a string needs quotes",
                         )
                     ]
                 )
-            return WORDS[now.text]
-        if now.text == "[":
-            return self.items(depth)
-        if now.text == "{":
-            return self.pairs(depth)
+            return WORDS[token.text]
+        if token.text == "[":
+            return self.read_list(depth)
+        if token.text == "{":
+            return self.read_object(depth)
         self.fail("a value")
 
-    def items(self, depth: int) -> list[Any]:
-        self.step()
-        found: list[Any] = []
+    def read_list(self, depth: int) -> list[Any]:
+        self.advance()
+        values: list[Any] = []
         self.skip_lines()
-        while self.now.text != "]":
-            found.append(self.value(depth + 1))
+        while self.current.text != "]":
+            values.append(self.value(depth + 1))
             self.skip_lines()
-            if self.now.text == ",":
-                self.step()
+            if self.current.text == ",":
+                self.advance()
                 self.skip_lines()
-            elif self.now.text != "]":
+            elif self.current.text != "]":
                 self.fail("',' or ']'")
-        self.step()
-        return found
+        self.advance()
+        return values
 
-    def pairs(self, depth: int) -> dict[str, Any]:
-        self.step()
-        found: dict[str, Any] = {}
+    def read_object(self, depth: int) -> dict[str, Any]:
+        self.advance()
+        pairs: dict[str, Any] = {}
         self.skip_lines()
-        while self.now.text != "}":
-            if self.now.kind not in ("text", "word"):
+        while self.current.text != "}":
+            if self.current.kind not in ("text", "word"):
                 self.fail("a key")
             place = self.place()
-            key = self.string() if self.now.kind == "text" else self.step().text
-            if self.now.text not in ("=", ":"):
+            key = self.string() if self.current.kind == "text" else self.advance().text
+            if self.current.text not in ("=", ":"):
                 self.fail("'='")
-            self.step()
+            self.advance()
             value = self.value(depth + 1)
-            if key in found:
-                self.findings.append(Finding("R004", place, f"{key} stands twice", hint="remove one"))
-            found.setdefault(key, value)
-            while self.now.kind == "line" or self.now.text == ",":
-                self.step()
-        self.step()
-        return found
+            if key in pairs:
+                self.findings.append(Finding("R004", place, f"{key} is set twice", hint="remove one"))
+            pairs.setdefault(key, value)
+            while self.current.kind == "line" or self.current.text == ",":
+                self.advance()
+        self.advance()
+        return pairs
 
 
 def read_source(text: str, file: str, findings: list[Finding]) -> Document:
-    """The tree of a file. Keys that stand twice become findings; what is no HCL raises RoutingError."""
-    if len(text) > LARGEST:
+    """Parses a file. Duplicate keys become findings; text that is not HCL raises RoutingError."""
+    if len(text) > MAX_FILE_LENGTH:
         raise RoutingError([Finding("R001", Place(file, 1), "the file is too large")])
     reader = Reader(text, file, findings)
     root = Block("", "", Place(file, 1))
-    reader.body(root, 0)
-    if reader.now.kind != "end":
+    reader.read_body(root, 0)
+    if reader.current.kind != "end":
         reader.fail("a block")
-    return Document(file, digest_of(text), tuple(root.blocks) if not root.attributes else _only(root))
+    return Document(
+        file, digest_of(text), tuple(root.blocks) if not root.attributes else _fail_outside_block(root)
+    )
 
 
-def _only(root: Block) -> NoReturn:
-    stray = min(root.attributes.values(), key=lambda found: found.place)
-    raise RoutingError([Finding("R002", stray.place, f"{stray.key} stands outside any block")])
+def _fail_outside_block(root: Block) -> NoReturn:
+    stray = min(root.attributes.values(), key=lambda attribute: attribute.place)
+    raise RoutingError([Finding("R002", stray.place, f"{stray.key} is outside any block")])
--- a/gladegw/routing/split.py
+++ b/gladegw/routing/split.py
@@ -1,8 +1,9 @@
-"""Where a key falls among weighted pools, and which members of a fleet a proxy keeps to (rendezvous hashing).
- Both are highest-random-weight choices (Thaler and Ravishankar, 1998): each key scores each candidate by a
-hash of both, and the best score wins. A candidate that comes or goes moves only what it wins or has won; with
-weights (score = -weight / ln u, Schindelhauer and Schomaker, 2005) a key moves only towards a pool whose
-share grew.
+"""Rendezvous hashing: the weighted pool of a key, and the subset of a fleet's members that a proxy uses.
+
+Both are highest-random-weight choices (Thaler and Ravishankar, 1998): each candidate gets a score from a hash
+of the key and its name, and the best score wins. Adding or removing a candidate moves only the keys that it
+wins or had won. With weights (score = -weight / ln u, Schindelhauer and Schomaker, 2005) a key moves only to
+a pool whose share grew.
 """
 
 from __future__ import annotations
@@ -13,59 +14,59 @@
 from functools import lru_cache
 from typing import Any
 
-from gladegw.routing.model import Ask, Route
+from gladegw.routing.model import RequestView, Route
 
-SPAN = float(1 << 64)
+HASH_RANGE = float(1 << 64)
 
 
 @lru_cache(maxsize=1)
 def hasher() -> Callable[[Any], int]:
-    """Imported where a split or a subset is used."""
+    """The hash function; imported only if a split or a subset is used."""
     from xxhash import xxh3_64_intdigest
 
     return xxh3_64_intdigest
 
 
-def unit(key: str, name: str) -> float:
-    """A number in (0, 1), the same everywhere for the same two texts."""
+def unit_hash(key: str, name: str) -> float:
+    """Hashes two texts to a number in (0, 1) that is the same in every process."""
     value = hasher()(f"{key}\0{name}".encode("utf-8", "surrogatepass"))
-    return (value + 0.5) / SPAN
+    return (value + 0.5) / HASH_RANGE
 
 
 def choose(key: str, weights: Sequence[tuple[str, float]]) -> str:
-    """The pool of a key; empty if no weight is above 0."""
-    best, found = -1.0, ""
+    """The pool that a key is assigned to; empty if no weight is above 0."""
+    best_score, pool = -1.0, ""
     for name, weight in weights:
         if weight > 0:
-            score = weight / -math.log(min(unit(key, name), 1 - 1e-16))
-            if score > best:
-                best, found = score, name
-    return found
+            score = weight / -math.log(min(unit_hash(key, name), 1 - 1e-16))
+            if score > best_score:
+                best_score, pool = score, name
+    return pool
 
 
 def shares(weights: Sequence[tuple[str, float]]) -> dict[str, float]:
-    whole = sum(weight for _, weight in weights)
-    return {name: weight / whole for name, weight in weights} if whole > 0 else {}
+    total = sum(weight for _, weight in weights)
+    return {name: weight / total for name, weight in weights} if total > 0 else {}
 
 
-def subset(me: str, names: Iterable[str], size: int) -> list[str]:
-    """The members that this proxy keeps to, by name: `size` of them, the same for the same `me` and names."""
+def subset(proxy: str, names: Iterable[str], size: int) -> list[str]:
+    """The sorted names of the `size` members that a proxy uses, the same for the same proxy and names."""
     hashed = hasher()
-    scored = ((hashed(f"{me}\0{name}".encode("utf-8", "surrogatepass")), name) for name in names)
+    scored = ((hashed(f"{proxy}\0{name}".encode("utf-8", "surrogatepass")), name) for name in names)
     return sorted(name for _, name in heapq.nlargest(size, scored))
 
 
-def first_pool(route: Route, ask: Ask) -> str:
-    """Where a request goes first: the pool, or its side of the split."""
+def first_pool(route: Route, request: RequestView) -> str:
+    """The pool tried first: the route's pool, or the one that its split assigns to the request."""
     split = route.split
     if split is None:
         return route.pool
     kind, _, name = split.by.partition(":")
-    key: str | None = ask.call_id
+    key: str | None = request.call_id
     if kind == "tenant":
-        key = ask.tenant
+        key = request.tenant
     elif kind == "header":
-        key = ask.headers.get(name)
+        key = request.headers.get(name)
     elif kind == "query":
-        key = ask.query.get(name)
-    return choose(key or ask.call_id, split.weights)
+        key = request.query.get(name)
+    return choose(key or request.call_id, split.weights)
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes: the compiled matcher against a plain reference, precedence, cells, and files that are no good."""
+"""Routes: the compiled table against a reference matcher, precedence, cells, checks and malformed files."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gladegw.routing.cells import cells, meet, reach
+from gladegw.routing.cells import can_both_match, cells, reachability
 from gladegw.routing.checks import check_table
 from gladegw.routing.findings import RoutingError
 from gladegw.routing.matcher import (
@@ -20,12 +20,12 @@
     source_holds,
     text_holds,
 )
-from gladegw.routing.model import Ask, Description, Match, Path, Route, Text
+from gladegw.routing.model import Description, Match, Path, RequestView, Route, Text
 from gladegw.routing.read import read_text
 from gladegw.routing.source import read_source
 
-PIECES = st.sampled_from(["a", "b", "ab", "status"])
-PATHS = st.lists(PIECES, max_size=3).map(lambda parts: "/" + "/".join(parts))
+SEGMENTS = st.sampled_from(["a", "b", "ab", "status"])
+PATHS = st.lists(SEGMENTS, max_size=3).map(lambda parts: "/" + "/".join(parts))
 HOSTS = st.sampled_from(["x.example", "y.x.example", "z.y.x.example", "example", "other"])
 HOST_PATTERNS = st.sampled_from(["", "x.example", "*.x.example", "*.example", "*.y.x.example"])
 VALUES = st.sampled_from(["1", "2", "12"])
@@ -57,8 +57,8 @@
         tuple(Route(f"r{n}", tuple(matches), pool=f"p{n}") for n, matches in enumerate(found))
     )
 )
-ASKS = st.builds(
-    lambda method, path, host, headers, query, budget, tenant: Ask(
+REQUESTS = st.builds(
+    lambda method, path, host, headers, query, budget, tenant: RequestView(
         method,
         path + ("?" + "&".join(f"{k}={v}" for k, v in query.items()) if query else ""),
         host,
@@ -76,83 +76,85 @@
 )
 
 
-def matches(entry: Entry, ask: Ask) -> bool:
-    """The plain reference: every matcher, one after another."""
+def matches(entry: Entry, request: RequestView) -> bool:
+    """Reference matcher: evaluates each condition in turn."""
     match = entry.match
     return (
-        host_holds(entry.host, ask.host)
-        and path_holds(match.path, ask.path)
-        and (not match.methods or ask.method in match.methods)
-        and (not match.classes or ask.cls in match.classes)
-        and (not match.tenants or ask.tenant in match.tenants)
-        and (match.budget_ms is None or match.budget_ms[0] <= ask.budget_ms < match.budget_ms[1])
-        and all(text_holds(text, ask.headers.get(text.name)) for text in match.headers)
-        and all(text_holds(text, ask.query.get(text.name)) for text in match.query)
-        and (not match.sources or source_holds(match.sources, ask))
+        host_holds(entry.host, request.host)
+        and path_holds(match.path, request.path)
+        and (not match.methods or request.method in match.methods)
+        and (not match.classes or request.cls in match.classes)
+        and (not match.tenants or request.tenant in match.tenants)
+        and (match.budget_ms is None or match.budget_ms[0] <= request.budget_ms < match.budget_ms[1])
+        and all(text_holds(text, request.headers.get(text.name)) for text in match.headers)
+        and all(text_holds(text, request.query.get(text.name)) for text in match.query)
+        and (not match.sources or source_holds(match.sources, request))
     )
 
 
 @settings(max_examples=150, deadline=None)
-@given(DESCRIPTIONS, st.lists(ASKS, min_size=1, max_size=10))
-def test_the_matcher_agrees_with_a_plain_reference(description: Description, asks: list[Ask]) -> None:
+@given(DESCRIPTIONS, st.lists(REQUESTS, min_size=1, max_size=10))
+def test_the_table_agrees_with_the_reference_matcher(
+    description: Description, requests: list[RequestView]
+) -> None:
     table = Table(description)
-    for ask in asks:
-        wanted = min((e for e in table.entries if matches(e, ask)), key=lambda e: e.order, default=None)
-        assert table.find(ask) is wanted
+    for request in requests:
+        expected = min((e for e in table.entries if matches(e, request)), key=lambda e: e.order, default=None)
+        assert table.find(request) is expected
         for entry in table.entries:
-            assert bool(refusals(entry, ask)) is not matches(entry, ask)
+            assert bool(refusals(entry, request)) is not matches(entry, request)
 
 
 @settings(max_examples=100, deadline=None)
-@given(DESCRIPTIONS, st.lists(ASKS, min_size=1, max_size=5), st.randoms(use_true_random=False))
-def test_the_order_of_the_routes_in_the_files_changes_nothing(
-    description: Description, asks: list[Ask], shuffled: random.Random
+@given(DESCRIPTIONS, st.lists(REQUESTS, min_size=1, max_size=5), st.randoms(use_true_random=False))
+def test_the_order_of_the_routes_does_not_matter(
+    description: Description, requests: list[RequestView], shuffled: random.Random
 ) -> None:
     routes = list(description.routes)
     shuffled.shuffle(routes)
-    one, other = Table(description), Table(Description(tuple(routes)))
-    for ask in asks:
-        first, second = one.find(ask), other.find(ask)
-        assert (first and first.route.name) == (second and second.route.name)
+    table, shuffled_table = Table(description), Table(Description(tuple(routes)))
+    for request in requests:
+        entry, shuffled_entry = table.find(request), shuffled_table.find(request)
+        assert (entry and entry.route.name) == (shuffled_entry and shuffled_entry.route.name)
 
 
 @settings(max_examples=80, deadline=None)
-@given(DESCRIPTIONS, MATCHES, st.lists(ASKS, min_size=1, max_size=10))
-def test_the_cells_of_a_region_hold_every_request_of_it(
-    description: Description, region: Match, asks: list[Ask]
+@given(DESCRIPTIONS, MATCHES, st.lists(REQUESTS, min_size=1, max_size=10))
+def test_the_cells_of_a_region_cover_each_of_its_requests(
+    description: Description, region: Match, requests: list[RequestView]
 ) -> None:
-    """Each request of a region is taken by one whom some cell names, and a sure cell tells the truth."""
+    """Some cell names the winner of each request of the region, and a sure cell with one winner is right."""
     table = Table(description)
-    own = [
+    region_entries = [
         Entry((), Route("region", (region,), pool="p"), region, host, ()) for host in region.hosts or ("",)
     ]
-    found = list(cells([table], region))
-    winners = {id(won) for cell in found for won in cell.winners()}
-    for ask in asks:
-        if any(matches(entry, ask) for entry in own):
-            assert id(table.find(ask)) in winners
-    for cell in found:
+    region_cells = list(cells([table], region))
+    winners = {id(won) for cell in region_cells for won in cell.winners()}
+    for request in requests:
+        if any(matches(entry, request) for entry in region_entries):
+            assert id(table.find(request)) in winners
+    for cell in region_cells:
         if cell.sure and len(cell.winners()) == 1 and not cell.path.open:
-            assert table.find(cell.ask()) is cell.winners()[0]
+            assert table.find(cell.example()) is cell.winners()[0]
 
 
 @settings(max_examples=60, deadline=None)
-@given(DESCRIPTIONS, st.lists(ASKS, min_size=1, max_size=20))
-def test_a_route_that_takes_a_request_is_not_called_unreached_and_met_routes_meet(
-    description: Description, asks: list[Ask]
+@given(DESCRIPTIONS, st.lists(REQUESTS, min_size=1, max_size=20))
+def test_a_route_that_takes_a_request_counts_as_reached_and_routes_that_both_match_as_overlapping(
+    description: Description, requests: list[RequestView]
 ) -> None:
     table = Table(description)
-    for ask in asks:
-        won = table.find(ask)
+    for request in requests:
+        won = table.find(request)
         if won is not None:
-            assert reach(table, won)[0] in ("yes", "maybe")
-        both = [entry for entry in table.entries if matches(entry, ask)]
-        for one in both:
-            for other in both:
-                assert meet(one, other) is not False
+            assert reachability(table, won)[0] in ("yes", "maybe")
+        matching = [entry for entry in table.entries if matches(entry, request)]
+        for one in matching:
+            for other in matching:
+                assert can_both_match(one, other) is not False
 
 
-def test_what_is_never_reached_and_what_ties_is_found() -> None:
+def test_unreached_routes_and_ties_are_reported() -> None:
     text = """
     pool "p" {}
     route "wide"   { prefix = "/a"
@@ -177,12 +179,12 @@
     route "hidden" { path = "/c"
                      match { path = "/c" } }
     """.replace('match { path = "/c" }', 'pool = "p"')
-    found = check_table(Table(read_text(text, "f.hcl")))
-    told = sorted((finding.code, finding.place.line) for finding in found)
-    assert told == [("R101", 14), ("R101", 22), ("R103", 22), ("R104", 17)]
+    findings = check_table(Table(read_text(text, "f.hcl")))
+    reported = sorted((finding.code, finding.place.line) for finding in findings)
+    assert reported == [("R101", 14), ("R101", 22), ("R103", 22), ("R104", 17)]
 
 
-def test_a_route_below_others_that_together_take_all_is_never_reached() -> None:
+def test_a_route_is_unreached_only_if_no_request_is_left_to_it() -> None:
     text = """
     pool "p" {}
     route "soon"  { prefix = "/a"
@@ -199,14 +201,15 @@
                     classes = ["a"]
                     methods = ["GET"] }
     """
-    found = check_table(Table(read_text(text, "f.hcl")))
-    assert [(one.code, one.place.line) for one in found] == []  # it is the more specific one
+    findings = check_table(Table(read_text(text, "f.hcl")))
+    # "rest" names a class, so it is the most specific one.
+    assert [(finding.code, finding.place.line) for finding in findings] == []
     text = text.replace('classes = ["a"]', "").replace('methods = ["GET"] }', "}")
-    found = check_table(Table(read_text(text, "f.hcl")))
-    assert found == []  # POST is left to it
+    findings = check_table(Table(read_text(text, "f.hcl")))
+    assert findings == []  # "rest" takes the POST requests
     text = text.replace("budget_ms = [100, 80000]", 'budget_ms = [100, 99000]\nclasses = ["b"]')
-    found = check_table(Table(read_text(text, "f.hcl")))
-    assert [one.code for one in found] == ["R104"]
+    findings = check_table(Table(read_text(text, "f.hcl")))
+    assert [finding.code for finding in findings] == ["R104"]
 
 
 def test_regular_expressions_take_linear_time_and_little_memory() -> None:
@@ -215,18 +218,18 @@
         f'route "r{n}" {{\n regex = "/{pattern}"\n pool = "p"\n}}\n' for n, pattern in enumerate(explosive)
     )
     table = Table(read_text(text, "f.hcl"))
-    assert table.find(Ask("GET", "/" + "a" * 8000 + "!")) is None
-    won = table.find(Ask("GET", "/" + "a" * 8000))
+    assert table.find(RequestView("GET", "/" + "a" * 8000 + "!")) is None
+    won = table.find(RequestView("GET", "/" + "a" * 8000))
     assert won is not None
     with pytest.raises(RoutingError, match="R008"):
         read_text('route "r" {\n regex = "/((a{100}){100}){100}"\n pool = "p"\n}\npool "p" {}', "f.hcl")
 
 
-def test_a_path_of_thousands_of_segments_is_cut_to_what_the_table_knows() -> None:
+def test_a_path_of_thousands_of_segments_is_truncated_to_the_depth_of_the_table() -> None:
     table = Table(read_text('pool "p" {}\nroute "r" {\n prefix = "/a/b"\n pool = "p"\n}', "f.hcl"))
-    (only,) = [table.any_host]
-    assert len(list(only.groups("/a" * 10_000))) == 0
-    won = table.find(Ask("GET", "/a/b" + "/c" * 10_000))
+    (index,) = [table.any_host]
+    assert len(list(index.groups("/a" * 10_000))) == 0
+    won = table.find(RequestView("GET", "/a/b" + "/c" * 10_000))
     assert won is not None and won.route.name == "r"
 
 
@@ -242,7 +245,9 @@
         ("}", 1, 1),
     ],
 )
-def test_a_file_that_is_cut_or_no_hcl_is_named_with_its_place(text: str, line: int, column: int) -> None:
+def test_a_truncated_or_malformed_file_is_reported_with_line_and_column(
+    text: str, line: int, column: int
+) -> None:
     with pytest.raises(RoutingError) as caught:
         read_text(text, "f.hcl")
     assert (caught.value.findings[0].place.line, caught.value.findings[0].place.column) == (line, column)
@@ -250,28 +255,34 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.integers(0, 400), st.binary(max_size=3))
-def test_any_cut_or_changed_file_is_read_or_named(at: int, other: bytes) -> None:
+def test_any_truncated_or_changed_file_is_read_or_reported(position: int, inserted: bytes) -> None:
     whole = 'pool "p" { zones = ["a"] }\nroute "r" {\n  path = "/a" # x\n'
     whole += '  header "h" { is = "\\u00e9" }\n  pool = "p"\n}\n'
-    changed = whole[:at] + other.decode("latin-1") + whole[at + len(other) :]
-    for text in (whole[:at], changed):
+    changed = whole[:position] + inserted.decode("latin-1") + whole[position + len(inserted) :]
+    for text in (whole[:position], changed):
         try:
             read_text(text, "f.hcl")
         except RoutingError as fault:
             assert fault.findings[0].place.line >= 1
 
 
-def test_the_reader_agrees_with_the_settings_parser() -> None:
+def test_the_route_parser_agrees_with_the_settings_parser() -> None:
     from gladegw.net.hcl import blocks_of
 
     text = 'pool "p" {\n  zones = ["a", "b"]\n  subset = 3\n  local = true\n  spill_below = 0.25\n}\n'
-    (mine,) = read_source(text, "f.hcl", []).blocks
-    (theirs,) = blocks_of(text)
-    assert {key: found.value for key, found in mine.attributes.items()} == theirs.values
-    assert (mine.name, mine.label, mine.place.line) == (theirs.name, theirs.label, theirs.line)
+    (route_block,) = read_source(text, "f.hcl", []).blocks
+    (settings_block,) = blocks_of(text)
+    assert {
+        key: attribute.value for key, attribute in route_block.attributes.items()
+    } == settings_block.values
+    assert (route_block.name, route_block.label, route_block.place.line) == (
+        settings_block.name,
+        settings_block.label,
+        settings_block.line,
+    )
 
 
-def test_five_thousand_routes_are_each_found_and_none_hides_another() -> None:
+def test_each_of_five_thousand_routes_is_found_and_reached() -> None:
     text = ['pool "p" {}']
     for number in range(5000):
         host = f'  host = "s{number % 50}.example"\n' if number % 2 else ""
@@ -282,6 +293,6 @@
     table = Table(read_text("\n".join(text), "f.hcl"))
     assert check_table(table) == []
     for number in range(0, 5000, 7):
-        won = table.find(Ask("GET", f"/a{number % 40}/b{number}/12", f"s{number % 50}.example"))
+        won = table.find(RequestView("GET", f"/a{number % 40}/b{number}/12", f"s{number % 50}.example"))
         assert won is not None and won.route.name == f"r{number}"
-        assert len(list(table.any_host.near(f"/a{number % 40}/b{number}/12"))) <= 1
+        assert len(list(table.any_host.regex_candidates(f"/a{number % 40}/b{number}/12"))) <= 1
