--- a/gladegw/apps/check.py
+++ b/gladegw/apps/check.py
@@ -12,7 +12,7 @@
 from gladegw.routing.matcher import Table
 from gladegw.routing.model import Description, Route
 from gladegw.routing.overlap import overlaps
-from gladegw.routing.read import check_references, circles
+from gladegw.routing.read import check_references, find_cycles
 
 
 def check(landscape: Landscape) -> list[Finding]:
@@ -121,7 +121,7 @@
     """Checks the graph of calls between applications: cycles, timeouts and multiplied attempts."""
     apps = {app.name: app for app in landscape.apps}
     edges = {app.name: app.calls for app in landscape.apps}
-    cycles = circles(edges)
+    cycles = find_cycles(edges)
     for cycle in cycles:
         app = apps[cycle[0]]
         message = "applications call each other in a circle: " + " -> ".join((*cycle, cycle[0]))
--- a/gladegw/apps/sidecar.py
+++ b/gladegw/apps/sidecar.py
@@ -11,7 +11,7 @@
 from gladegw.routing.checks import classes_of
 from gladegw.routing.expect import outcome
 from gladegw.routing.matcher import Table, refusals
-from gladegw.routing.model import Ask, Description, Match, Pool, Route
+from gladegw.routing.model import Description, Match, Pool, RequestView, Route
 
 MAX_MOVED_EXAMPLES = 50  # example requests, one for each pair of old and new target
 
@@ -125,7 +125,7 @@
     why_not: tuple[tuple[str, str, int, tuple[str, ...]], ...]  # route, file, line, reasons
 
 
-def explain(description: Description, ask: Ask) -> Explanation:
+def explain(description: Description, ask: RequestView) -> Explanation:
     table = Table(description)
     winner = table.find(ask)
     others: dict[str, tuple[str, str, int, tuple[str, ...]]] = {}
@@ -139,7 +139,7 @@
     return Explanation(outcome(route), str(route) if route is not None else "", tuple(others.values()))
 
 
-def parse_request(text: str) -> Ask:
+def parse_request(text: str) -> RequestView:
     """Parses `METHOD /path name:value ...`. The names host, budget_ms and source set the host, the time
     budget and the source address; all others are headers. Raises ValueError."""
     parts = text.split()
@@ -158,6 +158,6 @@
         for name, value in values.items()
         if name != "host"
     ]
-    return Ask(
+    return RequestView(
         parts[0].upper(), parts[1], values.get("host", ""), raw, budget, values.get("x-caller", ""), source
     )
