--- a/gladegw/control/duties/__init__.py
+++ b/gladegw/control/duties/__init__.py
@@ -1,4 +1,4 @@
-"""Duties that every fleet has; a new one is a module with a class and an entry here."""
+"""Duties that every fleet has. A new duty is a module with a class, which is added to `ALL`."""
 
 from __future__ import annotations
 
--- a/gladegw/control/duties/base.py
+++ b/gladegw/control/duties/base.py
@@ -15,9 +15,9 @@
     `started` is set if the effect was sent and the store rejected its fencing token or a comparison.
     """
 
-    def __init__(self, duty: str, begun: bool = False) -> None:
+    def __init__(self, duty: str, started: bool = False) -> None:
         super().__init__(f"duty {duty} is not held by this member")
-        self.started = begun
+        self.started = started
 
 
 class DutyContext(Protocol):
@@ -35,7 +35,7 @@
         """Create a lease of `ttl` seconds that is not renewed; return its id. Raises StoreClientError."""
 
     async def names(self, first: bytes, end: bytes) -> list[bytes]:
-        """Return the keys of a range that is not watched; raises StoreClientError."""
+        """Return the keys stored in a range that is not watched; raises StoreClientError."""
 
     async def effect(self, *operations: Operation, compares: tuple[Compare, ...] = ()) -> TxnResult:
         """Execute operations in one transaction that is fenced by the duty's token.
@@ -48,14 +48,15 @@
 class DutyWork(ABC):
     """Work of a duty, executed in steps while the duty is held.
 
-    `period` is the time between two steps in seconds. `reads_reported` is set if the steps need the reported
-    keys. When the duty is lost, the current step is cancelled and `end` is called.
+    `period` is the time between two steps in seconds. `reads_reported` is set if the steps read the reported
+    keys, which a member watches only while such a duty needs them. When the duty is lost, the current step is
+    cancelled and `end` is called.
     """
 
     name = ""
     period = 1.0
     reads_reported = False
-    capabilities: tuple[str, ...] = ()  # abilities that members of older versions lack
+    capabilities: tuple[str, ...] = ()  # required of a holder; members of older versions may lack them
 
     async def begin(self, context: DutyContext) -> None:  # noqa: B027
         """Prepare for the first step after the duty was claimed."""
@@ -65,4 +66,4 @@
         """Do one step of the work."""
 
     def end(self) -> None:  # noqa: B027
-        """Discard the state of the steps after the duty was lost; nothing may be written."""
+        """Discard the state kept between steps after the duty was lost; must not write to the store."""
--- a/gladegw/control/duties/config_drift.py
+++ b/gladegw/control/duties/config_drift.py
@@ -12,17 +12,17 @@
 from gladegw.coordination.store import Put
 
 
-def groups(view: StoreCache, field: str) -> dict[str, tuple[str, ...]]:
-    """Group the member names by the digest in a field of their metrics; empty if there is at most one digest.
+def members_by_digest(view: StoreCache, field: str) -> dict[str, tuple[str, ...]]:
+    """Return the member names by the digest in a field of their metrics; empty if no two digests differ.
 
-    Differences by design, as between zones or tiers, are included.
+    Intended differences, as between zones or tiers, are included.
     """
-    found: dict[str, list[str]] = {}
+    groups: dict[str, list[str]] = {}
     for name, metrics in sorted(view.member_metrics().items()):
         digest = getattr(metrics, field)
         if digest:
-            found.setdefault(digest, []).append(name)
-    return {digest: tuple(names) for digest, names in found.items()} if len(found) > 1 else {}
+            groups.setdefault(digest, []).append(name)
+    return {digest: tuple(names) for digest, names in groups.items()} if len(groups) > 1 else {}
 
 
 class ConfigDrift(DutyWork):
@@ -39,16 +39,16 @@
         """Write the drift record if it has changed."""
         view = context.cache
         key = view.keys.fleet_record("compare")
-        discovery, routes = groups(view, "discovery"), groups(view, "routes")
-        before = self.last or view.read(key, ConfigDriftRecord)
+        discovery, routes = members_by_digest(view, "discovery"), members_by_digest(view, "routes")
+        previous = self.last or view.read(key, ConfigDriftRecord)
         since = 0.0
         if discovery or routes:
-            since = before.since if before is not None and before.since else time.time()
-        now = ConfigDriftRecord(token=context.token, discovery=discovery, routes=routes, since=since)
-        if self.last is None or msgspec.structs.replace(now, token=self.last.token) != self.last:
-            await context.effect(Put(key, encode(now)))
-            self.last = now
+            since = previous.since if previous is not None and previous.since else time.time()
+        drift = ConfigDriftRecord(token=context.token, discovery=discovery, routes=routes, since=since)
+        if self.last is None or msgspec.structs.replace(drift, token=self.last.token) != self.last:
+            await context.effect(Put(key, encode(drift)))
+            self.last = drift
 
     def end(self) -> None:
-        """Discard the state of the steps; see `DutyWork.end`."""
+        """Discard the state kept between steps; see `DutyWork.end`."""
         self.last = None
--- a/gladegw/control/duties/fleet_summary.py
+++ b/gladegw/control/duties/fleet_summary.py
@@ -7,14 +7,14 @@
 from gladegw.coordination.records import FleetSummaryRecord, MemberMetricsRecord, encode
 from gladegw.coordination.store import Put
 
-MAX_WORST = 5
+MAX_WORST = 5  # members listed as those with the highest unserved fraction
 
 
 def unserved_fraction(metrics: dict[str, int]) -> float:
     """Return the fraction of the finished requests that were not served; 0 if there are none."""
     finished = {
-        end: sum(value for name, value in metrics.items() if name.endswith("." + end))
-        for end in ("passed", "dropped", "bad_gateway")
+        outcome: sum(value for name, value in metrics.items() if name.endswith("." + outcome))
+        for outcome in ("passed", "dropped", "bad_gateway")
     }
     total = sum(finished.values())
     return 1 - finished["passed"] / total if total else 0.0
@@ -49,11 +49,11 @@
 
     async def step(self, context: DutyContext) -> None:
         """Write the summary if it has changed."""
-        fleet = summarize(context.cache, context.token)
-        if fleet != self.last:
-            await context.effect(Put(context.cache.keys.fleet_record("digest"), encode(fleet)))
-            self.last = fleet
+        summary = summarize(context.cache, context.token)
+        if summary != self.last:
+            await context.effect(Put(context.cache.keys.fleet_record("digest"), encode(summary)))
+            self.last = summary
 
     def end(self) -> None:
-        """Discard the state of the steps; see `DutyWork.end`."""
+        """Discard the state kept between steps; see `DutyWork.end`."""
         self.last = None
--- a/gladegw/control/duties/member_cleanup.py
+++ b/gladegw/control/duties/member_cleanup.py
@@ -1,4 +1,4 @@
-"""Duty `sweeper`: records when members were lost and removes the records of long-lost ones."""
+"""Duty `sweeper`: records when members were lost and removes the records of those lost for long."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from gladegw.coordination.records import encode
 from gladegw.coordination.store import Delete, Operation, Put
 
-LOST_MEMBER_RETENTION_S = 24 * 3600.0  # then a lost member is forgotten
-MAX_WRITES_PER_STEP = 32  # below the operations of one transaction
+LOST_MEMBER_RETENTION_S = 24 * 3600.0  # after this time the record of a lost member is removed
+MAX_WRITES_PER_STEP = 32  # below the number of operations that one transaction may have
 
 
 class MemberCleanup(DutyWork):
     """Update of the known members' records.
 
-    In a fleet with a committed policy only operators remove members that did not sign off.
+    In a fleet with a committed policy, only operators remove members that were lost without signing off.
     """
 
     name = "sweeper"
@@ -27,7 +27,7 @@
     async def step(self, context: DutyContext) -> None:
         """Update or delete records of known members, at most MAX_WRITES_PER_STEP of them.
 
-        The time of loss is only displayed and used to forget members; a returning member is recorded again.
+        The time of loss is only displayed and used to remove records; a returning member is recorded again.
         """
         view, now = context.cache, time.time()
         live = {member.name for _, member in view.members()}
--- a/gladegw/control/duties/policy_coordinator.py
+++ b/gladegw/control/duties/policy_coordinator.py
@@ -1,4 +1,4 @@
-"""Duty `policy`: decides on the open policy change as soon as its votes allow."""
+"""Duty `policy`: decides the open policy change as soon as the votes suffice."""
 
 from __future__ import annotations
 
@@ -21,29 +21,32 @@
 )
 from gladegw.coordination.store import Compare, Delete, KeyValue, Operation, Put, Target
 
-POLL_INTERVAL_S = 1.0  # between checks without store updates
-MAX_HISTORY = 100  # epochs
+POLL_INTERVAL_S = 1.0  # between checks while no store update arrives
+MAX_HISTORY = 100  # committed epochs kept in the store
 MAX_COMPARED_VOTES = 100  # per transaction: the store takes 128 operations of each kind
 
 
 def votes(view: StoreCache) -> dict[str, Vote]:
     """Return all votes by process, as `name#incarnation`."""
-    found = {}
-    for parts, ballot in view.records("policy", "votes", form=VoteRecord):
-        found["#".join(parts)] = Vote(ballot.change, ballot.digest, ballot.yes, ballot.reason)
-    return found
+    by_process = {}
+    for parts, record in view.records("policy", "votes", form=VoteRecord):
+        by_process["#".join(parts)] = Vote(record.change, record.digest, record.yes, record.reason)
+    return by_process
 
 
-def votes_on(cast: dict[str, Vote], change: PolicyChangeRecord) -> dict[str, Vote]:
-    """Return the votes with the change's common digest.
+def with_common_digest(cast_votes: dict[str, Vote], change: PolicyChangeRecord) -> dict[str, Vote]:
+    """Return the votes with digests that can be compared to the change's digest.
 
-    Votes on another bundle than the one meant for the voter get an empty digest.
+    A rollout stage gives members different bundles. A vote on the bundle meant for its voter gets the
+    change's digest, a vote on another bundle an empty one.
     """
-    found = {}
-    for who, vote in cast.items():
-        mine = own_digests(change, who.partition("#")[0])[0]
-        found[who] = replace(vote, digest=change.digest) if vote.digest == mine else replace(vote, digest="")
-    return found
+    by_process = {}
+    for process, vote in cast_votes.items():
+        expected = own_digests(change, process.partition("#")[0])[0]
+        by_process[process] = (
+            replace(vote, digest=change.digest) if vote.digest == expected else replace(vote, digest="")
+        )
+    return by_process
 
 
 def registered(view: StoreCache) -> set[str]:
@@ -52,33 +55,33 @@
 
 
 def current_decision(
-    view: StoreCache, change: PolicyChangeRecord, id: int
+    view: StoreCache, change: PolicyChangeRecord, create_revision: int
 ) -> tuple[Decision, dict[str, Vote]]:
-    """Return the decision on an open change by the present state, and the votes."""
-    force = view.read(view.keys.committed_policy, PolicyRecord) or PolicyRecord(epoch=0, digest="")
+    """Return the decision on an open change as the cached records allow it now, and the votes."""
+    committed = view.read(view.keys.committed_policy, PolicyRecord) or PolicyRecord(epoch=0, digest="")
     left = {known.name for _, known in view.known_members() if known.left}
-    signed_off = [who for who in change.members if who.partition("#")[0] in left]
+    signed_off = [process for process in change.members if process.partition("#")[0] in left]
     unreached = [known.name for known in view.missing_members() if not known.left] if change.everyone else []
-    cast = votes_on(votes(view), change)
-    opened = policy_commit.OpenChange(id, change.epoch, change.digest)
-    found = policy_commit.decide(
-        opened,
-        policy_commit.CommittedPolicy(force.epoch, force.digest),
+    cast_votes = with_common_digest(votes(view), change)
+    open_change = policy_commit.OpenChange(create_revision, change.epoch, change.digest)
+    decision = policy_commit.decide(
+        open_change,
+        policy_commit.CommittedPolicy(committed.epoch, committed.digest),
         change.members,
         registered(view),
-        cast,
+        cast_votes,
         signed_off,
         unreached,
     )
-    return found, cast
+    return decision, cast_votes
 
 
-def vote_summary(cast: dict[str, Vote], change: int) -> dict[str, dict[str, str]]:
+def vote_summary(cast_votes: dict[str, Vote], create_revision: int) -> dict[str, dict[str, str]]:
     """Return the votes on a change as its outcome record holds them."""
     return {
-        who: {"vote": "yes" if vote.yes else "no", "reason": vote.reason}
-        for who, vote in cast.items()
-        if vote.change == change
+        process: {"vote": "yes" if vote.yes else "no", "reason": vote.reason}
+        for process, vote in cast_votes.items()
+        if vote.change == create_revision
     }
 
 
@@ -96,41 +99,45 @@
         kv = view.entries.get(view.keys.open_change)
         change = view.read(view.keys.open_change, PolicyChangeRecord)
         if kv is not None and change is not None:
-            found, cast = current_decision(view, change, kv.create_revision)
-            if found.outcome is not Outcome.PENDING:
-                await self._decide(context, change, kv, found, cast)
+            decision, cast_votes = current_decision(view, change, kv.create_revision)
+            if decision.outcome is not Outcome.PENDING:
+                await self._decide(context, change, kv, decision, cast_votes)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(POLL_INTERVAL_S):
                 await view.changed.wait()
 
     @staticmethod
     async def _decide(
-        context: DutyContext, change: PolicyChangeRecord, kv: KeyValue, found: Decision, cast: dict[str, Vote]
+        context: DutyContext,
+        change: PolicyChangeRecord,
+        kv: KeyValue,
+        decision: Decision,
+        cast_votes: dict[str, Vote],
     ) -> None:
         """Write the outcome, and the new policy if the change commits, in one fenced transaction.
 
-        It compares that the same change is still open and the committed policy unchanged. A dry run never
-        commits.
+        The transaction has no effect unless the same change is still open and the committed policy is
+        unchanged. A dry run never commits.
         """
-        at, now = context.cache.keys, time.time()
-        yes = found.outcome is Outcome.COMMIT and not change.dry
-        reason = found.reason or ("a dry run: all would go over" if change.dry else "")
-        ended = ChangeOutcomeRecord(
+        keys, now = context.cache.keys, time.time()
+        commits = decision.outcome is Outcome.COMMIT and not change.dry
+        reason = decision.reason or ("a dry run: all would go over" if change.dry else "")
+        outcome = ChangeOutcomeRecord(
             id=change.id,
             epoch=change.epoch,
             digest=change.digest,
             reason=reason,
             at=now,
-            votes=vote_summary(cast, kv.create_revision),
+            votes=vote_summary(cast_votes, kv.create_revision),
             who=change.who,
             why=change.why,
-            outcome="everywhere" if yes else "nowhere",
+            outcome="everywhere" if commits else "nowhere",
         )
         operations: list[Operation] = [
-            Delete(at.open_change),
-            Put(at.change_outcome(change.id), encode(ended)),
+            Delete(keys.open_change),
+            Put(keys.change_outcome(change.id), encode(outcome)),
         ]
-        if yes:
+        if commits:
             new = PolicyRecord(
                 epoch=change.epoch,
                 digest=change.digest,
@@ -142,31 +149,37 @@
                 rollout=change.rollout,
                 confirm_s=change.confirm_s,
             )
-            operations += [Put(at.committed_policy, encode(new)), Put(at.history(change.epoch), encode(new))]
+            operations += [
+                Put(keys.committed_policy, encode(new)),
+                Put(keys.history(change.epoch), encode(new)),
+            ]
             if change.epoch > MAX_HISTORY:
-                operations.append(Delete(at.history(change.epoch - MAX_HISTORY)))
-        in_force = context.cache.entries.get(at.committed_policy)
+                operations.append(Delete(keys.history(change.epoch - MAX_HISTORY)))
+        committed = context.cache.entries.get(keys.committed_policy)
         compares = (
-            Compare(at.open_change, Target.MOD, "=", kv.mod_revision),
+            Compare(keys.open_change, Target.MOD, "=", kv.mod_revision),
             Compare(
-                at.committed_policy, Target.MOD, "=", in_force.mod_revision if in_force is not None else 0
+                keys.committed_policy,
+                Target.MOD,
+                "=",
+                committed.mod_revision if committed is not None else 0,
             ),
-            *(votes_unchanged(context.cache, cast) if yes else ()),
+            *(votes_unchanged(context.cache, cast_votes) if commits else ()),
         )
         await context.effect(*operations, compares=compares)
 
 
-def votes_unchanged(view: StoreCache, cast: dict[str, Vote]) -> tuple[Compare, ...]:
-    """Return comparisons that all counted votes still exist.
+def votes_unchanged(view: StoreCache, cast_votes: dict[str, Vote]) -> tuple[Compare, ...]:
+    """Return comparisons that hold while all counted votes still exist.
 
-    A vote ends with its voter's lease, and that event may not have arrived. Above MAX_COMPARED_VOTES there
-    are no comparisons: a voter lost at this moment is counted, and reads the committed policy before it
-    serves again.
+    A vote is deleted with its voter's lease, and this update may not have reached the cache yet. Above
+    MAX_COMPARED_VOTES votes there are no comparisons: the vote of a voter lost at this moment is counted, but
+    that voter reads the committed policy before it serves again.
     """
-    if len(cast) > MAX_COMPARED_VOTES:
+    if len(cast_votes) > MAX_COMPARED_VOTES:
         return ()
     keys = [
         view.keys.vote(name, incarnation)
-        for name, _, incarnation in (who.rpartition("#") for who in sorted(cast))
+        for name, _, incarnation in (process.rpartition("#") for process in sorted(cast_votes))
     ]
     return tuple(Compare(key, Target.MOD, "=", view.entries[key].mod_revision) for key in keys)
--- a/gladegw/control/leader_election.py
+++ b/gladegw/control/leader_election.py
@@ -148,7 +148,7 @@
         done = await self.member.client.txn(duties.fenced(self.key, token, *operations, compares=compares))
         if not done.succeeded:
             self.on_key(done.found[0][0] if done.found[0] else None, done.revision)
-            raise NotHolderError(self.work.name, begun=True)
+            raise NotHolderError(self.work.name, started=True)
         return done
 
     def _start_work(self) -> None:
--- a/gladegw/control/policy_bundle.py
+++ b/gladegw/control/policy_bundle.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-CHUNK_BYTES = 256 * 1024  # four fit into one request
-MAX_BUNDLE_BYTES = 16 << 20  # of all files
-SUFFIX = ".routes.hcl"
+CHUNK_BYTES = 256 * 1024  # four chunks fit into one request to the store
+MAX_BUNDLE_BYTES = 16 << 20  # all files of a bundle together
+ROUTE_FILE_SUFFIX = ".routes.hcl"
 
 
 class BundleError(ValueError):
@@ -29,15 +29,15 @@
 
 def split_chunks(raw: bytes) -> list[bytes]:
     """Split a bundle into chunks of at most CHUNK_BYTES."""
-    return [raw[at : at + CHUNK_BYTES] for at in range(0, len(raw), CHUNK_BYTES)]
+    return [raw[start : start + CHUNK_BYTES] for start in range(0, len(raw), CHUNK_BYTES)]
 
 
-def assemble(digest: str, parts: Iterable[bytes]) -> dict[str, str]:
+def assemble(digest: str, chunks: Iterable[bytes]) -> dict[str, str]:
     """Return the files of a bundle by name.
 
     Raises BundleError if chunks are missing, or the content is invalid or does not match the digest.
     """
-    raw = b"".join(parts)
+    raw = b"".join(chunks)
     if not raw:
         raise BundleError(f"bundle {digest} is not in the store")
     if digest_of(raw) != digest:
@@ -51,28 +51,29 @@
 def read_files(folder: str) -> dict[str, str]:
     """Read the route files of a folder, or one file; raises BundleError."""
     path = Path(folder)
-    files = sorted(path.glob(f"*{SUFFIX}")) if path.is_dir() else [path]
+    files = sorted(path.glob(f"*{ROUTE_FILE_SUFFIX}")) if path.is_dir() else [path]
     if not files:
-        raise BundleError(f"{folder}: no files *{SUFFIX}")
-    found: dict[str, str] = {}
+        raise BundleError(f"{folder}: no files *{ROUTE_FILE_SUFFIX}")
+    texts: dict[str, str] = {}
     for file in files:
         try:
-            found[file.name] = file.read_bytes().decode("utf-8")
+            texts[file.name] = file.read_bytes().decode("utf-8")
         except OSError as fault:
             raise BundleError(f"{file}: {fault.strerror or fault}") from None
         except UnicodeDecodeError:
             raise BundleError(f"{file}: not UTF-8") from None
-    if sum(map(len, found.values())) > MAX_BUNDLE_BYTES:
+    if sum(map(len, texts.values())) > MAX_BUNDLE_BYTES:
         raise BundleError(f"{folder}: more than {MAX_BUNDLE_BYTES >> 20} MiB")
-    return found
+    return texts
 
 
-def select_file(files: Mapping[str, str], own: str) -> tuple[str, str]:
-    """Return name and text of the file that a proxy uses: the one named like its own, or the only one.
+def select_file(files: Mapping[str, str], own_file: str) -> tuple[str, str]:
+    """Return name and text of the file that a proxy uses.
 
-    Raises BundleError if there is none.
+    This is the file with the same name as the proxy's own route file, or the only file of the bundle. Raises
+    BundleError if there is none.
     """
-    name = PurePath(own).name
+    name = PurePath(own_file).name
     if name in files:
         return name, files[name]
     if len(files) == 1:
--- a/gladegw/control/policy_proposals.py
+++ b/gladegw/control/policy_proposals.py
@@ -29,7 +29,7 @@
 
 T = TypeVar("T")
 POLL_INTERVAL_S = 0.02  # between reads of a change's outcome
-OUTCOME_GRACE_S = 5.0  # beyond the deadline, for the store to expire the lease
+OUTCOME_GRACE_S = 5.0  # time after the deadline in which the store expires the lease of the change
 RETRY_INTERVAL_S = 0.2
 
 
@@ -44,23 +44,25 @@
     votes: list[dict[str, str]] = field(default_factory=list)
 
 
-def vote_rows(cast: Mapping[str, Mapping[str, str]], awaited: tuple[str, ...] = ()) -> list[dict[str, str]]:
+def vote_rows(
+    cast_votes: Mapping[str, Mapping[str, str]], awaited: tuple[str, ...] = ()
+) -> list[dict[str, str]]:
     """Return votes and awaited votes as rows, sorted by member."""
-    found = [
-        {"member": who.partition("#")[0], "vote": one["vote"], "reason": one["reason"]}
-        for who, one in cast.items()
+    rows = [
+        {"member": process.partition("#")[0], "vote": vote["vote"], "reason": vote["reason"]}
+        for process, vote in cast_votes.items()
     ]
-    found += [{"member": who.partition("#")[0], "vote": "awaited", "reason": ""} for who in awaited]
-    return sorted(found, key=lambda one: (one["member"], one["vote"]))
+    rows += [{"member": process.partition("#")[0], "vote": "awaited", "reason": ""} for process in awaited]
+    return sorted(rows, key=lambda row: (row["member"], row["vote"]))
 
 
-def names(whom: tuple[str, ...]) -> str:
+def member_names(processes: tuple[str, ...]) -> str:
     """Return the member names of processes (`name#incarnation`), separated by commas."""
-    return ", ".join(sorted({who.partition("#")[0] for who in whom}))
+    return ", ".join(sorted({process.partition("#")[0] for process in processes}))
 
 
 def committed_policy(view: StoreCache) -> PolicyRecord:
-    """Return the committed policy, or epoch 0 if there is none."""
+    """Return the committed policy, or a record of epoch 0 if there is none."""
     return view.read(view.keys.committed_policy, PolicyRecord) or PolicyRecord(epoch=0, digest="")
 
 
@@ -75,15 +77,15 @@
         self.keys = Keys(prefix)
 
     async def retry(self, call: Callable[[], Awaitable[T]]) -> T:
-        """Retry an idempotent call until the store has answered or the time has passed."""
-        end = time.monotonic() + self.timeout
+        """Retry an idempotent call until the store has answered or `timeout` has passed."""
+        deadline = time.monotonic() + self.timeout
         while True:
             try:
                 return await call()
             except StoreRejectedError:
                 raise
             except StoreClientError:
-                if time.monotonic() > end:
+                if time.monotonic() > deadline:
                     raise
                 await asyncio.sleep(RETRY_INTERVAL_S)
 
@@ -95,10 +97,10 @@
         """Store a bundle and return its digest; chunks that exist already are identical and not rewritten."""
         raw = policy_bundle.pack(files)
         digest = policy_bundle.digest_of(raw)
-        at = self.keys
-        for number, piece in enumerate(policy_bundle.split_chunks(raw)):
-            key = at.bundle_chunk(digest, number)
-            put = Txn((Compare(key, Target.CREATE, "=", 0),), (Put(key, piece),))
+        keys = self.keys
+        for number, chunk in enumerate(policy_bundle.split_chunks(raw)):
+            key = keys.bundle_chunk(digest, number)
+            put = Txn((Compare(key, Target.CREATE, "=", 0),), (Put(key, chunk),))
             await self.retry(lambda put=put: self.client.txn(put))  # type: ignore[misc]
         return digest
 
@@ -111,15 +113,15 @@
         and StoreClientError if the outcome is unknown.
         """
         view = await self.view()
-        force, at = committed_policy(view), view.keys
-        rollout = view.read(at.rollout, RolloutRecord)
+        committed, keys = committed_policy(view), view.keys
+        rollout = view.read(keys.rollout, RolloutRecord)
         if rollout is not None:
             raise ChangeRejectedError(
                 f"rollout {rollout.id} is under way: wait for its end, or `rollout back`"
             )
         change = PolicyChangeRecord(
             id=secrets.token_hex(8),
-            epoch=force.epoch + 1,
+            epoch=committed.epoch + 1,
             digest=digest,
             everyone=everyone,
             dry=dry,
@@ -129,64 +131,66 @@
             at=time.time(),
         )
         lease, _ = await self.retry(lambda: self.client.grant(deadline))
-        kv = view.entries.get(at.committed_policy)
+        kv = view.entries.get(keys.committed_policy)
         compares = (
-            Compare(at.open_change, Target.CREATE, "=", 0),
-            Compare(at.bundle_chunk(digest, 0), Target.CREATE, ">", 0),
-            Compare(at.committed_policy, Target.MOD, "=", kv.mod_revision if kv is not None else 0),
+            Compare(keys.open_change, Target.CREATE, "=", 0),
+            Compare(keys.bundle_chunk(digest, 0), Target.CREATE, ">", 0),
+            Compare(keys.committed_policy, Target.MOD, "=", kv.mod_revision if kv is not None else 0),
         )
         try:
-            done = await self.client.txn(Txn(compares, (Put(at.open_change, encode(change), lease),)))
-            taken = done.succeeded
+            result = await self.client.txn(Txn(compares, (Put(keys.open_change, encode(change), lease),)))
+            is_open = result.succeeded
         except StoreClientError:  # the outcome is unknown: read it
-            found = (await self.view()).read(at.open_change, PolicyChangeRecord)
-            taken = found is not None and found.id == change.id
-        if not taken:
+            stored_change = (await self.view()).read(keys.open_change, PolicyChangeRecord)
+            is_open = stored_change is not None and stored_change.id == change.id
+        if not is_open:
             await self.retry(lambda: self.client.revoke(lease))
-            open_one = (await self.view()).read(at.open_change, PolicyChangeRecord)
-            if open_one is None:
+            other_change = (await self.view()).read(keys.open_change, PolicyChangeRecord)
+            if other_change is None:
                 raise ChangeRejectedError(
                     "what is in force, or the bundle in the store, has changed meanwhile"
                 )
-            raise ChangeRejectedError(f"change {open_one.id} of {open_one.who or 'somebody'} is open")
+            raise ChangeRejectedError(f"change {other_change.id} of {other_change.who or 'somebody'} is open")
         return change
 
     async def outcome(self, change: PolicyChangeRecord, deadline: int) -> ProposalResult:
         """Wait until the change is decided, cancelled or expired.
 
-        Only two keys are polled, to leave the store to the members, which process the change meanwhile.
+        Only two keys are polled, to keep the load on the store low while the members process the change.
         """
-        at, end = self.keys, time.monotonic() + deadline + OUTCOME_GRACE_S
-        opened = 0  # revision of the change once it was seen
+        keys, end = self.keys, time.monotonic() + deadline + OUTCOME_GRACE_S
+        create_revision = 0  # of the change; 0 until it was read
         while True:
-            done = await self.retry(
-                lambda: self.client.do(Get(at.change_outcome(change.id)), Get(at.open_change))
+            result = await self.retry(
+                lambda: self.client.do(Get(keys.change_outcome(change.id)), Get(keys.open_change))
             )
-            ended, opened_entries = done.found
-            if ended:
-                record = decode(ended[0].value, ChangeOutcomeRecord)
-                cast = vote_rows(record.votes)
-                return ProposalResult(record.outcome, change.epoch, change.digest, record.reason, cast)
-            open_one = decode(opened_entries[0].value, PolicyChangeRecord) if opened_entries else None
-            if open_one is not None and open_one.id == change.id:
-                opened = opened_entries[0].create_revision
+            outcome_entries, open_entries = result.found
+            if outcome_entries:
+                record = decode(outcome_entries[0].value, ChangeOutcomeRecord)
+                rows = vote_rows(record.votes)
+                return ProposalResult(record.outcome, change.epoch, change.digest, record.reason, rows)
+            open_change = decode(open_entries[0].value, PolicyChangeRecord) if open_entries else None
+            if open_change is not None and open_change.id == change.id:
+                create_revision = open_entries[0].create_revision
             else:
-                return await self._undecided(change, opened, "its deadline passed")
+                return await self._undecided(change, create_revision, "its deadline passed")
             if time.monotonic() > end:
-                return await self._undecided(change, opened, "the store did not end it")
+                return await self._undecided(change, create_revision, "the store did not end it")
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _undecided(self, change: PolicyChangeRecord, opened: int, reason: str) -> ProposalResult:
+    async def _undecided(
+        self, change: PolicyChangeRecord, create_revision: int, reason: str
+    ) -> ProposalResult:
         """Build the result of a change that ended without an outcome record."""
         view = await self.view()
-        found, given = current_decision(view, change, opened)
-        if found.awaited:
-            reason += f", awaiting {names(found.awaited)}"
-        cast = vote_rows(vote_summary(given, opened), found.awaited)
-        return ProposalResult("nowhere", change.epoch, change.digest, reason, cast)
+        decision, cast_votes = current_decision(view, change, create_revision)
+        if decision.awaited:
+            reason += f", awaiting {member_names(decision.awaited)}"
+        rows = vote_rows(vote_summary(cast_votes, create_revision), decision.awaited)
+        return ProposalResult("nowhere", change.epoch, change.digest, reason, rows)
 
     async def cancel(self, who: str) -> PolicyChangeRecord | None:
-        """Cancel the open change and return it; None if there is none or it was decided meanwhile."""
+        """Cancel the open change and return it; None if no change is open or it was decided meanwhile."""
         view = await self.view()
         kv, change = (
             view.entries.get(view.keys.open_change),
@@ -194,7 +198,7 @@
         )
         if kv is None or change is None:
             return None
-        ended = ChangeOutcomeRecord(
+        outcome = ChangeOutcomeRecord(
             id=change.id,
             epoch=change.epoch,
             digest=change.digest,
@@ -205,13 +209,13 @@
             why=change.why,
             at=time.time(),
         )
-        done = await self.client.txn(
+        result = await self.client.txn(
             Txn(
                 (Compare(view.keys.open_change, Target.MOD, "=", kv.mod_revision),),
-                (Delete(view.keys.open_change), Put(view.keys.change_outcome(change.id), encode(ended))),
+                (Delete(view.keys.open_change), Put(view.keys.change_outcome(change.id), encode(outcome))),
             )
         )
-        return change if done.succeeded else None
+        return change if result.succeeded else None
 
     async def forget_member(self, name: str) -> str:
         """Remove a lost member's name; return the reason if it cannot be removed, else an empty string."""
@@ -226,30 +230,30 @@
 
     async def files(self, digest: str) -> dict[str, str]:
         """Return the files of a stored bundle; raises BundleError if it is missing or invalid."""
-        at = self.keys
-        _, found = await self.retry(lambda: self.client.get(Get(*at.bundle(digest))))
-        return policy_bundle.assemble(digest, (kv.value for kv in found))
+        keys = self.keys
+        _, chunks = await self.retry(lambda: self.client.get(Get(*keys.bundle(digest))))
+        return policy_bundle.assemble(digest, (kv.value for kv in chunks))
 
 
 def status(view: StoreCache) -> dict[str, Any]:
     """Return the policy, the open change and the members' states, as `policy status` shows them."""
-    force = committed_policy(view)
+    committed = committed_policy(view)
     kv, change = view.entries.get(view.keys.open_change), view.read(view.keys.open_change, PolicyChangeRecord)
-    open_one = None
+    open_change = None
     if kv is not None and change is not None:
-        found, cast = current_decision(view, change, kv.create_revision)
-        open_one = {
+        decision, cast_votes = current_decision(view, change, kv.create_revision)
+        open_change = {
             "id": change.id,
             "epoch": change.epoch,
             "digest": change.digest,
             "who": change.who,
             "why": change.why,
             "dry": change.dry,
-            "reason": found.reason,
-            "votes": vote_rows(vote_summary(cast, kv.create_revision), found.awaited),
+            "reason": decision.reason,
+            "votes": vote_rows(vote_summary(cast_votes, kv.create_revision), decision.awaited),
         }
     members = [
-        {"name": member.name, "epoch": member.epoch, "state": member_state(member, force)}
+        {"name": member.name, "epoch": member.epoch, "state": member_state(member, committed)}
         for _, member in view.members()
     ]
     members += [
@@ -258,18 +262,18 @@
         if not known.left
     ]
     return {
-        "epoch": force.epoch,
-        "digest": force.digest,
-        "who": force.who,
-        "why": force.why,
-        "change": open_one,
-        "members": sorted(members, key=lambda one: str(one["name"])),
+        "epoch": committed.epoch,
+        "digest": committed.digest,
+        "who": committed.who,
+        "why": committed.why,
+        "change": open_change,
+        "members": sorted(members, key=lambda member: str(member["name"])),
     }
 
 
 def history(view: StoreCache) -> list[dict[str, Any]]:
-    """Return the stored committed epochs, in order."""
+    """Return the committed policies in the stored history, by epoch."""
     return [
-        {"epoch": one.epoch, "digest": one.digest, "who": one.who, "why": one.why, "at": one.at}
-        for _, one in view.records("policy", "history", form=PolicyRecord)
+        {"epoch": past.epoch, "digest": past.digest, "who": past.who, "why": past.why, "at": past.at}
+        for _, past in view.records("policy", "history", form=PolicyRecord)
     ]
