--- a/tests/control/test_bundles.py
+++ b/tests/control/test_bundles.py
@@ -1,4 +1,7 @@
-"""What is removed of bundles and outcomes, and never while somebody may still fetch it."""
+"""The duties that remove bundles and outcomes and decide changes, on an in-memory store.
+
+A bundle that a member may still fetch is never removed.
+"""
 
 from __future__ import annotations
 
@@ -7,8 +10,7 @@
 
 import pytest
 
-from gladegw.control.duties import bundle_collection
-from gladegw.control.duties import policy_coordinator as deciding
+from gladegw.control.duties import bundle_collection, policy_coordinator
 from gladegw.control.duties.bundle_collection import MAX_OUTCOMES, UNREFERENCED_GRACE_S, BundleCollection
 from gladegw.control.keys import Keys
 from gladegw.control.store_cache import StoreCache
@@ -41,113 +43,129 @@
 )
 
 
-class Held:
-    """A duty that is held before the store's model."""
+class InMemoryDutyContext:
+    """Context of a duty that is always held, on an in-memory store."""
 
     token = 1
 
     def __init__(self) -> None:
-        self.model, self.keys = InMemoryStore(), Keys("/x")
+        self.store, self.keys = InMemoryStore(), Keys("/x")
 
     @property
     def cache(self) -> StoreCache:
         view = StoreCache(self.keys)
-        view.load_snapshot(self.keys.all, self.model.revision, self.model.get(Get(*self.keys.all)))
+        view.load_snapshot(self.keys.all, self.store.revision, self.store.get(Get(*self.keys.all)))
         return view
 
     def put(self, key: bytes, record: Record | bytes) -> None:
-        self.model.txn(Txn((), (Put(key, record if isinstance(record, bytes) else encode(record)),)))
+        self.store.txn(Txn((), (Put(key, record if isinstance(record, bytes) else encode(record)),)))
 
     async def names(self, first: bytes, end: bytes) -> list[bytes]:
-        return [kv.key for kv in self.model.get(Get(first, end))]
+        return [kv.key for kv in self.store.get(Get(first, end))]
 
     async def grant(self, ttl: int) -> int:
         raise NotImplementedError
 
     async def effect(self, *operations: Operation, compares: tuple[Compare, ...] = ()) -> TxnResult:
-        return self.model.txn(Txn(compares, operations))
+        return self.store.txn(Txn(compares, operations))
 
-    def there(self) -> set[str]:
-        return {kv.key.decode().split("/")[4] for kv in self.model.get(Get(*self.keys.bundle("")))}
+    def bundle_digests(self) -> set[str]:
+        return {kv.key.decode().split("/")[4] for kv in self.store.get(Get(*self.keys.bundle("")))}
 
 
-def test_a_bundle_goes_once_nothing_has_named_it_for_an_hour(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_bundle_is_removed_after_an_hour_without_a_reference(monkeypatch: pytest.MonkeyPatch) -> None:
     now = 1000.0
     monkeypatch.setattr(bundle_collection, "boot_time", lambda: now)
-    held, duty = Held(), BundleCollection()
+    context, duty = InMemoryDutyContext(), BundleCollection()
     for digest in ("force", "stage", "past", "change", "o", "n", "old", "fresh"):
-        held.put(held.keys.bundle_chunk(digest, 0), b"1")
-        held.put(held.keys.bundle_chunk(digest, 1), b"2")
-    held.put(held.keys.committed_policy, PolicyRecord(epoch=2, digest="force", new="stage", named=("a",)))
-    held.put(held.keys.history(1), PolicyRecord(epoch=1, digest="past"))
-    held.put(held.keys.open_change, PolicyChangeRecord(id="c", epoch=3, digest="change"))
-    held.put(held.keys.rollout, ROLLOUT)
-    asyncio.run(duty.step(held))
+        context.put(context.keys.bundle_chunk(digest, 0), b"1")
+        context.put(context.keys.bundle_chunk(digest, 1), b"2")
+    context.put(
+        context.keys.committed_policy, PolicyRecord(epoch=2, digest="force", new="stage", named=("a",))
+    )
+    context.put(context.keys.history(1), PolicyRecord(epoch=1, digest="past"))
+    context.put(context.keys.open_change, PolicyChangeRecord(id="c", epoch=3, digest="change"))
+    context.put(context.keys.rollout, ROLLOUT)
+    asyncio.run(duty.step(context))
     now += UNREFERENCED_GRACE_S - 1
-    held.put(
-        held.keys.committed_policy, PolicyRecord(epoch=3, digest="fresh")
-    )  # named meanwhile, and no more
-    asyncio.run(duty.step(held))
-    assert held.there() == {"force", "stage", "past", "change", "o", "n", "old", "fresh"}
-    held.put(held.keys.committed_policy, PolicyRecord(epoch=4, digest="force", new="stage"))
+    # Referenced only until the next change.
+    context.put(context.keys.committed_policy, PolicyRecord(epoch=3, digest="fresh"))
+    asyncio.run(duty.step(context))
+    assert context.bundle_digests() == {"force", "stage", "past", "change", "o", "n", "old", "fresh"}
+    context.put(context.keys.committed_policy, PolicyRecord(epoch=4, digest="force", new="stage"))
     now += 1
-    asyncio.run(duty.step(held))
-    assert held.there() == {"force", "stage", "past", "change", "o", "n", "fresh"}
+    asyncio.run(duty.step(context))
+    assert context.bundle_digests() == {"force", "stage", "past", "change", "o", "n", "fresh"}
 
 
-def test_nothing_goes_where_a_change_was_opened_since(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_bundle_is_removed_if_a_change_was_opened_since_the_cached_state(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     now = 1000.0
     monkeypatch.setattr(bundle_collection, "boot_time", lambda: now)
-    held, duty = Held(), BundleCollection()
-    held.put(held.keys.bundle_chunk("old", 0), b"1")
-    asyncio.run(duty.step(held))
+    context, duty = InMemoryDutyContext(), BundleCollection()
+    context.put(context.keys.bundle_chunk("old", 0), b"1")
+    asyncio.run(duty.step(context))
     now += UNREFERENCED_GRACE_S
-    real = held.names
+    read_names = context.names
 
-    async def names(first: bytes, end: bytes) -> list[bytes]:
-        found = await real(first, end)
-        view = held.cache
-        monkeypatch.setattr(Held, "cache", property(lambda self: view))  # what is known of the store is older
-        held.put(held.keys.open_change, PolicyChangeRecord(id="c", epoch=1, digest="old"))
-        return found
+    async def open_change_and_read_names(first: bytes, end: bytes) -> list[bytes]:
+        keys = await read_names(first, end)
+        view = context.cache
+        # The duty keeps this cache, which is older than the store from now on.
+        monkeypatch.setattr(InMemoryDutyContext, "cache", property(lambda self: view))
+        context.put(context.keys.open_change, PolicyChangeRecord(id="c", epoch=1, digest="old"))
+        return keys
 
-    held.names = names  # type: ignore[method-assign]
-    view = held.cache
-    monkeypatch.setattr(Held, "cache", property(lambda self: view))
-    asyncio.run(duty.step(held))
-    assert held.there() == {"old"}
+    context.names = open_change_and_read_names  # type: ignore[method-assign]
+    view = context.cache
+    monkeypatch.setattr(InMemoryDutyContext, "cache", property(lambda self: view))
+    asyncio.run(duty.step(context))
+    assert context.bundle_digests() == {"old"}
 
 
-def test_outcomes_are_bounded() -> None:
-    held: Any = Held()
+def test_only_the_newest_outcomes_are_kept() -> None:
+    context: Any = InMemoryDutyContext()
     for number in range(MAX_OUTCOMES + 5):
-        ended = ChangeOutcomeRecord(id=f"{number}", epoch=1, digest="d", outcome="nowhere", at=float(number))
-        held.put(held.keys.change_outcome(f"{number}"), ended)
-    asyncio.run(BundleCollection().step(held))
-    left = [ended.id for _, ended in held.cache.records("policy", "ended", form=ChangeOutcomeRecord)]
-    assert len(left) == MAX_OUTCOMES and "4" not in left and "5" in left
+        outcome = ChangeOutcomeRecord(
+            id=f"{number}", epoch=1, digest="d", outcome="nowhere", at=float(number)
+        )
+        context.put(context.keys.change_outcome(f"{number}"), outcome)
+    asyncio.run(BundleCollection().step(context))
+    retained = [
+        outcome.id for _, outcome in context.cache.records("policy", "ended", form=ChangeOutcomeRecord)
+    ]
+    assert len(retained) == MAX_OUTCOMES and "4" not in retained and "5" in retained
 
 
 @pytest.mark.parametrize("planted", [False, True])
-def test_a_vote_that_ended_meanwhile_decides_nothing(planted: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by a simulated outage: the voter's lease was given back while the decision was on its way."""
+def test_a_vote_deleted_before_the_decision_is_not_counted(
+    planted: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Guards against committing a change on a vote whose lease was revoked while the decision was being sent.
+
+    Without the comparisons of the votes (`planted`), the change commits.
+    """
     if planted:
-        monkeypatch.setattr(deciding, "votes_unchanged", lambda view, cast: ())
-    held, at = Held(), Keys("/x")
-    held.put(at.committed_policy, PolicyRecord(epoch=1, digest="old"))
+        monkeypatch.setattr(policy_coordinator, "votes_unchanged", lambda view, cast: ())
+    context, keys = InMemoryDutyContext(), Keys("/x")
+    context.put(keys.committed_policy, PolicyRecord(epoch=1, digest="old"))
     for name in ("a", "b"):
-        held.put(at.member(name, "i"), MemberRecord(name=name, incarnation="i"))
-    held.put(
-        at.open_change,
+        context.put(keys.member(name, "i"), MemberRecord(name=name, incarnation="i"))
+    context.put(
+        keys.open_change,
         PolicyChangeRecord(id="c", epoch=2, digest="new", members=("a#i", "b#i"), everyone=False),
     )
-    change = held.model.keys[at.open_change].create_revision
+    change = context.store.keys[keys.open_change].create_revision
     for name in ("a", "b"):
-        held.put(at.vote(name, "i"), VoteRecord(change=change, digest="new", yes=True))
-    view = held.cache
-    held.model.txn(Txn((), (Delete(at.vote("b", "i")), Delete(at.member("b", "i")))))
-    monkeypatch.setattr(Held, "cache", property(lambda self: view))  # what is known of the store is older
-    monkeypatch.setattr(deciding, "POLL_INTERVAL_S", 0.0)
-    asyncio.run(deciding.PolicyCoordinator().step(held))
-    assert (at.open_change in held.model.keys) is not planted
-    assert decode(held.model.keys[at.committed_policy].value, PolicyRecord).epoch == (2 if planted else 1)
+        context.put(keys.vote(name, "i"), VoteRecord(change=change, digest="new", yes=True))
+    view = context.cache
+    context.store.txn(Txn((), (Delete(keys.vote("b", "i")), Delete(keys.member("b", "i")))))
+    # The cache is older than the store.
+    monkeypatch.setattr(InMemoryDutyContext, "cache", property(lambda self: view))
+    monkeypatch.setattr(policy_coordinator, "POLL_INTERVAL_S", 0.0)
+    asyncio.run(policy_coordinator.PolicyCoordinator().step(context))
+    assert (keys.open_change in context.store.keys) is not planted
+    assert decode(context.store.keys[keys.committed_policy].value, PolicyRecord).epoch == (
+        2 if planted else 1
+    )
--- a/tests/control/test_policy_sockets.py
+++ b/tests/control/test_policy_sockets.py
@@ -1,4 +1,4 @@
-"""Changes of policy over several processes of the program, while some of them and the store fail."""
+"""Policy changes in a fleet of proxy processes, while processes and the store fail."""
 
 from __future__ import annotations
 
@@ -28,140 +28,145 @@
 
 @contextlib.asynccontextmanager
 async def site(folder: Path, cut_off: str = "serve", members: int = 3, ttl: int = TTL) -> AsyncIterator[Site]:
-    async with store(members) as at, contextlib.AsyncExitStack() as stack:
-        yield Site(at, folder, stack, cut_off, ttl)
+    async with store(members) as store_process, contextlib.AsyncExitStack() as stack:
+        yield Site(store_process, folder, stack, cut_off, ttl)
 
 
-async def answer(node: Proxy) -> tuple[int, str]:
+async def send_request(node: Proxy) -> tuple[int, str]:
     caller = await node.caller()
     try:
-        told = await caller.call("stock", "1".rjust(16, "0"))
-        return told.code, told.body.decode().strip()
+        response = await caller.call("stock", "1".rjust(16, "0"))
+        return response.code, response.body.decode().strip()
     finally:
         caller.writer.close()
 
 
-async def answers(node: Proxy, word: str) -> None:
+async def wait_for_body(node: Proxy, body: str) -> None:
     end = time.monotonic() + PATIENCE
-    while (found := await answer(node))[1] != word:
-        assert time.monotonic() < end, found
+    while (response := await send_request(node))[1] != body:
+        assert time.monotonic() < end, response
         await asyncio.sleep(0.01)
 
 
-def test_a_change_takes_hold_everywhere_and_after_a_start(tmp_path: Path) -> None:
+def test_a_change_is_activated_by_all_members_and_by_one_that_starts_later(tmp_path: Path) -> None:
     async def test() -> None:
-        async with site(tmp_path) as here:
-            nodes = [await here.proxy(f"p{number}") for number in range(3)]
+        async with site(tmp_path) as fleet:
+            nodes = [await fleet.proxy(f"p{number}") for number in range(3)]
             for node in nodes:
-                assert await answer(node) == (404, "first")
-            code, told = await here.propose("second")
-            assert code == 0 and told.keys() == {"outcome", "epoch", "digest", "reason", "votes"}
-            assert told["outcome"] == "everywhere" and told["epoch"] == 1
-            assert [(v["member"], v["vote"]) for v in told["votes"]] == [(f"p{n}", "yes") for n in range(3)]
+                assert await send_request(node) == (404, "first")
+            code, result = await fleet.propose("second")
+            assert code == 0 and result.keys() == {"outcome", "epoch", "digest", "reason", "votes"}
+            assert result["outcome"] == "everywhere" and result["epoch"] == 1
+            assert [(v["member"], v["vote"]) for v in result["votes"]] == [(f"p{n}", "yes") for n in range(3)]
             for node in nodes:
-                await answers(node, "second")
-            found = await here.status(lambda found: all(m["state"] == "in force" for m in found["members"]))
-            digest = told["digest"]
+                await wait_for_body(node, "second")
+            found = await fleet.status(lambda found: all(m["state"] == "in force" for m in found["members"]))
+            digest = result["digest"]
             assert (found["epoch"], found["digest"], found["change"]) == (1, digest, None)
             assert [m["name"] for m in found["members"]] == ["p0", "p1", "p2"]
-            late = await here.proxy("p3")  # its file says otherwise
-            assert await answer(late) == (404, "second")
-            code, told = await here.propose("third")
-            assert (code, told["epoch"]) == (0, 2)
-            await answers(late, "third")
-            code, told = await here.tool("revert", "1", "--wait")
-            assert (code, told["epoch"]) == (0, 3)
+            late = await fleet.proxy("p3")  # its own route file differs
+            assert await send_request(late) == (404, "second")
+            code, result = await fleet.propose("third")
+            assert (code, result["epoch"]) == (0, 2)
+            await wait_for_body(late, "third")
+            code, result = await fleet.tool("revert", "1", "--wait")
+            assert (code, result["epoch"]) == (0, 3)
             for node in (*nodes, late):
-                await answers(node, "second")
-            code, found = await here.tool("diff", "1", "2")
-            changed = [one["file"] for one in found["files"]]
+                await wait_for_body(node, "second")
+            code, found = await fleet.tool("diff", "1", "2")
+            changed = [entry["file"] for entry in found["files"]]
             assert code == 1 and changed == ["second.routes.hcl", "third.routes.hcl"]
-            assert (await here.tool("diff", "1", "3"))[0] == 0
-            told = await late.operator("INFO")
-            assert "policy.epoch=3\n" in told and f"policy.digest={digest}\n" in told
-            _, found = await here.tool("history")
+            assert (await fleet.tool("diff", "1", "3"))[0] == 0
+            result = await late.operator("INFO")
+            assert "policy.epoch=3\n" in result and f"policy.digest={digest}\n" in result
+            _, found = await fleet.tool("history")
             assert [one["epoch"] for one in found["history"]] == [1, 2, 3]
 
     run(test())
 
 
-def test_processes_are_replaced_and_discovery_is_silent_in_the_midst_of_changes(tmp_path: Path) -> None:
-    """Both processes of a name serve meanwhile, and one of them leaves; whatever comes of each change, all
-    that are there answer by what is in force."""
+def test_changes_while_processes_are_replaced_and_discovery_does_not_answer(tmp_path: Path) -> None:
+    """Two processes of one member serve at the same time, and one of them terminates.
+
+    Whether a change commits or not, all running members answer by the committed policy.
+    """
 
     async def test() -> None:
-        async with site(tmp_path) as here:
+        async with site(tmp_path) as fleet:
             silent = await Discovery().start()
             silent.silent = 10**6
-            old, *others = [await here.proxy(name, discovery=silent) for name in ("p0", "p1", "p2")]
-            code, _ = await here.propose("word0")
+            old, *others = [await fleet.proxy(name, discovery=silent) for name in ("p0", "p1", "p2")]
+            code, _ = await fleet.propose("word0")
             assert code == 0
             for number, pause in enumerate((0.0, 0.3, 0.6), 1):
                 host, port = old.address
-                coming = asyncio.create_task(here.proxy("p0", listen=f"{host}:{port}", discovery=silent))
+                starting = asyncio.create_task(fleet.proxy("p0", listen=f"{host}:{port}", discovery=silent))
                 await asyncio.sleep(pause)
-                code, told = await here.propose(f"word{number}")
-                new = await coming
-                if code:  # who came did not vote in time, or another was lost: nowhere, and said why
-                    assert told["outcome"] == "nowhere" and told["reason"], told
-                found = await here.status(lambda now: {m["state"] for m in now["members"]} == {"in force"})
+                code, result = await fleet.propose(f"word{number}")
+                new = await starting
+                if code:  # not committed: the new process did not vote in time, or a member was lost
+                    assert result["outcome"] == "nowhere" and result["reason"], result
+                found = await fleet.status(lambda now: {m["state"] for m in now["members"]} == {"in force"})
                 assert sorted(m["name"] for m in found["members"]) == ["p0", "p0", "p1", "p2"]
-                changing = asyncio.create_task(here.propose(f"then{number}"))
+                proposed = asyncio.create_task(fleet.propose(f"then{number}"))
                 old.process.send_signal(signal.SIGTERM)
-                code, told = await changing
+                code, result = await proposed
                 word = f"then{number}"
                 if code:
-                    code, told = await here.propose(word)
-                assert code == 0, told
+                    code, result = await fleet.propose(word)
+                assert code == 0, result
                 await old.process.wait()
                 for node in (new, *others):
-                    await answers(node, word)
+                    await wait_for_body(node, word)
                 old = new
-            _, told = await here.tool("history")
-            epochs = [one["epoch"] for one in told["history"]]
+            _, result = await fleet.tool("history")
+            epochs = [one["epoch"] for one in result["history"]]
             assert epochs == list(range(1, len(epochs) + 1)) and silent.asked.qsize() >= 3
 
     run(test())
 
 
-def test_one_that_cannot_take_it_keeps_all_from_it(tmp_path: Path) -> None:
-    """A class that no proxy knows: it can be read, so the tool lets it pass, and not served."""
+def test_a_member_that_cannot_prepare_a_policy_blocks_it_for_all(tmp_path: Path) -> None:
+    """A route with a class that no proxy knows is valid to the operator's command but cannot be served."""
     bad = 'pool "a" {\n  names = ["s-*"]\n}\nroute "r" {\n  prefix = "/"\n  pool = "a"\n  class = "none"\n}\n'
 
     async def test() -> None:
-        async with site(tmp_path) as here:
-            nodes = [await here.proxy(f"p{number}") for number in range(2)]
-            code, told = await here.propose("bad", bad)
-            assert code == 1 and told["outcome"] == "nowhere" and "R202" in told["reason"]
-            assert (await here.tool("status"))[1]["epoch"] == 0
+        async with site(tmp_path) as fleet:
+            nodes = [await fleet.proxy(f"p{number}") for number in range(2)]
+            code, result = await fleet.propose("bad", bad)
+            assert code == 1 and result["outcome"] == "nowhere" and "R202" in result["reason"]
+            assert (await fleet.tool("status"))[1]["epoch"] == 0
             for node in nodes:
-                assert await answer(node) == (404, "first")
-            node = await here.proxy("p9", memory_mb=24)
-            code, told = await here.propose("second")
-            assert code == 1 and "of 24 MiB are in use with both tables" in told["reason"]
+                assert await send_request(node) == (404, "first")
+            node = await fleet.proxy("p9", memory_mb=24)
+            code, result = await fleet.propose("second")
+            assert code == 1 and "of 24 MiB are in use with both tables" in result["reason"]
             node.terminate()
-            assert await node.code() == 0  # it signed off, so nothing waits for it
-            code, told = await here.tool("propose", here.bundle("dry"), "--dry-run")
-            assert code == 1 and "dry run" in told["reason"] and len(told["votes"]) == 2
-            assert (await here.propose("second"))[0] == 0
+            assert await node.code() == 0  # it signed off, so no change waits for it
+            code, result = await fleet.tool("propose", fleet.bundle("dry"), "--dry-run")
+            assert code == 1 and "dry run" in result["reason"] and len(result["votes"]) == 2
+            assert (await fleet.propose("second"))[0] == 0
 
     run(test())
 
 
 @pytest.mark.parametrize("how", ["kill", "stop"])
-def test_one_that_is_lost_or_stands_still_keeps_all_from_it(how: str, tmp_path: Path) -> None:
-    """Stopped: awaited until its lease ends, then lost. Under `serve` its name is missed until it is removed
-    or back; one that comes back has what is in force."""
+def test_a_lost_or_stopped_member_blocks_a_change(how: str, tmp_path: Path) -> None:
+    """A stopped member is awaited until its lease expires; then it is lost, like a killed one.
+
+    Under `serve` no change commits until the lost member is removed or back. A member that comes back serves
+    the committed policy.
+    """
 
     async def test() -> None:
-        async with site(tmp_path) as here:
-            first, second = await here.proxy("p0"), await here.proxy("p1")
+        async with site(tmp_path) as fleet:
+            first, second = await fleet.proxy("p0"), await fleet.proxy("p1")
             second.process.send_signal({"kill": signal.SIGKILL, "stop": signal.SIGSTOP}[how])
-            code, told = await here.propose("second")
-            assert code == 1 and told["outcome"] == "nowhere" and "p1" in told["reason"]
-            assert await answer(first) == (404, "first")
-            code, told = await here.propose("second")
-            assert code == 1 and told["reason"] == "not reached: p1"
+            code, result = await fleet.propose("second")
+            assert code == 1 and result["outcome"] == "nowhere" and "p1" in result["reason"]
+            assert await send_request(first) == (404, "first")
+            code, result = await fleet.propose("second")
+            assert code == 1 and result["reason"] == "not reached: p1"
             removed = await asyncio.to_thread(
                 subprocess.run,
                 (
@@ -173,91 +178,92 @@
                     "--remove",
                     "p1",
                     "-f",
-                    str(here.settings),
+                    str(fleet.settings),
                 ),
                 cwd=ROOT,
                 timeout=60,
                 check=False,
             )
             assert removed.returncode == 0
-            code, told = await here.propose("second")
-            assert code == 0, told
-            await answers(first, "second")
+            code, result = await fleet.propose("second")
+            assert code == 0, result
+            await wait_for_body(first, "second")
             if how == "stop":
                 caller = await second.caller()
-                waiting = asyncio.create_task(caller.call("stock", "2".rjust(16, "0")))  # in its sockets
+                # The request waits in the socket buffer of the stopped process.
+                waiting = asyncio.create_task(caller.call("stock", "2".rjust(16, "0")))
                 await asyncio.sleep(0.1)
                 second.process.send_signal(signal.SIGCONT)
-                told = await waiting
-                assert told.code == 503 or told.body == b"second\n"
-                await answers(second, "second")
+                response = await waiting
+                assert response.code == 503 or response.body == b"second\n"
+                await wait_for_body(second, "second")
 
     run(test())
 
 
 @pytest.mark.parametrize("cut_off", ["refuse", "serve"])
-def test_a_store_that_is_away(cut_off: str, tmp_path: Path) -> None:
+def test_serving_while_the_store_is_unreachable(cut_off: str, tmp_path: Path) -> None:
     async def test() -> None:
-        async with site(tmp_path, cut_off) as here:
-            node = await here.proxy("p0")
-            assert (await here.propose("second"))[0] == 0
-            await answers(node, "second")
+        async with site(tmp_path, cut_off) as fleet:
+            node = await fleet.proxy("p0")
+            assert (await fleet.propose("second"))[0] == 0
+            await wait_for_body(node, "second")
             for member in (0, 1):
-                await here.at.order("down", member=member)
+                await fleet.at.order("down", member=member)
             end = time.monotonic() + 2.5
             codes = []
             while time.monotonic() < end:
-                code, body = await answer(node)
+                code, body = await send_request(node)
                 codes.append(code)
                 assert code == 503 or body == "second"
                 await asyncio.sleep(0.02)
             assert codes[-1] == (503 if cut_off == "refuse" else 404)
             assert cut_off == "refuse" or set(codes) == {404}
             for member in (0, 1):
-                await here.at.order("up", member=member)
-            await answers(node, "second")
-            assert (await here.propose("third"))[0] == 0
-            await answers(node, "third")
+                await fleet.at.order("up", member=member)
+            await wait_for_body(node, "second")
+            assert (await fleet.propose("third"))[0] == 0
+            await wait_for_body(node, "third")
 
     run(test())
 
 
-def test_one_that_is_cut_off_refuses_before_others_go_over(tmp_path: Path) -> None:
-    """Under `refuse`: while a change can be decided without it, it does not serve."""
+def test_a_member_cut_off_from_the_store_refuses_before_others_change_policy(tmp_path: Path) -> None:
+    """Under `refuse`, a member does not serve while a change can be decided without its vote."""
 
     async def test() -> None:
-        async with site(tmp_path, "refuse", members=1) as here:
-            link = await here.stack.enter_async_context(Link(here.at.endpoints[0]))
-            first = await here.proxy("p0")
-            second = await here.proxy("p1", [link.address])
-            assert await answer(second) == (404, "first")
+        async with site(tmp_path, "refuse", members=1) as fleet:
+            link = await fleet.stack.enter_async_context(Link(fleet.at.endpoints[0]))
+            first = await fleet.proxy("p0")
+            second = await fleet.proxy("p1", [link.address])
+            assert await send_request(second) == (404, "first")
             link.cut()
-            code, told = await here.propose("second")
+            code, result = await fleet.propose("second")
             while code == 1:
-                assert "p1" in told["reason"]
-                code, told = await here.propose("second")
-            assert (await answer(second))[0] == 503
-            await answers(first, "second")
-            assert (await answer(second))[0] == 503
+                assert "p1" in result["reason"]
+                code, result = await fleet.propose("second")
+            assert (await send_request(second))[0] == 503
+            await wait_for_body(first, "second")
+            assert (await send_request(second))[0] == 503
             link.heal()
-            await answers(second, "second")
+            await wait_for_body(second, "second")
 
     run(test())
 
 
-def test_one_endpoint_of_the_store_that_hangs_ends_no_right_to_serve(tmp_path: Path) -> None:
-    """Guards against `no policy in force here` while the store is up but for the endpoint that was in use."""
+def test_a_hanging_store_endpoint_does_not_end_the_permission_to_serve(tmp_path: Path) -> None:
+    """Guards against `no policy in force here` while only the store endpoint in use is down."""
 
     async def test() -> None:
-        async with site(tmp_path, "refuse") as here:
-            links = [await here.stack.enter_async_context(Link(at)) for at in here.at.endpoints]
-            node = await here.proxy("p0", [link.address for link in links])
-            assert await answer(node) == (404, "first")
-            for link in links:  # one after another, each while the two others answer
+        async with site(tmp_path, "refuse") as fleet:
+            links = [await fleet.stack.enter_async_context(Link(endpoint)) for endpoint in fleet.at.endpoints]
+            node = await fleet.proxy("p0", [link.address for link in links])
+            assert await send_request(node) == (404, "first")
+            for link in links:  # cut one after another, while the two others answer
                 link.cut()
                 end = time.monotonic() + 2 * TTL
                 while time.monotonic() < end:
-                    assert await answer(node) == (404, "first")
+                    assert await send_request(node) == (404, "first")
                     await asyncio.sleep(0.02)
                 link.heal()
                 await asyncio.sleep(TTL / 2)
@@ -265,94 +271,101 @@
     run(test())
 
 
-def test_a_change_is_called_off_or_ends_by_its_deadline(tmp_path: Path) -> None:
+def test_a_change_is_cancelled_or_expires_at_its_deadline(tmp_path: Path) -> None:
     async def test() -> None:
-        async with site(tmp_path, ttl=60) as here:
-            first, second = await here.proxy("p0"), await here.proxy("p1")
+        async with site(tmp_path, ttl=60) as fleet:
+            first, second = await fleet.proxy("p0"), await fleet.proxy("p1")
             second.process.send_signal(signal.SIGSTOP)
-            code, told = await here.propose("zeroth")
-            assert code == 1 and told["reason"] == "its deadline passed, awaiting p1"
-            votes = {vote["member"]: vote["vote"] for vote in told["votes"]}
+            code, result = await fleet.propose("zeroth")
+            assert code == 1 and result["reason"] == "its deadline passed, awaiting p1"
+            votes = {vote["member"]: vote["vote"] for vote in result["votes"]}
             assert votes == {"p0": "yes", "p1": "awaited"}
-            here.settings.write_text(here.block(60), encoding="utf-8")
-            proposed = asyncio.create_task(here.propose("second"))
-            await here.status(lambda found: found["change"] is not None)
-            code, told = await here.propose("third")
-            assert code == 1 and "is open" in told["reason"]
-            code, _ = await here.tool("call-off")
+            fleet.settings.write_text(fleet.block(60), encoding="utf-8")
+            proposed = asyncio.create_task(fleet.propose("second"))
+            await fleet.status(lambda found: found["change"] is not None)
+            code, result = await fleet.propose("third")
+            assert code == 1 and "is open" in result["reason"]
+            code, _ = await fleet.tool("call-off")
             assert code == 0
-            code, told = await proposed
-            assert code == 1 and "called off by" in told["reason"]
+            code, result = await proposed
+            assert code == 1 and "called off by" in result["reason"]
             second.process.send_signal(signal.SIGCONT)
-            assert await answer(first) == (404, "first")
-            await answers(second, "first")
-            assert (await here.tool("call-off"))[0] == 1
+            assert await send_request(first) == (404, "first")
+            await wait_for_body(second, "first")
+            assert (await fleet.tool("call-off"))[0] == 1
 
     run(test())
 
 
-def test_of_operators_at_once_each_gets_an_answer_and_history_is_one_line(tmp_path: Path) -> None:
+def test_concurrent_proposals_each_get_an_outcome_and_history_is_linear(tmp_path: Path) -> None:
     async def test() -> None:
-        async with site(tmp_path) as here:
-            node = await here.proxy("p0")
-            told = await asyncio.gather(*(here.propose(word) for word in ("a", "b", "c", "d")))
-            for code, one in told:
-                assert code == (0 if one["outcome"] == "everywhere" else 1)
-                assert code == 0 or "is open" in one["reason"] or "changed meanwhile" in one["reason"], one
-            epochs = sorted(one["epoch"] for code, one in told if code == 0)
+        async with site(tmp_path) as fleet:
+            node = await fleet.proxy("p0")
+            results = await asyncio.gather(*(fleet.propose(word) for word in ("a", "b", "c", "d")))
+            for code, result in results:
+                assert code == (0 if result["outcome"] == "everywhere" else 1)
+                assert (
+                    code == 0 or "is open" in result["reason"] or "changed meanwhile" in result["reason"]
+                ), result
+            epochs = sorted(result["epoch"] for code, result in results if code == 0)
             assert epochs == list(range(1, len(epochs) + 1)) and epochs
-            _, found = await here.tool("history")
+            _, found = await fleet.tool("history")
             assert [one["epoch"] for one in found["history"]] == epochs
-            won = {one["epoch"]: one["digest"] for code, one in told if code == 0}
-            assert found["history"][-1]["digest"] == won[epochs[-1]]
-            assert (await answer(node))[1] in "abcd"
+            committed = {result["epoch"]: result["digest"] for code, result in results if code == 0}
+            assert found["history"][-1]["digest"] == committed[epochs[-1]]
+            assert (await send_request(node))[1] in "abcd"
 
     run(test())
 
 
-def test_a_decider_that_dies_is_followed_by_another(tmp_path: Path) -> None:
-    """Whoever holds the duty is killed while a change is open: it was registered, so that is a no; the next
-    change is decided by its successor."""
+def test_a_killed_coordinator_is_succeeded_by_another_member(tmp_path: Path) -> None:
+    """The holder of the duty is killed while a change is open.
+
+    It was a registered member, so its loss blocks this change unless the change was decided before. The next
+    change is decided by its successor.
+    """
 
     async def test() -> None:
-        async with site(tmp_path, "refuse") as here:
-            nodes = {name: await here.proxy(name) for name in ("p0", "p1", "p2")}
-            held = await here.at.duties(lambda now: bool(now.get("policy", (None,))[0]))
+        async with site(tmp_path, "refuse") as fleet:
+            nodes = {name: await fleet.proxy(name) for name in ("p0", "p1", "p2")}
+            held = await fleet.at.duties(lambda now: bool(now.get("policy", (None,))[0]))
             holder = held["policy"][0]
-            proposed = asyncio.create_task(here.propose("second"))
+            proposed = asyncio.create_task(fleet.propose("second"))
             nodes[holder].process.kill()
-            code, told = await proposed
-            assert code == (0 if told["outcome"] == "everywhere" else 1)
-            left = [node for name, node in nodes.items() if name != holder]
-            await here.at.members(lambda found: sum(m["state"] == "ready" for m in found) == 2)
-            code, told = await here.propose("third")
-            assert code == 0, told
-            for node in left:
-                await answers(node, "third")
+            code, result = await proposed
+            assert code == (0 if result["outcome"] == "everywhere" else 1)
+            remaining = [node for name, node in nodes.items() if name != holder]
+            await fleet.at.members(lambda found: sum(m["state"] == "ready" for m in found) == 2)
+            code, result = await fleet.propose("third")
+            assert code == 0, result
+            for node in remaining:
+                await wait_for_body(node, "third")
 
     run(test())
 
 
-def test_a_bundle_that_kills_twice_is_not_tried_again(tmp_path: Path) -> None:
-    """Whoever died with it twice says no the third time; its count stands in the store, for a minute. Another
-    stands still meanwhile with a lease that outlasts it, so that the change is open until the victim is gone.
+def test_a_bundle_is_rejected_after_two_processes_ended_during_an_attempt(tmp_path: Path) -> None:
+    """A member whose processes ended twice during an attempt votes no the third time.
+
+    The attempts are counted in the store for a minute. The witness, whose lease is longer, is stopped
+    meanwhile, so that the change stays open until the victim is lost.
     """
 
     async def test() -> None:
-        async with site(tmp_path) as here:
-            here.settings.write_text(here.block(60), encoding="utf-8")
-            here.ttl = 15
-            witness = await here.proxy("p0")
-            here.ttl = TTL
+        async with site(tmp_path) as fleet:
+            fleet.settings.write_text(fleet.block(60), encoding="utf-8")
+            fleet.ttl = 15
+            witness = await fleet.proxy("p0")
+            fleet.ttl = TTL
             keys = Keys(PREFIX)
-            tries = keys.bundle_attempts("", "").rstrip(b"/")
+            attempts_prefix = keys.bundle_attempts("", "").rstrip(b"/")
             for number in range(2):
-                victim = await here.proxy("p1")
+                victim = await fleet.proxy("p1")
                 witness.process.send_signal(signal.SIGSTOP)
-                proposed = asyncio.create_task(here.propose("poison"))
+                proposed = asyncio.create_task(fleet.propose("poison"))
                 end = time.monotonic() + PATIENCE
                 while True:
-                    _, found = await here.at.client.get(Get(tries, prefix_end(tries)))
+                    _, found = await fleet.at.client.get(Get(attempts_prefix, prefix_end(attempts_prefix)))
                     counts = [
                         decode(kv.value, BundleAttemptsRecord).count
                         for kv in found
@@ -363,30 +376,30 @@
                     assert time.monotonic() < end, found
                     await asyncio.sleep(0.001)
                 victim.process.kill()
-                await here.at.members(lambda found: any(m["state"] == "missing" for m in found))
+                await fleet.at.members(lambda found: any(m["state"] == "missing" for m in found))
                 witness.process.send_signal(signal.SIGCONT)
-                code, told = await proposed
-                assert code == 1 and "lost while it was open: p1" in told["reason"], told
-            await here.proxy("p1")
-            code, told = await here.propose("poison")
-            assert code == 1 and "ended 2 times with bundle" in told["reason"]
-            assert (await here.propose("sound"))[0] == 0
+                code, result = await proposed
+                assert code == 1 and "lost while it was open: p1" in result["reason"], result
+            await fleet.proxy("p1")
+            code, result = await fleet.propose("poison")
+            assert code == 1 and "ended 2 times with bundle" in result["reason"]
+            assert (await fleet.propose("sound"))[0] == 0
 
     run(test())
 
 
-@pytest.mark.parametrize("what", ["a piece is missing", "a piece is another"])
-def test_a_bundle_that_is_cut_in_the_store_is_a_no(what: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("damage", ["missing", "truncated"])
+def test_a_damaged_bundle_in_the_store_gets_a_no_vote(damage: str, tmp_path: Path) -> None:
     async def test() -> None:
-        async with site(tmp_path) as here:
-            node = await here.proxy("p0")
+        async with site(tmp_path) as fleet:
+            node = await fleet.proxy("p0")
             raw = policy_bundle.pack({"second.routes.hcl": routes("second")})
             key = Keys(PREFIX).bundle_chunk(policy_bundle.digest_of(raw), 0)
-            operator = PolicyOperator(here.at.client, PREFIX)
-            await here.at.client.do(Put(key, b"" if what == "a piece is missing" else raw[:-4]))
-            code, told = await here.propose("second")
-            assert code == 1 and policy_bundle.digest_of(raw) in told["reason"]
-            assert await answer(node) == (404, "first")
+            operator = PolicyOperator(fleet.at.client, PREFIX)
+            await fleet.at.client.do(Put(key, b"" if damage == "missing" else raw[:-4]))
+            code, result = await fleet.propose("second")
+            assert code == 1 and policy_bundle.digest_of(raw) in result["reason"]
+            assert await send_request(node) == (404, "first")
             assert (await operator.view()).read(Keys(PREFIX).committed_policy, PolicyRecord) is None
 
     run(test())
@@ -406,14 +419,14 @@
         ([answered("b", 0, 2.0 + BOUND + 0.1)], "bound"),
     ],
 )
-def test_the_judge_finds_what_is_planted(answers: list[Answer], rule: str) -> None:
-    found = judge(answers, {1: 2.0}, {0, 1})
-    assert [one.partition(":")[0] for one in found] == ([rule] if rule else [])
+def test_the_judge_reports_the_planted_violation(answers: list[Answer], rule: str) -> None:
+    violations = judge(answers, {1: 2.0}, {0, 1})
+    assert [violation.partition(":")[0] for violation in violations] == ([rule] if rule else [])
 
 
-def test_changes_at_every_step_with_faults_break_no_rule() -> None:
+def test_changes_with_faults_at_every_step_violate_no_rule() -> None:
     words = ("rig", "changes", "--proxies", "3", "--changes", "12", "--faults", "--ttl", "2", "--seed", "3")
-    told = subprocess.run(
+    result = subprocess.run(
         (sys.executable, "-m", "gladegw", *words, "--json"),
         cwd=ROOT,
         text=True,
@@ -421,14 +434,14 @@
         timeout=200,
         check=False,
     )
-    found = json.loads(told.stdout)
-    assert told.returncode == 0 and found["breaches"] == [], told.stderr
+    found = json.loads(result.stdout)
+    assert result.returncode == 0 and found["breaches"] == [], result.stderr
     assert found["outcomes"]["everywhere"] >= 3 and found["answers"] > 500
 
 
-def test_changes_cost_no_request() -> None:
+def test_changes_refuse_no_request() -> None:
     words = ("rig", "changes", "--proxies", "3", "--changes", "4")
-    told = subprocess.run(
+    result = subprocess.run(
         (sys.executable, "-m", "gladegw", *words, "--json"),
         cwd=ROOT,
         text=True,
@@ -436,27 +449,27 @@
         timeout=200,
         check=False,
     )
-    found = json.loads(told.stdout)
-    assert told.returncode == 0 and found["outcomes"] == {"everywhere": 4}, told.stderr
+    found = json.loads(result.stdout)
+    assert result.returncode == 0 and found["outcomes"] == {"everywhere": 4}, result.stderr
     assert found["refused"] == 0 and found["answers"] > 100
 
 
 def test_a_compile_that_hangs_is_a_no_by_the_deadline_and_serving_goes_on(tmp_path: Path) -> None:
     async def test() -> None:
-        async with site(tmp_path) as here:
-            first = await here.proxy("p1")
-            slow = await here.proxy("p2", program=("gladegw.rig.faulty_versions", "compiles 30 s"))
-            await here.at.members(lambda found: [one["state"] for one in found] == ["ready"] * 2)
-            proposed = asyncio.create_task(here.propose("second"))
+        async with site(tmp_path) as fleet:
+            first = await fleet.proxy("p1")
+            slow = await fleet.proxy("p2", program=("gladegw.rig.faulty_versions", "compiles 30 s"))
+            await fleet.at.members(lambda found: [one["state"] for one in found] == ["ready"] * 2)
+            proposed = asyncio.create_task(fleet.propose("second"))
             served = 0
-            while not proposed.done():  # by both, all the while
+            while not proposed.done():  # both proxies keep serving
                 for node in (first, slow):
                     began = time.monotonic()
-                    assert (await answer(node))[1] == "first"
+                    assert (await send_request(node))[1] == "first"
                     assert time.monotonic() - began < 1.0
                 served += 1
-            code, told = proposed.result()
-            assert (code, told["outcome"]) == (1, "nowhere") and "awaiting p2" in told["reason"], told
+            code, result = proposed.result()
+            assert (code, result["outcome"]) == (1, "nowhere") and "awaiting p2" in result["reason"], result
             assert served > 20
 
     run(test())
--- a/tests/control/test_stored_data.py
+++ b/tests/control/test_stored_data.py
@@ -20,8 +20,8 @@
 DIGEST = "0123456789abcdef01234567"
 KEYS = Keys("gladegw/kochi")
 
-# Each key of the store, with the form of its record, in the order of the file.
-FORMS: list[tuple[bytes, type[Record]]] = [
+# Each key of the store with the type of its record, in the order of records.json.
+RECORD_TYPES: list[tuple[bytes, type[Record]]] = [
     (KEYS.member("p1", INCARNATION), records.MemberRecord),
     (KEYS.known_member("p1"), records.KnownMemberRecord),
     (KEYS.duty("policy"), records.DutyHolderRecord),
@@ -45,27 +45,27 @@
 ]
 
 
-def stored() -> list[tuple[str, bytes]]:
+def stored_records() -> list[tuple[str, bytes]]:
     entries = json.loads((STORED / "records.json").read_text(encoding="utf-8"))
     return [(entry["key"], entry["bytes"].encode()) for entry in entries]
 
 
-def test_keys_of_the_store_are_the_stored_ones() -> None:
-    assert [key.decode() for key, _ in FORMS] == [key for key, _ in stored()]
+def test_store_keys_match_the_stored_keys() -> None:
+    assert [key.decode() for key, _ in RECORD_TYPES] == [key for key, _ in stored_records()]
 
 
-@pytest.mark.parametrize("number", range(len(FORMS)))
+@pytest.mark.parametrize("number", range(len(RECORD_TYPES)))
 def test_a_stored_record_is_read_and_written_to_the_same_bytes(number: int) -> None:
-    raw = stored()[number][1]
-    record = records.decode(raw, FORMS[number][1])
+    raw = stored_records()[number][1]
+    record = records.decode(raw, RECORD_TYPES[number][1])
     assert records.encode(record) == raw
 
 
-@pytest.mark.parametrize("number", range(len(FORMS)))
+@pytest.mark.parametrize("number", range(len(RECORD_TYPES)))
 def test_a_stored_record_keeps_fields_of_a_newer_version(number: int) -> None:
-    raw = stored()[number][1]
+    raw = stored_records()[number][1]
     newer = msgspec.json.encode({**json.loads(raw), "v": 2, "added": ["later"]})
-    written = json.loads(records.encode(records.decode(raw, FORMS[number][1]), newer))
+    written = json.loads(records.encode(records.decode(raw, RECORD_TYPES[number][1]), newer))
     assert written == {**json.loads(raw), "v": 2, "added": ["later"]}
 
 
