--- a/gladegw/control/policy_participant.py
+++ b/gladegw/control/policy_participant.py
@@ -49,9 +49,7 @@
 CRASHED = "ended"  # first word of the reason of such a rejection
 RETRY_INTERVAL_S = 0.2  # before a request that the store did not answer is sent again
 
-Prepare = Callable[
-    [Mapping[str, str]], Any
-]  # compiles files into tables; raises ValueError; runs in a thread
+Prepare = Callable[[Mapping[str, str]], Any]  # files to compiled tables; raises ValueError; runs in a thread
 Activate = Callable[[int, str, Any, Callable[[], None]], None]  # epoch, digest, prepared tables, callback
 OnPrepared = Callable[[int, str, Any], None]  # epoch, digest, prepared tables or None
 
@@ -143,7 +141,7 @@
             self.heartbeat_timeout, self.heartbeat_at = float(record.confirm_s), member.clock()
         if committed.epoch < self.state.epoch:
             self.member.log_fault(
-                f"policy: epoch in the store went back from {self.state.epoch} to {committed.epoch}"
+                f"policy: epoch {committed.epoch} in the store is older than epoch {self.state.epoch} here"
             )
         self._apply(*policy_commit.on_store_update(self.state, committed, open_change, revision))
 
