--- a/gladegw/control/leader_election.py
+++ b/gladegw/control/leader_election.py
@@ -152,7 +152,7 @@
         result = await self.member.client.txn(duties.fenced(self.key, token, *operations, compares=compares))
         if not result.succeeded:
             self.on_key(result.found[0][0] if result.found[0] else None, result.revision)
-            raise NotHolderError(self.work.name, begun=True)
+            raise NotHolderError(self.work.name, started=True)
         return result
 
     def _start_work(self) -> None:
