--- a/gladegw/control/duties/rollout_controller.py
+++ b/gladegw/control/duties/rollout_controller.py
@@ -1,6 +1,7 @@
 """Duty `rollout`: controls the current rollout.
 
-All state on which decisions depend is in the store, except for the samples of the open window.
+All state on which decisions depend is in the store, except for the metrics at the start of the open
+window.
 """
 
 from __future__ import annotations
@@ -42,11 +43,11 @@
 log = logging.getLogger(__name__)
 
 WINDOW_S = 2.0  # the interval at which members report metrics
-MIN_BASELINE_WINDOWS = 6  # before the first stage
+MIN_BASELINE_WINDOWS = 6  # windows that the baseline needs before the first stage is proposed
 POLL_INTERVAL_S = 0.2
 MAX_DENSE_POINTS = 300  # windows of a stage whose points are all stored
-SPARSE_POINT_STRIDE = 10  # beyond MAX_DENSE_POINTS
-HEARTBEATS_PER_TIMEOUT = 3  # heartbeats in the time after which members revert
+SPARSE_POINT_STRIDE = 10  # beyond MAX_DENSE_POINTS, only each tenth point is stored
+HEARTBEATS_PER_TIMEOUT = 3  # heartbeats during the timeout after which members revert by themselves
 
 
 class RolloutController(DutyWork):
@@ -58,11 +59,11 @@
     capabilities = (program_rollouts.CAPABILITY,)
 
     def __init__(self) -> None:
-        self.id = ""
+        self.id = ""  # of the current rollout
         self.windows = SampleWindows()
         self.opened_at = 0.0  # start of the window, on the monotonic clock
-        self.heartbeat_at = -1e9
-        self.program_seen = (-1, 0.0)  # revision of the program record, time first seen
+        self.heartbeat_at = -1e9  # the last heartbeat, on the monotonic clock
+        self.program_seen = (-1, 0.0)  # revision of the program record, and when it was first seen
 
     async def step(self, context: DutyContext) -> None:
         """Evaluate the rollout and execute the next action of its state machine."""
@@ -80,12 +81,12 @@
             stored = EvidenceRecord(rollout=record.id, stage=0)
         await self._close_window(context, kv, record, stored)
         evaluation = self._evaluate(record, stored)
-        world = replace(
+        observation = replace(
             self._observe(view, record), in_blackout=blackout_windows.in_blackout(record.quiet, time.time())
         )
         after, action = step(
             to_rollout(record),
-            world,
+            observation,
             evaluation.verdict if evaluation is not None else None,
             evaluation.reason if evaluation is not None else "",
         )
@@ -98,9 +99,9 @@
         if record.kind != program_rollouts.KIND:
             return observe(view, record)
         entry = view.entries.get(view.keys.program)
-        now, written = time.monotonic(), entry.mod_revision if entry is not None else 0
-        if self.program_seen[0] != written:
-            self.program_seen = written, now
+        now, revision = time.monotonic(), entry.mod_revision if entry is not None else 0
+        if self.program_seen[0] != revision:
+            self.program_seen = revision, now
         return program_rollouts.observe(view, record, now - self.program_seen[1])
 
     # evidence
@@ -112,12 +113,12 @@
         if record.phase != Phase.BAKING.value or stored.stage != record.stage:
             return None
         baked = stored.baked_s >= record.bake_s
-        found = canary_analysis.evaluate(evidence_of(stored), limits_of(record), baked)
-        if found.verdict is Verdict.INCONCLUSIVE and stored.baked_s >= record.most_s:
+        evaluation = canary_analysis.evaluate(evidence_of(stored), limits_of(record), baked)
+        if evaluation.verdict is Verdict.INCONCLUSIVE and stored.baked_s >= record.most_s:
             if record.on_thin == "go on":
-                return Evaluation(Verdict.NOT_WORSE, found.reason, found.e_values)
-            return Evaluation(Verdict.WORSE, f"not enough evidence: {found.reason}", found.e_values)
-        return found
+                return Evaluation(Verdict.NOT_WORSE, evaluation.reason, evaluation.e_values)
+            return Evaluation(Verdict.WORSE, f"not enough evidence: {evaluation.reason}", evaluation.e_values)
+        return evaluation
 
     async def _close_window(
         self, context: DutyContext, kv: KeyValue, record: RolloutRecord, stored: EvidenceRecord
@@ -126,7 +127,7 @@
         now, view = time.monotonic(), context.cache
         if now < self.opened_at + WINDOW_S:
             return
-        lasted, self.opened_at = now - self.opened_at, now
+        duration_s, self.opened_at = now - self.opened_at, now
         window = self.windows.next(view.member_metrics())
         evidence, baked = evidence_of(stored), stored.baked_s
         points: tuple[Operation, ...] = ()
@@ -137,9 +138,9 @@
         ):
             evidence = canary_analysis.add_baseline_window(evidence, window)
         elif record.phase == Phase.BAKING.value and not record.paused and stored.stage == record.stage:
-            named = record.stages[record.stage]
-            evidence = canary_analysis.add_canary_window(evidence, window, named, limits_of(record))
-            baked += lasted
+            staged = record.stages[record.stage]
+            evidence = canary_analysis.add_canary_window(evidence, window, staged, limits_of(record))
+            baked += duration_s
             if evidence.windows <= MAX_DENSE_POINTS or evidence.windows % SPARSE_POINT_STRIDE == 0:
                 point = timeline_point(record, evidence, window, baked)
                 points = (
@@ -152,11 +153,11 @@
 
     # steps
     async def _effect(
-        self, context: DutyContext, kv: KeyValue, *done: Operation, compares: tuple[Compare, ...] = ()
+        self, context: DutyContext, kv: KeyValue, *writes: Operation, compares: tuple[Compare, ...] = ()
     ) -> None:
-        """Execute operations if the rollout record is unchanged."""
-        same = Compare(context.cache.keys.rollout, Target.MOD, "=", kv.mod_revision)
-        await context.effect(*done, compares=(same, *compares))
+        """Execute writes if the rollout record is unchanged."""
+        unchanged = Compare(context.cache.keys.rollout, Target.MOD, "=", kv.mod_revision)
+        await context.effect(*writes, compares=(unchanged, *compares))
 
     async def _perform(
         self,
@@ -172,34 +173,34 @@
         program = record.kind == program_rollouts.KIND
         if action is Step.HEARTBEAT or (
             action is Step.WAIT and program
-        ):  # starting processes wait for heartbeats, too
+        ):  # processes that are starting need heartbeats, too
             await self._send_heartbeat(context, kv, record)
         elif action is Step.PROPOSE or (action is Step.FINISH and after.phase == record.phase):
             if action is Step.PROPOSE and record.stage == 0 and not self._has_baseline(stored):
                 return
             await self._send_heartbeat(context, kv, record)
             if program:
-                done, compares = program_rollouts.stage_writes(view, record)
-                await self._effect(context, kv, *done, compares=compares)
+                writes, compares = program_rollouts.stage_writes(view, record)
+                await self._effect(context, kv, *writes, compares=compares)
             else:
                 await self._propose(context, kv, record)
         elif action in (Step.NEXT, Step.FINISH):
-            log.warning("rollout %s: stage %d is not worse", record.id, record.stage + 1)
+            log.warning("rollout %s: stage %d passed: it is not worse", record.id, record.stage + 1)
             await self._effect(context, kv, put)
         elif action is Step.BAKE:
-            log.warning("rollout %s: stage %d bakes", record.id, record.stage + 1)
+            log.warning("rollout %s: stage %d is committed, baking starts", record.id, record.stage + 1)
             fresh = Evidence(baseline_levels=stored.base, baseline_rates=stored.usual, history=stored.past)
             put_evidence = Put(view.keys.rollout_evidence, encode(evidence_record(record, fresh, 0.0)))
             await self._effect(context, kv, put, put_evidence)
             self._open_window(view)
         elif action is Step.ROLL_BACK:
-            done, compares = rollback_writes(view, after)
-            if not done and after == record:  # already committed, but not all members serve it yet
+            writes, compares = rollback_writes(view, after)
+            if not writes and after == record:  # committed, but not all members have followed yet
                 return
-            log.warning("rollout %s: back: %s", record.id, after.reason)
-            await self._effect(context, kv, put, *done, compares=compares)
+            log.warning("rollout %s: rolling back: %s", record.id, after.reason)
+            await self._effect(context, kv, put, *writes, compares=compares)
         elif action is Step.END:
-            log.warning("rollout %s: %s", record.id, after.phase)
+            log.warning("rollout %s: ended: %s", record.id, after.phase)
             await self._effect(context, kv, *end_writes(view, after))
 
     def _has_baseline(self, stored: EvidenceRecord) -> bool:
@@ -220,14 +221,14 @@
         """Propose the stage, or the new bundle for all members, as a policy change."""
         view = context.cache
         entry = view.entries.get(view.keys.committed_policy)
-        force = view.read(view.keys.committed_policy, PolicyRecord)
-        if entry is None or force is None:
+        committed = view.read(view.keys.committed_policy, PolicyRecord)
+        if entry is None or committed is None:
             return
         fleet_wide = record.phase == Phase.FINISHING.value
-        members = tuple(sorted(f"{one.name}#{one.incarnation}" for _, one in view.members()))
+        members = tuple(sorted(f"{member.name}#{member.incarnation}" for _, member in view.members()))
         change = PolicyChangeRecord(
             id=change_id(record),
-            epoch=force.epoch + 1,
+            epoch=committed.epoch + 1,
             digest=record.new if fleet_wide else record.old,
             new="" if fleet_wide else record.new,
             named=() if fleet_wide else record.stages[record.stage],
@@ -241,12 +242,12 @@
         )
         lease = await context.grant(record.deadline_s)
         absent = Compare(view.keys.open_change, Target.CREATE, "=", 0)
-        same = Compare(view.keys.committed_policy, Target.MOD, "=", entry.mod_revision)
+        unchanged = Compare(view.keys.committed_policy, Target.MOD, "=", entry.mod_revision)
         put = Put(view.keys.open_change, encode(change), lease)
-        await self._effect(context, kv, put, compares=(absent, same))
+        await self._effect(context, kv, put, compares=(absent, unchanged))
 
     def end(self) -> None:
-        """Discard the state of the steps; see `DutyWork.end`."""
+        """Reset the state that is kept between steps; see `DutyWork.end`."""
         self.__init__()  # type: ignore[misc]
 
 
@@ -254,10 +255,10 @@
     record: RolloutRecord, evidence: Evidence, window: Mapping[str, Sample], baked: float
 ) -> TimelinePointRecord:
     """Return the timeline point of a window that has ended; `baked` is in seconds."""
-    named = set(record.stages[record.stage])
-    new = [sample for name, sample in window.items() if name in named]
-    others = [sample for name, sample in window.items() if name not in named]
-    log_e = {figure: round(canary_analysis.mixture(wager), 3) for figure, wager in evidence.wagers.items()}
+    staged = set(record.stages[record.stage])
+    new = [sample for name, sample in window.items() if name in staged]
+    others = [sample for name, sample in window.items() if name not in staged]
+    log_e = {metric: round(canary_analysis.mixture(wager), 3) for metric, wager in evidence.wagers.items()}
     return TimelinePointRecord(
         at=round(time.time() - record.at, 2),
         stage=record.stage,
@@ -269,7 +270,7 @@
 
 
 def limits_of(record: RolloutRecord) -> Limits:
-    """Return the limits of a rollout."""
+    """Return the limits in the record of a rollout."""
     limits = record.limits
     return Limits(
         limits.failed, limits.refused, limits.late, limits.level, limits.alpha, limits.least_requests
@@ -277,7 +278,7 @@
 
 
 def evidence_of(record: EvidenceRecord) -> Evidence:
-    """Convert stored evidence."""
+    """Convert a record to the state of the analysis."""
     return Evidence(
         record.wagers,
         record.peaks,
--- a/gladegw/control/program_rollouts.py
+++ b/gladegw/control/program_rollouts.py
@@ -1,4 +1,4 @@
-"""Program rollouts: observations for the rollout state machine, and the writes of its steps."""
+"""Rollouts of program versions: observations for the rollout state machine, and the writes of its steps."""
 
 from __future__ import annotations
 
@@ -16,14 +16,16 @@
 from gladegw.coordination.store import Compare, Operation, Put, Target
 
 KIND = "program"
-CAPABILITY = "program rollouts"  # capability of members that support program rollouts
+CAPABILITY = "program rollouts"  # reported by members whose program can control program rollouts
 SERVING_STATES = ("steady", "keeping")  # supervisor states with a serving version and no pending change
-MAX_RESTARTS = 2  # of a member in a stage, from which the version counts as faulty
+MAX_RESTARTS = 2  # restarts of a member in a stage from which on the version counts as faulty
 
 
 def supervisors(view: StoreCache) -> dict[str, SupervisorRecord]:
     """Return the supervisor records by name."""
-    return {one.name: one for _, one in view.records("supervisors", form=SupervisorRecord)}
+    return {
+        supervisor.name: supervisor for _, supervisor in view.records("supervisors", form=SupervisorRecord)
+    }
 
 
 def committed_program(view: StoreCache) -> ProgramRecord | None:
@@ -31,39 +33,39 @@
     return view.read(view.keys.program, ProgramRecord)
 
 
-def newest(view: StoreCache) -> dict[str, MemberRecord]:
+def newest_members(view: StoreCache) -> dict[str, MemberRecord]:
     """Return the most recently started process of each name."""
-    found: dict[str, MemberRecord] = {}
+    newest: dict[str, MemberRecord] = {}
     for _, member in view.members():
-        if member.name not in found or member.since > found[member.name].since:
-            found[member.name] = member
-    return found
+        if member.name not in newest or member.since > newest[member.name].since:
+            newest[member.name] = member
+    return newest
 
 
-def not_running(view: StoreCache, names: tuple[str, ...], version: str) -> dict[str, str]:
+def reasons_not_running(view: StoreCache, names: tuple[str, ...], version: str) -> dict[str, str]:
     """Return the names that do not run a version, each with the reason."""
-    reported, members, found = supervisors(view), newest(view), {}
+    by_name, members, reasons = supervisors(view), newest_members(view), {}
     for name in names:
-        one, member = reported.get(name), members.get(name)
-        if one is None:
-            found[name] = "its supervisor is not heard of"
-        elif one.state not in SERVING_STATES or one.version != version:
-            found[name] = f"{one.state}, {one.version}"
+        supervisor, member = by_name.get(name), members.get(name)
+        if supervisor is None:
+            reasons[name] = "its supervisor is not registered"
+        elif supervisor.state not in SERVING_STATES or supervisor.version != version:
+            reasons[name] = f"its supervisor is {supervisor.state} with version {supervisor.version}"
         elif member is None or member.version != version:
-            found[name] = "its process is not registered"
-    return found
+            reasons[name] = "its process is not registered"
+    return reasons
 
 
 def failure_reason(view: StoreCache, names: tuple[str, ...], version: str, epoch: int) -> str:
     """Return why a member cannot run a version, as its supervisor reports; empty if none does."""
-    for name, one in sorted(supervisors(view).items()):
-        if name in names and one.epoch == epoch:
-            if version in one.refused:
-                return f"{name}: {one.reason}"
-            if one.alone:
-                return f"{name} went back by itself"
-            if one.version == version and one.restarts >= MAX_RESTARTS:
-                return f"{name} was started again {one.restarts} times"
+    for name, supervisor in sorted(supervisors(view).items()):
+        if name in names and supervisor.epoch == epoch:
+            if version in supervisor.refused:
+                return f"{name}: {supervisor.reason}"
+            if supervisor.alone:
+                return f"{name} reverted by itself"
+            if supervisor.version == version and supervisor.restarts >= MAX_RESTARTS:
+                return f"{name} was restarted {supervisor.restarts} times"
     return ""
 
 
@@ -75,29 +77,30 @@
 def observe(view: StoreCache, record: RolloutRecord, waited_s: float) -> Observation:
     """Return the observation of a program rollout for its state machine.
 
-    `waited_s` is the time since the stage's write was first seen, in seconds. A stage counts as committed
-    once all of its members run the version, and as open until then.
+    `waited_s` is the time since the current program record was first seen, in seconds. Supervisors do not
+    vote, so a written stage counts as an open change until all of its members run the version, and as
+    committed from then on.
     """
     program = committed_program(view) or ProgramRecord(epoch=0, version=record.old)
-    phase, mine = Phase(record.phase), program.rollout == record.id
-    named = program.named if program.new else all_names(view)
-    awaited = not_running(view, named, program.new or program.version) if mine else {}
-    failure = failure_reason(view, named, record.new, program.epoch) if mine else ""
-    if awaited and not failure and waited_s > record.deadline_s and phase is not Phase.BAKING:
-        name = min(awaited)
-        failure = f"{name} does not run it after {record.deadline_s} s: {awaited[name]}"
-    before = (record.id, record.stages[record.stage - 1]) if record.stage else None
-    if phase is Phase.ROLLING_BACK and mine and not program.new and program.version == record.old:
-        return Observation(record.old, None, record.id if awaited and not failure else None)
-    if phase is Phase.FINISHING and mine and not program.new:
-        if awaited or failure:
+    phase, is_own = Phase(record.phase), program.rollout == record.id
+    names = program.named if program.new else all_names(view)
+    pending = reasons_not_running(view, names, program.new or program.version) if is_own else {}
+    failure = failure_reason(view, names, record.new, program.epoch) if is_own else ""
+    if pending and not failure and waited_s > record.deadline_s and phase is not Phase.BAKING:
+        name = min(pending)
+        failure = f"{name} does not run the version after {record.deadline_s} s: {pending[name]}"
+    previous_stage = (record.id, record.stages[record.stage - 1]) if record.stage else None
+    if phase is Phase.ROLLING_BACK and is_own and not program.new and program.version == record.old:
+        return Observation(record.old, None, record.id if pending and not failure else None)
+    if phase is Phase.FINISHING and is_own and not program.new:
+        if pending or failure:
             staged = (record.id, record.stages[-1]) if record.stages else None
             return Observation(record.old, staged, record.id, failure)
         return Observation(program.version)
     staged = (program.rollout, program.named) if program.new else None
-    if phase is Phase.ADVANCING and mine and staged == (record.id, record.stages[record.stage]):
-        if awaited or failure:
-            return Observation(program.version, before, record.id, failure)
+    if phase is Phase.ADVANCING and is_own and staged == (record.id, record.stages[record.stage]):
+        if pending or failure:
+            return Observation(program.version, previous_stage, record.id, failure)
         return Observation(program.version, staged)
     if phase is Phase.BAKING and failure:
         return Observation(program.version, staged, reverted_members=(failure,))
@@ -108,36 +111,39 @@
     view: StoreCache, record: RolloutRecord, version: str, why: str = ""
 ) -> tuple[ProgramRecord, Compare]:
     program, entry = committed_program(view), view.entries.get(view.keys.program)
-    same = Compare(view.keys.program, Target.MOD, "=", entry.mod_revision if entry is not None else 0)
+    unchanged = Compare(view.keys.program, Target.MOD, "=", entry.mod_revision if entry is not None else 0)
     epoch = program.epoch + 1 if program is not None else 1
     next_program = ProgramRecord(
         epoch=epoch, version=version, rollout=record.id, who=record.who, why=why or record.why, at=time.time()
     )
-    return next_program, same
+    return next_program, unchanged
 
 
 def stage_writes(view: StoreCache, record: RolloutRecord) -> tuple[list[Operation], tuple[Compare, ...]]:
-    """Return the writes of a stage, or of the new version for all members.
+    """Return writes and comparisons that commit a stage, or the new version for all members.
 
-    There is no vote: each supervisor starts the version beside the serving process.
+    There is no vote: each supervisor starts the version beside the serving process, which serves meanwhile.
     """
     fleet_wide = record.phase == Phase.FINISHING.value
-    next_program, same = _next_program(view, record, record.new if fleet_wide else record.old)
+    next_program, unchanged = _next_program(view, record, record.new if fleet_wide else record.old)
     if not fleet_wide:
         named, confirm = record.stages[record.stage], record.confirm_s
         next_program = msgspec.structs.replace(next_program, new=record.new, named=named, confirm_s=confirm)
-    return [Put(view.keys.program, encode(next_program))], (same,)
+    return [Put(view.keys.program, encode(next_program))], (unchanged,)
 
 
 def rollback_writes(view: StoreCache, record: RolloutRecord) -> tuple[list[Operation], tuple[Compare, ...]]:
-    """Return the writes of the old version for all members; none if it is committed already."""
+    """Return writes and comparisons that commit the old version for all members.
+
+    There are no writes if it is committed already.
+    """
     program, entry = committed_program(view), view.entries.get(view.keys.program)
-    mine = program is not None and program.rollout == record.id
-    if mine and program is not None and record.new in (program.new, program.version):
-        next_program, same = _next_program(
-            view, record, record.old, f"rollout {record.id} is taken back: {record.reason}"
+    is_own = program is not None and program.rollout == record.id
+    if is_own and program is not None and record.new in (program.new, program.version):
+        next_program, unchanged = _next_program(
+            view, record, record.old, f"rollout {record.id} is rolled back: {record.reason}"
         )
-        return [Put(view.keys.program, encode(next_program))], (same,)
+        return [Put(view.keys.program, encode(next_program))], (unchanged,)
     return [], (Compare(view.keys.program, Target.MOD, "=", entry.mod_revision if entry is not None else 0),)
 
 
@@ -148,25 +154,29 @@
 
     Raises ChangeRejectedError with the reason if it cannot be started, or ValueError for invalid stages.
     """
-    at, program, reported = view.keys, committed_program(view), supervisors(view)
-    members = newest(view)
-    without = sorted(name for name in members if name not in reported)
-    if without or not members:
-        raise ChangeRejectedError(f"no supervisor is heard of: {', '.join(without) or 'there is no member'}")
-    old = sorted(name for name, member in members.items() if CAPABILITY not in member.knows)
-    if old:
-        raise ChangeRejectedError(f"the program is too old to conduct this: {', '.join(old)}")
+    keys, program, by_name = view.keys, committed_program(view), supervisors(view)
+    members = newest_members(view)
+    unsupervised = sorted(name for name in members if name not in by_name)
+    if unsupervised or not members:
+        raise ChangeRejectedError(
+            f"no supervisor is registered for: {', '.join(unsupervised) or 'there are no members'}"
+        )
+    unsupported = sorted(name for name, member in members.items() if CAPABILITY not in member.knows)
+    if unsupported:
+        raise ChangeRejectedError(f"the program is too old for program rollouts: {', '.join(unsupported)}")
     if program is not None and program.new:
         raise ChangeRejectedError(
-            f"rollout {program.rollout} has left its stage in force: `rollout back` first"
+            f"rollout {program.rollout} has left its stage committed: run `rollout back` first"
+        )
+    versions = sorted({supervisor.version for supervisor in by_name.values()})
+    if len(versions) > 1 or any(supervisor.state != "steady" for supervisor in by_name.values()):
+        raise ChangeRejectedError(
+            f"not all supervisors are steady with the same version: {', '.join(versions)}"
         )
-    versions = sorted({one.version for one in reported.values()})
-    if len(versions) > 1 or any(one.state != "steady" for one in reported.values()):
-        raise ChangeRejectedError(f"not all are steady with one version: {', '.join(versions)}")
     if program is not None and program.version != versions[0]:
-        raise ChangeRejectedError(f"{program.version} is in force and {versions[0]} runs")
+        raise ChangeRejectedError(f"version {program.version} is committed, but {versions[0]} is running")
     if versions[0] == plan.program:
-        raise ChangeRejectedError("that version runs already")
+        raise ChangeRejectedError("that version is already running")
     stages = table.plan_stages(
         {name: member.zone for name, member in members.items()}, plan.stages, plan.most_of_zone
     )
@@ -190,10 +200,16 @@
         phase=(Phase.ADVANCING if stages else Phase.FINISHING).value,
         at=time.time(),
     )
-    done: list[Operation] = [Put(at.rollout, encode(record))]
-    entry = view.entries.get(at.program)
+    writes: list[Operation] = [Put(keys.rollout, encode(record))]
+    entry = view.entries.get(keys.program)
     if entry is None:
-        first = ProgramRecord(epoch=1, version=record.old, who=who, why="as it was found", at=time.time())
-        done.append(Put(at.program, encode(first)))
-    same = Compare(at.program, Target.MOD, "=", entry.mod_revision if entry is not None else 0)
-    return record, done, (same,)
+        first = ProgramRecord(
+            epoch=1,
+            version=record.old,
+            who=who,
+            why="version running before the first rollout",
+            at=time.time(),
+        )
+        writes.append(Put(keys.program, encode(first)))
+    unchanged = Compare(keys.program, Target.MOD, "=", entry.mod_revision if entry is not None else 0)
+    return record, writes, (unchanged,)
--- a/gladegw/control/rollout_plan.py
+++ b/gladegw/control/rollout_plan.py
@@ -12,18 +12,22 @@
 from gladegw.coordination.rollout import plan_stages
 from gladegw.net.hcl import LARGEST, Block, blocks_of
 
-WORSE, THIN = ("back", "stop"), ("stop", "go on")
+ON_WORSE_VALUES, ON_THIN_VALUES = ("back", "stop"), ("stop", "go on")
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
     """Settings of a rollout; the field names are the keys of the HCL block.
 
     `bundle` is a folder or file of routes relative to the plan's folder. Alternatively, `program` is a
-    version that each supervisor's file names, and `move_s` the time for it to start at a stage's members.
+    version that each supervisor's file names, and `move_s` the time limit for a stage's members to run it.
     `stages` are counts, percentages or zones, each including all before it; the last is 100%. Times are in
-    seconds. `failed`, `refused` and `late` (answered, but above the class's latency target) are the rates per
-    class by which the new version may be worse; `level` is the relative margin for times, attempts, CPU and
-    memory. `quiet` lists blackout windows, in which a rollout can only roll back.
+    seconds. A stage bakes for `bake_s`; if the evidence is still insufficient after `most_s`, `on_thin` says
+    whether to stop or to go on. `on_worse` says whether to roll back or to stop at a regression.
+    `least_requests` is how many requests a stage needs to pass, `most_of_zone` the largest fraction of a zone
+    in a stage, and `alpha` the probability of a false alarm. `failed`, `refused` and `late` (later than
+    the class's latency objective) are the increases of the rates per class that are tolerated; `level` is the
+    tolerated relative increase of times, attempts, CPU and memory. `quiet` lists blackout windows, in which a
+    rollout does not advance but can roll back.
     """
 
     bundle: str = ""
@@ -45,7 +49,7 @@
 
     @property
     def limits(self) -> RolloutLimitsRecord:
-        """Limits of the rollout as its record holds them."""
+        """The tolerances and test parameters, as the rollout's record stores them."""
         return RolloutLimitsRecord(
             failed=self.failed,
             refused=self.refused,
@@ -56,7 +60,7 @@
         )
 
 
-RANGES = {
+RANGES = {  # smallest and largest value by setting
     "move_s": (5, 86_400),
     "bake_s": (1, 86_400),
     "most_s": (1, 7 * 86_400),
@@ -71,7 +75,7 @@
 
 
 def _checked(path: str, text: str, block: Block) -> Plan:
-    """Validate the block of a plan; raises PlanError."""
+    """Return the plan in a validated block; raises PlanError."""
 
     def plan_error(key: str, why: str) -> PlanError:
         return PlanError(f"{path}:{block.line_of(text, key)}: {why}")
@@ -81,7 +85,7 @@
             raise plan_error(key, f"unknown setting {key}")
     if ("bundle" in block.values) == ("program" in block.values):
         what = "bundle must name a folder or a file of routes, or program a version"
-        raise PlanError(f"{path}:{block.line}: {what}, one of them")
+        raise PlanError(f"{path}:{block.line}: {what}, but not both")
     for key, value in block.values.items():
         try:
             msgspec.convert({key: value}, Plan)
@@ -91,7 +95,7 @@
     for key, (low, high) in RANGES.items():
         if not low <= getattr(plan, key) <= high:
             raise plan_error(key, f"{key} must be {low:g} to {high:g}, not {getattr(plan, key):g}")
-    for key, allowed in (("on_worse", WORSE), ("on_thin", THIN)):
+    for key, allowed in (("on_worse", ON_WORSE_VALUES), ("on_thin", ON_THIN_VALUES)):
         if getattr(plan, key) not in allowed:
             raise plan_error(key, f"{key} must be {' or '.join(allowed)}, not {getattr(plan, key)}")
     for span in plan.quiet:
@@ -113,7 +117,7 @@
     try:
         raw = Path(path).read_bytes()
         if len(raw) > LARGEST:
-            raise PlanError(f"{path}:1: too large")
+            raise PlanError(f"{path}:1: the plan is too large")
         text = raw.decode("utf-8")
         blocks = blocks_of(text)
     except OSError as fault:
@@ -121,7 +125,7 @@
     except ValueError as fault:
         raise PlanError(" ".join(f"{path}: {fault}".split())) from None
     if len(blocks) != 1 or blocks[0].name != "rollout":
-        raise PlanError(f"{path}:{blocks[-1].line if blocks else 1}: a plan is one block rollout")
+        raise PlanError(f"{path}:{blocks[-1].line if blocks else 1}: a plan must be one block `rollout`")
     plan = _checked(path, text, blocks[0])
     if plan.program:
         return plan
--- a/gladegw/control/rollouts.py
+++ b/gladegw/control/rollouts.py
@@ -1,4 +1,4 @@
-"""Rollout records: conversion, writes, and operators' actions on rollouts."""
+"""Rollout records: conversion, the writes of steps, and operators' actions on rollouts."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from gladegw.coordination.store import Compare, Delete, Get, Operation, Put, Target, Txn
 
 POLL_INTERVAL_S = 0.1
-MAX_UPDATE_ATTEMPTS = 20  # of a write after concurrent changes
+MAX_UPDATE_ATTEMPTS = 20  # attempts at a write that fails because of concurrent changes
 
 
 def to_rollout(record: RolloutRecord) -> table.Rollout:
@@ -55,20 +55,20 @@
 
 def observe(view: StoreCache, record: RolloutRecord) -> Observation:
     """Return the observation of a policy rollout for its state machine."""
-    force = view.read(view.keys.committed_policy, PolicyRecord) or PolicyRecord(epoch=0, digest="")
+    committed = view.read(view.keys.committed_policy, PolicyRecord) or PolicyRecord(epoch=0, digest="")
     change = view.read(view.keys.open_change, PolicyChangeRecord)
-    over = view.read(view.keys.change_outcome(change_id(record)), ChangeOutcomeRecord)
-    refused = over.reason or "refused" if over is not None and over.outcome != "everywhere" else ""
-    staged = (force.rollout, force.named) if force.new else None
+    outcome = view.read(view.keys.change_outcome(change_id(record)), ChangeOutcomeRecord)
+    rejection = outcome.reason or "refused" if outcome is not None and outcome.outcome != "everywhere" else ""
+    staged = (committed.rollout, committed.named) if committed.new else None
     reverted = [
         member.name
         for _, member in view.members()
         if staged is not None
-        and member.epoch == force.epoch
-        and member.digest not in ("", own_digests(force, member.name)[0])
+        and member.epoch == committed.epoch
+        and member.digest not in ("", own_digests(committed, member.name)[0])
     ]
-    opened = change.rollout if change is not None else None
-    return Observation(force.digest, staged, opened, refused, tuple(sorted(set(reverted))))
+    open_change = change.rollout if change is not None else None
+    return Observation(committed.digest, staged, open_change, rejection, tuple(sorted(set(reverted))))
 
 
 def change_id(record: RolloutRecord) -> str:
@@ -77,45 +77,51 @@
 
 
 def cancel_writes(view: StoreCache, record: RolloutRecord) -> tuple[list[Operation], tuple[Compare, ...]]:
-    """Return writes that cancel the rollout's open change, and comparisons that it is still the open one."""
+    """Return writes that cancel the rollout's open change, and comparisons that none replaced it."""
     key = view.keys.open_change
     change, kv = view.read(key, PolicyChangeRecord), view.entries.get(key)
     if kv is None:
         return [], (Compare(key, Target.CREATE, "=", 0),)
-    mine = change is not None and change.rollout == record.id
-    return [Delete(key)] if mine else [], (Compare(key, Target.MOD, "=", kv.mod_revision),)
+    is_own_change = change is not None and change.rollout == record.id
+    return [Delete(key)] if is_own_change else [], (Compare(key, Target.MOD, "=", kv.mod_revision),)
 
 
 def rollback_writes(view: StoreCache, record: RolloutRecord) -> tuple[list[Operation], tuple[Compare, ...]]:
     """Return writes and comparisons that commit the old version for all members and cancel the open change.
 
-    No vote is needed: members of a stage hold the old table, and starting members read before they serve.
+    No vote is needed: members of a stage keep the old routing table prepared, and starting members read the
+    committed policy before they serve.
     """
-    at = view.keys
+    keys = view.keys
     if record.kind == program_rollouts.KIND:
         return program_rollouts.rollback_writes(view, record)
-    force, entry = view.read(at.committed_policy, PolicyRecord), view.entries.get(at.committed_policy)
-    done, compares = cancel_writes(view, record)
-    if force is not None and force.new and force.rollout == record.id:
-        back = PolicyRecord(
-            epoch=force.epoch + 1,
+    committed, entry = view.read(keys.committed_policy, PolicyRecord), view.entries.get(keys.committed_policy)
+    writes, compares = cancel_writes(view, record)
+    if committed is not None and committed.new and committed.rollout == record.id:
+        old_policy = PolicyRecord(
+            epoch=committed.epoch + 1,
             digest=record.old,
             who=record.who,
             at=time.time(),
-            why=f"rollout {record.id} is taken back: {record.reason}",
+            why=f"rollout {record.id} is rolled back: {record.reason}",
         )
-        done += [Put(at.committed_policy, encode(back)), Put(at.history(back.epoch), encode(back))]
-    same = Compare(at.committed_policy, Target.MOD, "=", entry.mod_revision if entry is not None else 0)
-    return done, (*compares, same)
+        writes += [
+            Put(keys.committed_policy, encode(old_policy)),
+            Put(keys.history(old_policy.epoch), encode(old_policy)),
+        ]
+    unchanged = Compare(
+        keys.committed_policy, Target.MOD, "=", entry.mod_revision if entry is not None else 0
+    )
+    return writes, (*compares, unchanged)
 
 
 def end_writes(view: StoreCache, record: RolloutRecord) -> list[Operation]:
     """Return the writes that end a rollout and store its final record."""
-    over = msgspec.structs.replace(record, ended_at=time.time())
+    final = msgspec.structs.replace(record, ended_at=time.time())
     return [
         Delete(view.keys.rollout),
         Delete(view.keys.rollout_evidence),
-        Put(view.keys.finished_rollout(record.id), encode(over)),
+        Put(view.keys.finished_rollout(record.id), encode(final)),
     ]
 
 
@@ -148,16 +154,16 @@
             return await self._start_program(plan, confirm, who, why)
         new = await self.operator.upload(files)
         view = await self.operator.view()
-        at, entry = view.keys, view.entries.get(view.keys.committed_policy)
-        force = view.read(at.committed_policy, PolicyRecord)
-        if force is None or entry is None or not force.digest:
-            raise RolloutRejectedError("no policy is in force that it could go back to: propose one first")
-        if force.new:
+        keys, entry = view.keys, view.entries.get(view.keys.committed_policy)
+        committed = view.read(keys.committed_policy, PolicyRecord)
+        if committed is None or entry is None or not committed.digest:
+            raise RolloutRejectedError("no policy is committed to roll back to: propose one first")
+        if committed.new:
             raise RolloutRejectedError(
-                f"rollout {force.rollout} has left its stage in force: `rollout back` first"
+                f"rollout {committed.rollout} has left its stage committed: run `rollout back` first"
             )
-        if force.digest == new:
-            raise RolloutRejectedError("that bundle is in force already")
+        if committed.digest == new:
+            raise RolloutRejectedError("that bundle is already committed")
         zones = {member.name: member.zone for _, member in view.members()}
         try:
             stages = table.plan_stages(zones, plan.stages, plan.most_of_zone)
@@ -165,7 +171,7 @@
             raise RolloutRejectedError(str(fault)) from None
         record = RolloutRecord(
             id=secrets.token_hex(6),
-            old=force.digest,
+            old=committed.digest,
             new=new,
             stages=stages,
             limits=plan.limits,
@@ -182,41 +188,44 @@
             phase=(Phase.ADVANCING if stages else Phase.FINISHING).value,
             at=time.time(),
         )
-        done = await self.operator.client.txn(
+        result = await self.operator.client.txn(
             Txn(
                 (
-                    Compare(at.rollout, Target.CREATE, "=", 0),
-                    Compare(at.open_change, Target.CREATE, "=", 0),
-                    Compare(at.bundle_chunk(new, 0), Target.CREATE, ">", 0),
-                    Compare(at.committed_policy, Target.MOD, "=", entry.mod_revision),
+                    Compare(keys.rollout, Target.CREATE, "=", 0),
+                    Compare(keys.open_change, Target.CREATE, "=", 0),
+                    Compare(keys.bundle_chunk(new, 0), Target.CREATE, ">", 0),
+                    Compare(keys.committed_policy, Target.MOD, "=", entry.mod_revision),
                 ),
-                (Put(at.rollout, encode(record)),),
+                (Put(keys.rollout, encode(record)),),
             )
         )
-        if not done.succeeded:
-            raise RolloutRejectedError("another rollout or change of policy is under way")
+        if not result.succeeded:
+            raise RolloutRejectedError("another rollout or policy change is under way")
         return record
 
     async def _start_program(self, plan: Plan, confirm: int, who: str, why: str) -> RolloutRecord:
         view = await self.operator.view()
-        at = view.keys
+        keys = view.keys
         try:
             record, writes, compares = program_rollouts.start_writes(view, plan, confirm, who, why)
         except ValueError as fault:
             raise RolloutRejectedError(str(fault)) from None
-        absent = Compare(at.rollout, Target.CREATE, "=", 0), Compare(at.open_change, Target.CREATE, "=", 0)
-        done = await self.operator.client.txn(Txn((*absent, *compares), tuple(writes)))
-        if not done.succeeded:
-            raise RolloutRejectedError("another rollout or change of policy is under way")
+        absent = (
+            Compare(keys.rollout, Target.CREATE, "=", 0),
+            Compare(keys.open_change, Target.CREATE, "=", 0),
+        )
+        result = await self.operator.client.txn(Txn((*absent, *compares), tuple(writes)))
+        if not result.succeeded:
+            raise RolloutRejectedError("another rollout or policy change is under way")
         return record
 
     async def outcome(self, id: str) -> RolloutRecord:
         """Wait until the rollout has ended and return its final record."""
         while True:
             view = await self.operator.view()
-            over = view.read(view.keys.finished_rollout(id), RolloutRecord)
-            if over is not None:
-                return over
+            final = view.read(view.keys.finished_rollout(id), RolloutRecord)
+            if final is not None:
+                return final
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def pause(self, paused: bool) -> RolloutRecord:
@@ -224,19 +233,19 @@
         return await self._update(lambda record: msgspec.structs.replace(record, paused=paused))
 
     async def stop(self, why: str, back: bool) -> RolloutRecord:
-        """Stop the rollout, or roll it back, in one transaction that does not depend on a controller."""
+        """Stop the rollout, or roll it back, in one transaction that needs no running controller."""
 
-        def changed(record: RolloutRecord) -> RolloutRecord:
+        def stopped(record: RolloutRecord) -> RolloutRecord:
             if not back:
                 return msgspec.structs.replace(record, phase=Phase.STOPPED.value, reason=why)
             return msgspec.structs.replace(record, **record_changes(table.roll_back(to_rollout(record), why)))
 
-        return await self._update(changed, back)
+        return await self._update(stopped, back)
 
     async def _update(self, change: Any, back: bool = False) -> RolloutRecord:
         for _ in range(MAX_UPDATE_ATTEMPTS):
             view = await self.operator.view()
-            at, kv, record = (
+            keys, kv, record = (
                 view.keys,
                 view.entries.get(view.keys.rollout),
                 view.read(view.keys.rollout, RolloutRecord),
@@ -244,73 +253,73 @@
             if kv is None or record is None:
                 return await self._roll_back_leftover_stage(view, back)
             after: RolloutRecord = change(record)
-            done: list[Operation] = [Put(at.rollout, encode(after, kv.value))]
-            compares: tuple[Compare, ...] = (Compare(at.rollout, Target.MOD, "=", kv.mod_revision),)
+            writes: list[Operation] = [Put(keys.rollout, encode(after, kv.value))]
+            compares: tuple[Compare, ...] = (Compare(keys.rollout, Target.MOD, "=", kv.mod_revision),)
             if back:
                 more, more_compares = rollback_writes(view, after)
-                done, compares = [*done, *more], (*compares, *more_compares)
+                writes, compares = [*writes, *more], (*compares, *more_compares)
             elif after.phase == Phase.STOPPED.value:
                 more, more_compares = cancel_writes(view, after) if not record.kind else ([], ())
-                done, compares = [*end_writes(view, after), *more], (*compares, *more_compares)
-            result = await self.operator.client.txn(Txn(compares, tuple(done)))
+                writes, compares = [*end_writes(view, after), *more], (*compares, *more_compares)
+            result = await self.operator.client.txn(Txn(compares, tuple(writes)))
             if result.succeeded:
                 return after
-        raise RolloutRejectedError("it changes faster than it can be asked to")
+        raise RolloutRejectedError("the rollout kept changing while it was being updated: try again")
 
     async def _roll_back_leftover_stage(self, view: StoreCache, back: bool) -> RolloutRecord:
         """Roll back a stage that a stopped rollout has left committed."""
-        at, entry = view.keys, view.entries.get(view.keys.committed_policy)
-        program, force = (
+        keys, entry = view.keys, view.entries.get(view.keys.committed_policy)
+        program, committed = (
             program_rollouts.committed_program(view),
             view.read(view.keys.committed_policy, PolicyRecord),
         )
-        left = (
-            view.read(at.finished_rollout(program.rollout), RolloutRecord)
+        finished_program = (
+            view.read(keys.finished_rollout(program.rollout), RolloutRecord)
             if program and program.new
             else None
         )
-        if back and left is not None:
-            return await self._roll_back_finished(view, left)
-        over = (
-            view.read(at.finished_rollout(force.rollout), RolloutRecord)
-            if force is not None and force.rollout
+        if back and finished_program is not None:
+            return await self._roll_back_finished(view, finished_program)
+        finished = (
+            view.read(keys.finished_rollout(committed.rollout), RolloutRecord)
+            if committed is not None and committed.rollout
             else None
         )
-        if not back or over is None or force is None or not force.new or entry is None:
+        if not back or finished is None or committed is None or not committed.new or entry is None:
             raise RolloutRejectedError("no rollout is under way")
-        return await self._roll_back_finished(view, over)
+        return await self._roll_back_finished(view, finished)
 
-    async def _roll_back_finished(self, view: StoreCache, over: RolloutRecord) -> RolloutRecord:
-        at = view.keys
+    async def _roll_back_finished(self, view: StoreCache, finished: RolloutRecord) -> RolloutRecord:
+        keys = view.keys
         after = msgspec.structs.replace(
-            over, phase=Phase.ROLLED_BACK.value, reason="taken back by an operator"
+            finished, phase=Phase.ROLLED_BACK.value, reason="rolled back by an operator"
         )
-        done, compares = rollback_writes(view, after)
+        writes, compares = rollback_writes(view, after)
         result = await self.operator.client.txn(
-            Txn(compares, (*done, Put(at.finished_rollout(after.id), encode(after))))
+            Txn(compares, (*writes, Put(keys.finished_rollout(after.id), encode(after))))
         )
         if not result.succeeded:
-            raise RolloutRejectedError("what is in force has changed meanwhile")
+            raise RolloutRejectedError("the committed version has changed in the meantime")
         return after
 
 
 def latest(view: StoreCache) -> RolloutRecord | None:
     """Return the current rollout, or the one that ended last."""
-    now = view.read(view.keys.rollout, RolloutRecord)
-    over = sorted(history(view), key=lambda one: one.ended_at)
-    return now or (over[-1] if over else None)
+    current = view.read(view.keys.rollout, RolloutRecord)
+    finished = sorted(history(view), key=lambda record: record.ended_at)
+    return current or (finished[-1] if finished else None)
 
 
 def history(view: StoreCache) -> list[RolloutRecord]:
     """Return the ended rollouts by start time."""
-    found = [one for _, one in view.records("rollout", "ended", form=RolloutRecord)]
-    return sorted(found, key=lambda one: one.at)
+    records = [record for _, record in view.records("rollout", "ended", form=RolloutRecord)]
+    return sorted(records, key=lambda record: record.at)
 
 
 async def timeline(operator: PolicyOperator, id: str) -> list[TimelinePointRecord]:
     """Return the stored timeline of a rollout; raises StoreClientError."""
-    _, found = await operator.client.get(Get(*operator.keys.timeline(id)))
-    return [decode(kv.value, TimelinePointRecord) for kv in sorted(found, key=lambda kv: kv.key)]
+    _, entries = await operator.client.get(Get(*operator.keys.timeline(id)))
+    return [decode(kv.value, TimelinePointRecord) for kv in sorted(entries, key=lambda kv: kv.key)]
 
 
 STATES = {
@@ -327,15 +336,17 @@
 def status(view: StoreCache, record: RolloutRecord | None) -> dict[str, Any]:
     """Return the status of a rollout as `rollout status` shows it.
 
-    `members` are names with the version that each serves; `log_e` is the evidence by metric, 0 for none.
+    `members` are names with the version that each serves; `log_e` is the evidence that the stage does worse,
+    by metric: the logarithm of the highest e-value so far, 0 for none.
     """
     if record is not None and record.kind == program_rollouts.KIND:
         members = [
-            {"name": one.name, "version": one.version} for one in program_rollouts.newest(view).values()
+            {"name": member.name, "version": member.version}
+            for member in program_rollouts.newest_members(view).values()
         ]
     else:
         members = [{"name": member.name, "version": member.digest} for _, member in view.members()]
-    members.sort(key=lambda one: one["name"])
+    members.sort(key=lambda member: member["name"])
     if record is None:
         return {"state": "none", "stage": 0, "stages": 0, "verdict": "", "members": members}
     phase = Phase(record.phase)
--- a/gladegw/control/sample_windows.py
+++ b/gladegw/control/sample_windows.py
@@ -1,4 +1,4 @@
-"""Conversion of reported metrics to one sample of each member per window."""
+"""Converts the metrics that members report to one sample per member and window."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from gladegw.coordination.canary_analysis import Sample
 from gladegw.coordination.records import MemberMetricsRecord
 
-MIN_TIMED_REQUESTS = 5  # of a class, for a meaningful mean
-MIN_REQUESTS = 10  # in total, for metrics per request
-MAX_WINDOW_S = 3.9  # two reports of a member, if it has too few requests
+MIN_TIMED_REQUESTS = 5  # timed requests of a class that its mean time needs
+MIN_REQUESTS = 10  # requests of all classes that metrics per request need
+MAX_WINDOW_S = 3.9  # limits the window of a member with too few requests to two reports
 OUTCOMES = ("passed", "refused", "failed", "gone")
 
 
 class SampleWindows:
-    """Windows of all members; `started_with` holds each member's metrics at the start of its window."""
+    """The open windows of all members; `started_with` has each member's metrics at its window's start."""
 
     def __init__(self) -> None:
         self.started_with: dict[str, MemberMetricsRecord] = {}
@@ -25,7 +25,7 @@
         Members without new metrics, or whose process was replaced, have no sample. The window of a member
         with too few requests continues for up to MAX_WINDOW_S.
         """
-        found = {}
+        samples = {}
         started_with = dict(now)
         for name, metrics in now.items():
             before = self.started_with.get(name)
@@ -35,25 +35,25 @@
                 if has_too_few_requests(before.figures, metrics.figures):
                     started_with[name] = before
                     continue
-                found[name] = sample(before.figures, metrics.figures, metrics.serving)
+                samples[name] = sample(before.figures, metrics.figures, metrics.serving)
         self.started_with = started_with
-        return found
+        return samples
 
 
 def has_too_few_requests(before: Mapping[str, int], after: Mapping[str, int]) -> bool:
-    """Return whether a window must continue for want of requests."""
+    """Return whether a window must continue because it has too few requests."""
     requested = sum(count - before.get(name, 0) for name, count in after.items() if name.startswith("ended."))
     return requested < MIN_REQUESTS and after.get("at_ms", 0) - before.get("at_ms", 0) < 1000 * MAX_WINDOW_S
 
 
 def sample(before: Mapping[str, int], after: Mapping[str, int], serving: str = "") -> Sample:
-    """Return the sample between two reports of a member; levels are in the unit that their name states."""
+    """Return the sample between two reports of a member."""
 
     def increase(name: str) -> int:
         return max(0, after.get(name, 0) - before.get(name, 0))
 
     classes = sorted({name.split(".")[1] for name in after if name.startswith("ended.")})
-    requests = {cls: sum(increase(f"ended.{cls}.{end}") for end in OUTCOMES) for cls in classes}
+    requests = {cls: sum(increase(f"ended.{cls}.{outcome}") for outcome in OUTCOMES) for cls in classes}
     failed = {cls: increase(f"ended.{cls}.failed") for cls in classes}
     refused = {cls: increase(f"ended.{cls}.refused") for cls in classes}
     late = {cls: increase(f"late.{cls}") for cls in classes if f"late.{cls}" in after}
--- a/gladegw/coordination/canary_analysis.py
+++ b/gladegw/coordination/canary_analysis.py
@@ -17,18 +17,18 @@
 from gladegw.coordination import fleet_regression
 from gladegw.coordination.fleet_regression import FleetWindow
 
-MAX_LOG_FACTOR = math.log(8.0)  # so that no single window decides
-MAX_LOG_EVIDENCE_TO_PASS = math.log(20.0)  # a baked stage with more is inconclusive
+MAX_LOG_FACTOR = math.log(8.0)  # limits how much a single window can contribute to the evidence
+MAX_LOG_EVIDENCE_TO_PASS = math.log(20.0)  # a baked stage with more evidence is inconclusive
 OUTCOME_KINDS = ("failed", "refused", "late")
-MAX_DIVERGENT_WINDOWS = 6  # in a row
-RATE_ALTERNATIVES = (0.01, 0.03, 0.1, 0.3, 0.8)  # increases of a rate, weighted equally
-CALIBRATOR_KAPPA = 0.3  # of the calibrator k p**(k-1); a low one favours the lowest ranks
-CALM_DEVIATIONS = 2.0  # standard deviations of a calm window from the baseline
-MAD_TO_DEVIATION = 1.4826  # median absolute deviation to standard deviation, of a normal distribution
-BASELINE_STANDARD_ERRORS = 1.0  # of a member's baseline
-MAX_RESIDUALS = 240  # of each level
-MIN_CONTROL_MEMBERS = 3  # for any comparison
-MEMBER_DEVIATIONS = 2.0  # plausible deviations between members beyond chance
+MAX_DIVERGENT_WINDOWS = 6  # consecutive windows, after which the stage is worse
+RATE_ALTERNATIVES = (0.01, 0.03, 0.1, 0.3, 0.8)  # increases of a rate that are wagered on, weighted equally
+CALIBRATOR_KAPPA = 0.3  # k in the calibrator k * p**(k - 1); a small k rewards only very small p-values
+CALM_DEVIATIONS = 2.0  # largest difference of a calm window from the baseline, in standard deviations
+MAD_TO_DEVIATION = 1.4826  # standard deviation / median absolute deviation of a normal distribution
+BASELINE_STANDARD_ERRORS = 1.0  # allowance for the error of a member's baseline level, in standard errors
+MAX_RESIDUALS = 240  # latest residuals that are kept for each level
+MIN_CONTROL_MEMBERS = 3  # members outside the stage that a comparison needs
+MEMBER_DEVIATIONS = 2.0  # allowance for differences between members beyond chance, in standard deviations
 
 
 class Verdict(Enum):
@@ -44,9 +44,9 @@
     """One member's metrics of one window.
 
     `requests`, `failed`, `refused` and `late` (later than the class's latency objective) are counts by class;
-    a class that the member does not report is missing. `levels` are metrics of which more is worse, by name
-    (ms, attempts a request, fraction of a core, bytes a second). `serving` is the digest of the backends that
-    it may send to, empty if not reported.
+    a class that the member does not report is missing. `levels` are metrics by name for which higher is worse
+    (response time in ms, attempts per request, CPU ms per request, memory growth in kB/s). `serving` is the
+    digest of the list of backends that the member may send to, empty if not reported.
     """
 
     requests: Mapping[str, int] = field(default_factory=dict)
@@ -57,21 +57,21 @@
     serving: str = ""
 
     def failures(self, kind: str, cls: str) -> tuple[int, int]:
-        """Return the requests of a class with this kind of failure, and all of the class."""
+        """Return the number of requests of a class with this kind of failure, and of all its requests."""
         counts: Mapping[str, int] = getattr(self, kind)
         return (counts[cls], self.requests.get(cls, 0)) if cls in counts else (0, 0)
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Tolerances: absolute increases of the rates, and the relative increase of the levels."""
+    """Tolerated absolute increase of each rate and relative increase of the levels, and test parameters."""
 
     failed: float = 0.002
     refused: float = 0.02
     late: float = 0.02
     level: float = 0.1
-    alpha: float = 0.01  # probability of a false alarm
-    min_requests: int = 200
+    alpha: float = 0.01  # bound on the probability of a false alarm
+    min_requests: int = 200  # requests of the stage's members that a pass needs
 
     @property
     def tolerances(self) -> dict[str, float]:
@@ -85,19 +85,20 @@
 
     `wagers` are the wagers by metric, the e-value being their mean, and `peaks` the highest e-value so far,
     both as logarithms. `baseline_levels` has each member's mean level before the stage and the number of
-    windows; `baseline_rates` the others' failed and all requests in calm windows.
+    windows; `baseline_rates` has, by metric, the other members' failed and all requests in
+    calm windows.
     """
 
     wagers: Mapping[str, tuple[float, ...]] = field(default_factory=dict)
     peaks: Mapping[str, float] = field(default_factory=dict)
     baseline_levels: Mapping[str, Mapping[str, tuple[float, int]]] = field(default_factory=dict)
     baseline_rates: Mapping[str, tuple[int, int]] = field(default_factory=dict)
-    residuals: Mapping[str, tuple[float, ...]] = field(default_factory=dict)  # of the others, by level
-    requests: int = 0  # that the stage's members ended
+    residuals: Mapping[str, tuple[float, ...]] = field(default_factory=dict)  # of the other members, by level
+    requests: int = 0  # completed by the stage's members
     windows: int = 0
-    divergent_windows: int = 0  # the latest ones in a row, with other backends at a member of the stage
-    history: tuple[FleetWindow, ...] = ()  # of all members before the first stage
-    recent: tuple[FleetWindow, ...] = ()  # of the members outside the stage
+    divergent_windows: int = 0  # latest consecutive windows in which a stage's member used other backends
+    history: tuple[FleetWindow, ...] = ()  # windows of all members before the first stage
+    recent: tuple[FleetWindow, ...] = ()  # latest windows of the members outside the stage
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,55 +110,68 @@
     e_values: Mapping[str, float] = field(default_factory=dict)
 
 
-def is_calm(failed: int, of: int, baseline: tuple[int, int]) -> bool:
-    """Whether a window's rate differs from the baseline's by no more than chance."""
-    rate = (baseline[0] + failed + 0.5) / (baseline[1] + of + 1.0)
-    return abs(failed - of * rate) <= CALM_DEVIATIONS * math.sqrt(of * rate * (1 - rate)) + 1.0
+def is_calm(failed: int, requests: int, baseline: tuple[int, int]) -> bool:
+    """Whether a window's failure rate differs from the baseline's by no more than chance."""
+    rate = (baseline[0] + failed + 0.5) / (baseline[1] + requests + 1.0)
+    return abs(failed - requests * rate) <= CALM_DEVIATIONS * math.sqrt(requests * rate * (1 - rate)) + 1.0
 
 
-Wager = tuple[float, ...]  # logarithms, one for each alternative
+Wager = tuple[float, ...]  # logarithm of the wager on each alternative
 
 
 def rate_factor(
-    new: int, of: int, others: Sequence[tuple[int, int]], allowed: float, baseline: tuple[int, int] = (0, 0)
+    canary_failed: int,
+    canary_requests: int,
+    others: Sequence[tuple[int, int]],
+    allowed: float,
+    baseline: tuple[int, int] = (0, 0),
 ) -> Wager:
     """Return the wager on one window for each of RATE_ALTERNATIVES, none above MAX_LOG_FACTOR.
 
-    `new` of `of` requests are compared with the highest rate plausible from the `others` (failed, all), plus
-    `allowed`. `baseline` has the others' requests in the calm windows before. If this window is calm too, the
-    rate is estimated from all of them, otherwise from this window alone.
+    The rate `canary_failed` / `canary_requests` is compared with the highest plausible rate of the `others`
+    (failed and all requests of each) plus `allowed`. `baseline` has the others' failed and all requests in
+    earlier calm windows. If this window is calm too, the others' rate is estimated from all of these windows,
+    otherwise from this window alone.
     """
     total = sum(n for _, n in others)
-    if not of or not total:
+    if not canary_requests or not total:
         return (0.0,) * len(RATE_ALTERNATIVES)
     failed = sum(count for count, _ in others)
     if is_calm(failed, total, baseline):
-        known = baseline[1] + total
-        rate = (baseline[0] + failed + 0.5) / (known + 1.0)
-        return _ratios(new, of, rate + math.sqrt(rate * (1 - rate) / known) + allowed)
+        requests = baseline[1] + total
+        rate = (baseline[0] + failed + 0.5) / (requests + 1.0)
+        return _likelihood_ratios(
+            canary_failed, canary_requests, rate + math.sqrt(rate * (1 - rate) / requests) + allowed
+        )
     pooled = (failed + 0.5) / (total + 1.0)
     variance = pooled * (1 - pooled)
     rates = [(count / n, variance / n) for count, n in others if n]
     mean = sum(rate for rate, _ in rates) / len(rates)
     observed_variance = sum((rate - mean) ** 2 for rate, _ in rates) / max(1, len(rates) - 1)
-    beyond = math.sqrt(max(0.0, observed_variance - sum(chance for _, chance in rates) / len(rates)))
-    return _ratios(
-        new, of, max(pooled, mean) + math.sqrt(variance / total) + MEMBER_DEVIATIONS * beyond + allowed
+    excess_deviation = math.sqrt(
+        max(0.0, observed_variance - sum(chance for _, chance in rates) / len(rates))
+    )
+    return _likelihood_ratios(
+        canary_failed,
+        canary_requests,
+        max(pooled, mean) + math.sqrt(variance / total) + MEMBER_DEVIATIONS * excess_deviation + allowed,
     )
 
 
-def _ratios(new: int, of: int, null: float) -> Wager:
-    null, logs = min(0.95, null), []
-    for worse in RATE_ALTERNATIVES:
-        rate = min(0.98, null + worse)
-        logs.append(new * math.log(rate / null) + (of - new) * math.log((1 - rate) / (1 - null)))
-    return tuple(min(MAX_LOG_FACTOR, one) for one in logs)
+def _likelihood_ratios(failed: int, requests: int, null_rate: float) -> Wager:
+    null_rate, logs = min(0.95, null_rate), []
+    for increase in RATE_ALTERNATIVES:
+        rate = min(0.98, null_rate + increase)
+        logs.append(
+            failed * math.log(rate / null_rate) + (requests - failed) * math.log((1 - rate) / (1 - null_rate))
+        )
+    return tuple(min(MAX_LOG_FACTOR, log_ratio) for log_ratio in logs)
 
 
 def rank_factor(value: float, others: Sequence[float], allowed: float) -> float:
     """Return the logarithm of the wager on one window by the rank of a member's level among the others.
 
-    `allowed` is subtracted from the level first. Ties count against the evidence.
+    `allowed` is subtracted from the member's level first. Ties count as "not worse".
     """
     if len(others) < MIN_CONTROL_MEMBERS:
         return 0.0
@@ -169,32 +183,32 @@
 def leave_one_out_residuals(values: Sequence[float]) -> list[float]:
     """Return the difference of each value from the median of the rest.
 
-    It excludes what affects all members in a window, so the residuals of several windows can be pooled, which
-    gives finer ranks.
+    This removes effects common to all members in a window, so the residuals of several windows can be pooled,
+    which gives finer ranks.
     """
-    return [value - median([*values[:at], *values[at + 1 :]]) for at, value in enumerate(values)]
+    return [value - median([*values[:index], *values[index + 1 :]]) for index, value in enumerate(values)]
 
 
-def baseline_uncertainty(pool: Sequence[float], seen: int) -> float:
-    """Return the plausible error of a member's baseline level after `seen` windows.
+def baseline_uncertainty(residuals: Sequence[float], windows: int) -> float:
+    """Return the plausible error of a member's baseline level after this many windows.
 
     The error is the same in each window, so without this allowance it would be counted as evidence each time.
     """
-    spread = MAD_TO_DEVIATION * median([abs(value) for value in pool])
-    return BASELINE_STANDARD_ERRORS * spread / math.sqrt(seen + 1)
+    spread = MAD_TO_DEVIATION * median([abs(value) for value in residuals])
+    return BASELINE_STANDARD_ERRORS * spread / math.sqrt(windows + 1)
 
 
-def mixture(logs: Iterable[float]) -> float:
-    """Return the logarithm of the mean of wagers, which is a wager whatever their dependence."""
-    found = list(logs)
-    if not found:
+def mixture(log_wagers: Iterable[float]) -> float:
+    """Return the logarithm of the mean of wagers, which is a valid wager even if they are dependent."""
+    logs = list(log_wagers)
+    if not logs:
         return 0.0
-    top = max(found)
-    return top + math.log(sum(math.exp(one - top) for one in found) / len(found))
+    largest = max(logs)
+    return largest + math.log(sum(math.exp(log - largest) for log in logs) / len(logs))
 
 
 def add_baseline_window(evidence: Evidence, window: Mapping[str, Sample]) -> Evidence:
-    """Add a window before the stage to the members' baselines."""
+    """Add a window from before the first stage to the baselines."""
     baseline = {name: dict(levels) for name, levels in evidence.baseline_levels.items()}
     for name, sample in window.items():
         means = baseline.setdefault(name, {})
@@ -211,37 +225,38 @@
     classes = sorted({cls for sample in samples for cls in sample.requests})
     rates = {f"{kind} {cls}": total_failures(samples, kind, cls) for kind in OUTCOME_KINDS for cls in classes}
     return fleet_regression.fleet_window(
-        rates, (one.levels for one in samples), (one.serving for one in samples)
+        rates, (sample.levels for sample in samples), (sample.serving for sample in samples)
     )
 
 
 def _updated_baseline_rates(evidence: Evidence, others: Sequence[Sample]) -> dict[str, tuple[int, int]]:
-    found = dict(evidence.baseline_rates)
+    rates = dict(evidence.baseline_rates)
     for kind in OUTCOME_KINDS:
         for cls in {cls for sample in others for cls in sample.requests}:
-            failed, of = total_failures(others, kind, cls)
-            known = found.get(f"{kind} {cls}", (0, 0))
-            if is_calm(failed, of, known):
-                found[f"{kind} {cls}"] = (known[0] + failed, known[1] + of)
-    return found
+            failed, requests = total_failures(others, kind, cls)
+            baseline = rates.get(f"{kind} {cls}", (0, 0))
+            if is_calm(failed, requests, baseline):
+                rates[f"{kind} {cls}"] = (baseline[0] + failed, baseline[1] + requests)
+    return rates
 
 
 def add_canary_window(
-    evidence: Evidence, window: Mapping[str, Sample], new: Iterable[str], limits: Limits
+    evidence: Evidence, window: Mapping[str, Sample], staged_members: Iterable[str], limits: Limits
 ) -> Evidence:
-    """Add a window of the stage, with samples of the members that were present throughout.
+    """Add a window of the stage.
 
-    `new` has the names of the stage's members.
+    `window` has samples only of members that were present throughout it, by name; `staged_members` are the
+    names of the stage's members.
     """
-    stage = [window[name] for name in sorted(new) if name in window]
-    names = sorted(set(new) & window.keys())
-    rest = {name: sample for name, sample in window.items() if name not in set(new)}
+    stage = [window[name] for name in sorted(staged_members) if name in window]
+    names = sorted(set(staged_members) & window.keys())
+    rest = {name: sample for name, sample in window.items() if name not in set(staged_members)}
     if not stage or len(rest) < MIN_CONTROL_MEMBERS:
         return evidence
     wagers, peaks, pools = dict(evidence.wagers), dict(evidence.peaks), dict(evidence.residuals)
     _update_rate_wagers(wagers, peaks, evidence, window, stage, list(rest.values()), limits)
     _update_level_wagers(wagers, peaks, pools, evidence, window, names, list(rest), limits)
-    requests = sum(sum(one.requests.values()) for one in stage)
+    requests = sum(sum(sample.requests.values()) for sample in stage)
     rates = _updated_baseline_rates(evidence, list(rest.values()))
     divergent = count_divergent_windows(evidence.divergent_windows, stage, list(rest.values()))
     recent = fleet_regression.append_recent(evidence.recent, aggregate(list(rest.values())))
@@ -269,11 +284,11 @@
 ) -> None:
     for kind, allowed in zip(OUTCOME_KINDS, (limits.failed, limits.refused, limits.late), strict=True):
         for cls in sorted({cls for sample in window.values() for cls in getattr(sample, kind)}):
-            others = [one.failures(kind, cls) for one in rest]
-            failed, of = total_failures(stage, kind, cls)
+            others = [sample.failures(kind, cls) for sample in rest]
+            failed, requests = total_failures(stage, kind, cls)
             metric = f"{kind} {cls}"
-            known = evidence.baseline_rates.get(metric, (0, 0))
-            _update_wager(wagers, peaks, metric, rate_factor(failed, of, others, allowed, known))
+            baseline = evidence.baseline_rates.get(metric, (0, 0))
+            _update_wager(wagers, peaks, metric, rate_factor(failed, requests, others, allowed, baseline))
 
 
 def _update_level_wagers(
@@ -298,53 +313,54 @@
         pool = pools[level] = (*pools.get(level, ()), *leave_one_out_residuals(other_changes))[
             -MAX_RESIDUALS:
         ]
-        middle, logs = median(other_changes), []
+        median_change, logs = median(other_changes), []
         for name in names:
             if name in changes:
-                mean, seen = evidence.baseline_levels[name][level]
-                allowed = limits.level * abs(mean) + baseline_uncertainty(pool, seen)
-                logs.append(rank_factor(changes[name] - middle, pool, allowed))
+                mean, windows = evidence.baseline_levels[name][level]
+                allowed = limits.level * abs(mean) + baseline_uncertainty(pool, windows)
+                logs.append(rank_factor(changes[name] - median_change, pool, allowed))
         if logs:
             _update_wager(wagers, peaks, level, (mixture(logs),))
 
 
 def total_failures(samples: Iterable[Sample], kind: str, cls: str) -> tuple[int, int]:
-    """Return the requests of a class with this kind of failure, and all of the class, over the samples."""
-    counts = [one.failures(kind, cls) for one in samples]
-    return sum(failed for failed, _ in counts), sum(of for _, of in counts)
+    """Return the requests of a class with this kind of failure, and all its requests, over the samples."""
+    counts = [sample.failures(kind, cls) for sample in samples]
+    return sum(failed for failed, _ in counts), sum(requests for _, requests in counts)
 
 
 def count_divergent_windows(before: int, stage: Sequence[Sample], others: Sequence[Sample]) -> int:
-    """Return for how many windows in a row a member of the stage used other backends than all the others.
+    """Return for how many consecutive windows a member of the stage used other backends than all the others.
 
-    It may send to one that drains, which no rate shows before that backend is removed. A window in which the
-    others differ among themselves, as during an update of the list, does not change the count.
+    `before` is the count before this window. Such a member may be sending to a backend that drains, which no
+    rate shows until that backend is removed. A window in which the others differ among themselves, as during
+    an update of the list, does not change the count.
     """
-    agreed = {one.serving for one in others}
-    if len(agreed) != 1 or agreed == {""}:
+    digests = {sample.serving for sample in others}
+    if len(digests) != 1 or digests == {""}:
         return before
-    return before + 1 if any(one.serving not in ("", *agreed) for one in stage) else 0
+    return before + 1 if any(sample.serving not in ("", *digests) for sample in stage) else 0
 
 
 def _change_from_baseline(evidence: Evidence, name: str, sample: Sample, level: str) -> float | None:
-    known = evidence.baseline_levels.get(name, {}).get(level)
-    return None if known is None or level not in sample.levels else sample.levels[level] - known[0]
+    baseline = evidence.baseline_levels.get(name, {}).get(level)
+    return None if baseline is None or level not in sample.levels else sample.levels[level] - baseline[0]
 
 
 def _update_wager(wagers: dict[str, Wager], peaks: dict[str, float], metric: str, factor: Wager) -> None:
     before = wagers.get(metric, (0.0,) * len(factor))
-    wagers[metric] = tuple(one + more for one, more in zip(before, factor, strict=True))
+    wagers[metric] = tuple(wager + log_factor for wager, log_factor in zip(before, factor, strict=True))
     peaks[metric] = max(peaks.get(metric, 0.0), mixture(wagers[metric]))
 
 
 def evaluate(evidence: Evidence, limits: Limits, baked: bool) -> Evaluation:
     """Evaluate the evidence; `baked` means that the stage's bake time is over.
 
-    All metrics share alpha equally.
+    Alpha is divided equally among all metrics.
     """
     e_values = {name: round(math.exp(min(50.0, peak)), 2) for name, peak in evidence.peaks.items()}
     if evidence.divergent_windows >= MAX_DIVERGENT_WINDOWS:
-        why = f"works by other backends than all others, for {evidence.divergent_windows} windows"
+        why = f"uses other backends than all other members, for {evidence.divergent_windows} windows"
         return Evaluation(Verdict.WORSE, why, e_values)
     bound = math.log(max(1, len(e_values)) / limits.alpha)
     worst = max(evidence.peaks, key=lambda name: evidence.peaks[name], default="")
@@ -356,15 +372,17 @@
         now = {name: mixture(wager) for name, wager in evidence.wagers.items()}
         likely = max(now, key=lambda name: now[name], default="")
         if not likely or now[likely] < MAX_LOG_EVIDENCE_TO_PASS:
-            all_worse = fleet_regression.regressed_metric(
+            regression = fleet_regression.regressed_metric(
                 evidence.history, evidence.recent, limits.tolerances
             )
-            if all_worse:
+            if regression:
                 return Evaluation(
-                    Verdict.INCONCLUSIVE, f"in doubt, all do worse than before it: {all_worse}", e_values
+                    Verdict.INCONCLUSIVE,
+                    f"inconclusive, all members do worse than before the rollout: {regression}",
+                    e_values,
                 )
             return Evaluation(Verdict.NOT_WORSE, "", e_values)
-        why = f"in doubt, {likely}: e-value {math.exp(min(50.0, now[likely])):.0f} of {math.exp(bound):g}"
+        why = f"inconclusive, {likely}: e-value {math.exp(min(50.0, now[likely])):.0f} of {math.exp(bound):g}"
         return Evaluation(Verdict.INCONCLUSIVE, why, e_values)
-    few = f"{evidence.requests} of {limits.min_requests} requests in {evidence.windows} windows"
-    return Evaluation(Verdict.INCONCLUSIVE, few, e_values)
+    progress = f"{evidence.requests} of {limits.min_requests} requests in {evidence.windows} windows"
+    return Evaluation(Verdict.INCONCLUSIVE, progress, e_values)
--- a/tests/control/test_program_rollouts.py
+++ b/tests/control/test_program_rollouts.py
@@ -129,7 +129,7 @@
             await here.all_run("1.1")
             assert not load.lost and 200 in load.codes
             code, told = await here.rollout("start", here.plan("1.1"))
-            assert code == 1 and "runs already" in told["refused"]
+            assert code == 1 and "already running" in told["refused"]
 
     run(test())
 
@@ -231,7 +231,7 @@
             while await heard():
                 assert time.monotonic() < end
             code, told = await here.rollout("start", here.plan("1.1"))
-            assert code == 1 and told["refused"] == "no supervisor is heard of: p3", told
+            assert code == 1 and told["refused"] == "no supervisor is registered for: p3", told
             assert latest(await here.at.view()) is None
 
     run(test())
--- a/tests/control/test_rollout_sockets.py
+++ b/tests/control/test_rollout_sockets.py
@@ -314,7 +314,7 @@
         ("rollout {\n}\n", ":1: bundle must"),
         ('rollout {\n  bundle = "x"\n  bake = 3\n}\n', ":3: unknown"),
         ('rollout {\n  bundle = "x"\n  stages = ["1"]\n}\n', ":3: stages: "),
-        ("x {\n}\n", ":1: a plan is one"),
+        ("x {\n}\n", ":1: a plan must be one"),
         ('rollout {\n  bundle = "x"\n  bake_s = 0\n}\n', ":3: bake_s must be"),
         ("rollout {", "not HCL"),
         ('rollout {\n  bundle = "x"\n  on_worse = "go"\n}\n', ":3: on_worse must be"),
