--- a/tests/control/test_rollout_sockets.py
+++ b/tests/control/test_rollout_sockets.py
@@ -1,4 +1,4 @@
-"""Rollouts over several processes of the program, with requests flowing and faults between them."""
+"""Rollouts of bundles over several proxy processes, under load and with faults."""
 
 from __future__ import annotations
 
@@ -20,29 +20,29 @@
 from gladegw.control.rollouts import latest
 
 PROXIES = 6
-CONFIRM = 4  # s
+CONFIRM_S = 4  # time without heartbeats after which members of a stage revert
 
 
 def routes(word: str, harm: str = "") -> str:
-    """Goes to the backend with a word that the backend sees; `harm` is one more route, before it."""
+    """Return routes that add a header with this word to each request; `harm` is a route before them."""
     pool = 'pool "all" {\n  names = ["*"]\n}\n'
     end = f'  pool = "all"\n  edit_headers {{\n    put = {{ "x-word" = "{word}" }}\n  }}\n}}\n'
     return f'{pool}{harm}route "all" {{\n  prefix = "/"\n{end}'
 
 
-FAILS = (
+FAILING_ROUTE = (
     'route "bad" {\n  prefix = "/"\n  header "x-try" {\n    regex = ".*[05]"\n  }\n'
     "  answer {\n    code = 502\n  }\n}\n"
 )
 
 
-class Rolled(Conducted, Site):
+class RolloutSite(Conducted, Site):
     loads: list[asyncio.Task[None]]
 
     def block(self, deadline: int, endpoints: list[str] | None = None) -> str:
-        return super().block(deadline, endpoints) + f"rollout {{\n  confirm_s = {CONFIRM}\n}}\n"
+        return super().block(deadline, endpoints) + f"rollout {{\n  confirm_s = {CONFIRM_S}\n}}\n"
 
-    async def begin(self) -> dict[str, Proxy]:
+    async def start(self) -> dict[str, Proxy]:
         self.file.write_text(routes("first"), encoding="utf-8")
         self.settings.write_text(self.block(10), encoding="utf-8")
         self.nodes = dict(
@@ -52,19 +52,19 @@
                 strict=True,
             )
         )
-        code, told = await self.propose("old", routes("old"))
-        assert code == 0, told
-        self.old = told["digest"]
+        code, status = await self.propose("old", routes("old"))
+        assert code == 0, status
+        self.old = status["digest"]
         self.loads = [asyncio.create_task(load(node)) for node in self.nodes.values()]
         return self.nodes
 
-    async def again(self, name: str) -> Proxy:
-        """Starts the one of that name anew, with its share of the requests: with none there is no verdict."""
+    async def restart(self, name: str) -> Proxy:
+        """Start the proxy of that name again, with its load: without requests there is no verdict."""
         node = self.nodes[name] = await self.proxy(name)
         self.loads.append(asyncio.create_task(load(node)))
         return node
 
-    def plan(self, word: str, text: str, **more: Any) -> str:
+    def plan(self, word: str, text: str, **settings: Any) -> str:
         self.bundle(word, text)
         values = {
             "bundle": f"{word}.routes.hcl",
@@ -72,19 +72,19 @@
             "bake_s": 6,
             "least_requests": 20,
             "most_s": 60,
-        } | more
+        } | settings
         return self.plan_file(word, values)
 
-    async def versions(self, wanted: Any) -> dict[str, str]:
-        found = await self.until(lambda told: wanted({m["name"]: m["version"] for m in told["members"]}))
+    async def wait_for_versions(self, wanted: Any) -> dict[str, str]:
+        found = await self.until(lambda status: wanted({m["name"]: m["version"] for m in status["members"]}))
         return {member["name"]: member["version"] for member in found["members"]}
 
-    def all_old(self, found: dict[str, str]) -> bool:
-        return set(found.values()) == {self.old}
+    def all_old(self, versions: dict[str, str]) -> bool:
+        return set(versions.values()) == {self.old}
 
 
-async def load(node: Proxy, each: float = 0.04) -> None:
-    """Requests one after another; whatever is answered is the rollout's to judge."""
+async def load(node: Proxy, pause_s: float = 0.04) -> None:
+    """Send requests one after another without checking the answers: the rollout judges them."""
     number = 0
     while True:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -93,41 +93,45 @@
                 while True:
                     number += 1
                     await caller.call("stock", f"{id(node)}-{number}", X_Try=f"{number}")
-                    await asyncio.sleep(each)
+                    await asyncio.sleep(pause_s)
             finally:
                 caller.writer.close()
-        await asyncio.sleep(each)
+        await asyncio.sleep(pause_s)
 
 
 @contextlib.asynccontextmanager
-async def rolled(folder: Path, ttl: int = 2) -> AsyncIterator[Rolled]:
+async def rollout_site(folder: Path, ttl: int = 2) -> AsyncIterator[RolloutSite]:
     async with store(3) as at, contextlib.AsyncExitStack() as stack:
-        here = Rolled(at, folder, stack, "serve", ttl)
-        await here.begin()
+        here = RolloutSite(at, folder, stack, "serve", ttl)
+        await here.start()
         try:
             yield here
         finally:
-            for one in here.loads:
-                one.cancel()
+            for task in here.loads:
+                task.cancel()
             await asyncio.gather(*here.loads, return_exceptions=True)
 
 
-def test_what_is_not_worse_goes_through_all_stages(tmp_path: Path) -> None:
+def test_an_equally_good_bundle_goes_through_all_stages(tmp_path: Path) -> None:
     async def test() -> None:
-        async with rolled(tmp_path) as here:
+        async with rollout_site(tmp_path) as here:
             started = asyncio.create_task(here.rollout("start", here.plan("new", routes("new")), "--wait"))
             seen = set()
             while not started.done():
-                _, told = await here.rollout("status")
-                new = sum(member["version"] not in ("", here.old) for member in told["members"])
-                seen.add((told["stage"], new))
-            code, told = started.result()
-            assert code == 0 and (told["state"], told["stage"], told["stages"]) == ("done", 3, 3), told
-            found = await here.versions(lambda now: here.old not in now.values())
+                _, status = await here.rollout("status")
+                new = sum(member["version"] not in ("", here.old) for member in status["members"])
+                seen.add((status["stage"], new))
+            code, status = started.result()
+            assert code == 0 and (status["state"], status["stage"], status["stages"]) == (
+                "done",
+                3,
+                3,
+            ), status
+            found = await here.wait_for_versions(lambda now: here.old not in now.values())
             assert len(set(found.values())) == 1 and len(found) == PROXIES
             assert {new for stage, new in seen if stage == 1} <= {0, 1} and (2, 2) in seen, seen
-            code, told = await here.rollout("history")
-            assert [one["state"] for one in told["history"]] == ["done"]
+            code, status = await here.rollout("history")
+            assert [rollout["state"] for rollout in status["history"]] == ["done"]
             page = tmp_path / "page.html"
             command = "rollout", "page", "-f", str(here.settings), "-o", str(page)
             done = await asyncio.to_thread(
@@ -145,63 +149,66 @@
     run(test())
 
 
-def test_what_fails_is_taken_back_in_its_first_stage(tmp_path: Path) -> None:
+def test_a_failing_bundle_is_rolled_back_in_its_first_stage(tmp_path: Path) -> None:
     async def test() -> None:
-        async with rolled(tmp_path) as here:
-            plan = here.plan("bad", routes("bad", FAILS), bake_s=60, most_s=60)
+        async with rollout_site(tmp_path) as here:
+            plan = here.plan("bad", routes("bad", FAILING_ROUTE), bake_s=60, most_s=60)
             began = time.monotonic()
-            code, told = await here.rollout("start", plan, "--wait")
-            assert code == 1 and (told["state"], told["stage"]) == ("back", 1), told
-            assert told["verdict"].startswith("failed stock"), told
+            code, status = await here.rollout("start", plan, "--wait")
+            assert code == 1 and (status["state"], status["stage"]) == ("back", 1), status
+            assert status["verdict"].startswith("failed stock"), status
             assert time.monotonic() - began < 50
-            await here.versions(here.all_old)
-            code, told = await here.rollout("back")
-            assert code == 1 and told["refused"] == "no rollout is under way"
+            await here.wait_for_versions(here.all_old)
+            code, status = await here.rollout("back")
+            assert code == 1 and status["refused"] == "no rollout is under way"
 
     run(test())
 
 
 @pytest.mark.parametrize("how", ["kill", "stop"])
-def test_a_conductor_that_is_lost_is_followed_by_another(how: str, tmp_path: Path) -> None:
-    """Its successor goes on in the stage, and those in the stage keep the new bundle meanwhile."""
+def test_a_lost_controller_is_replaced(how: str, tmp_path: Path) -> None:
+    """The successor continues the stage, and its members keep the new bundle in the meantime."""
 
     async def test() -> None:
-        async with rolled(tmp_path) as here:
+        async with rollout_site(tmp_path) as here:
             plan = here.plan("new", routes("new"), stages=["2", "100%"], bake_s=60, most_s=60)
             code, _ = await here.rollout("start", plan)
             assert code == 0
-            found = await here.until(lambda told: told["phase"] == "baking")
-            named = set(found["named"])
+            found = await here.until(lambda status: status["phase"] == "baking")
+            staged = set(found["named"])
             held = await here.at.duties(lambda now: bool(now.get("rollout", (None,))[0]))
             holder = held["rollout"][0]
             process = here.nodes[holder].process
             process.send_signal({"kill": signal.SIGKILL, "stop": signal.SIGSTOP}[how])
             await here.at.duties(lambda now: now.get("rollout", (None,))[0] not in (None, holder))
-            await asyncio.sleep(CONFIRM + 1)  # more than they wait for a sign
+            await asyncio.sleep(CONFIRM_S + 1)  # longer than members wait for a heartbeat
             _, found = await here.rollout("status")
-            new = {one["name"] for one in found["members"] if one["version"] == found["new"]}
-            assert found["phase"] == "baking" and new >= named - {holder}, found
+            new = {member["name"] for member in found["members"] if member["version"] == found["new"]}
+            assert found["phase"] == "baking" and new >= staged - {holder}, found
             if how == "stop":
                 process.send_signal(signal.SIGCONT)
-            code, told = await here.rollout("back")
+            code, status = await here.rollout("back")
             assert code == 0
-            await here.until(lambda told: told["state"] == "back")
-            await here.versions(here.all_old)
+            await here.until(lambda status: status["state"] == "back")
+            await here.wait_for_versions(here.all_old)
 
     run(test())
 
 
 @pytest.mark.parametrize("step", ["moving", "finishing"])
-def test_a_conductor_that_dies_while_a_change_is_open_leaves_one_bundle(step: str, tmp_path: Path) -> None:
-    """It is a member too, and whoever is lost while a change is open is a no: so the way back, or, where it
-    was decided before, on to the end. A third thing does not come about, whoever conducts."""
+def test_a_controller_that_dies_while_a_change_is_open_leaves_one_bundle(step: str, tmp_path: Path) -> None:
+    """The rollout is rolled back, or done if the change was committed before; members never end up mixed.
+
+    The controller is a participant too, and a participant that is lost while a change is open counts as a
+    vote against it.
+    """
 
     async def test() -> None:
-        async with rolled(tmp_path) as here:
+        async with rollout_site(tmp_path) as here:
             plan = here.plan("new", routes("new"), stages=["1", "100%"])
             assert (await here.rollout("start", plan))[0] == 0
             end = time.monotonic() + 3 * PATIENCE
-            while True:  # the step may be over between two looks: then it dies right after it
+            while True:  # the step may end between two reads: then the controller is killed right after it
                 record = latest(await here.at.view())
                 assert record is not None and time.monotonic() < end
                 if record.phase in (step, "done"):
@@ -210,100 +217,105 @@
             holder = held["rollout"][0]
             here.nodes[holder].process.kill()
             await here.nodes[holder].code()
-            await here.again(holder)
-            over = await here.until(lambda told: told["state"] in ("done", "back", "stopped"))
-            assert over["state"] in ("done", "back"), over
-            wanted = over["new"] if over["state"] == "done" else here.old
-            await here.versions(lambda now: len(now) == PROXIES and set(now.values()) == {wanted})
+            await here.restart(holder)
+            ended = await here.until(lambda status: status["state"] in ("done", "back", "stopped"))
+            assert ended["state"] in ("done", "back"), ended
+            wanted = ended["new"] if ended["state"] == "done" else here.old
+            await here.wait_for_versions(lambda now: len(now) == PROXIES and set(now.values()) == {wanted})
 
     run(test())
 
 
-def test_members_of_a_stage_go_back_by_themselves_when_the_store_is_gone(tmp_path: Path) -> None:
+def test_members_of_a_stage_revert_by_themselves_when_the_store_is_lost(tmp_path: Path) -> None:
     async def test() -> None:
-        async with rolled(tmp_path) as here:
+        async with rollout_site(tmp_path) as here:
             plan = here.plan("new", routes("new"), stages=["2", "100%"], bake_s=60, most_s=60)
             assert (await here.rollout("start", plan))[0] == 0
-            found = await here.until(lambda told: told["phase"] == "baking")
-            await here.versions(lambda now: sum(version == found["new"] for version in now.values()) == 2)
-            began = found["named"][0]  # one that begins within the stage has to hold the way back, too
-            here.nodes[began].process.kill()
-            await here.nodes[began].code()
-            await here.again(began)
+            found = await here.until(lambda status: status["phase"] == "baking")
+            await here.wait_for_versions(
+                lambda now: sum(version == found["new"] for version in now.values()) == 2
+            )
+            # a member that starts within the stage must prepare the old bundle, too
+            restarted = found["named"][0]
+            here.nodes[restarted].process.kill()
+            await here.nodes[restarted].code()
+            await here.restart(restarted)
             end = time.monotonic() + PATIENCE
-            while f"policy.way_back={here.old}" not in await here.nodes[began].operator("INFO"):
+            while f"policy.way_back={here.old}" not in await here.nodes[restarted].operator("INFO"):
                 assert time.monotonic() < end
                 await asyncio.sleep(0.05)
             for member in (0, 1):
                 await here.at.order("down", member=member)
-            seen = {}
+            codes = {}
             for name in found["named"]:
                 node = here.nodes[name]
-                end = time.monotonic() + CONFIRM + PATIENCE
-                while (told := await node.operator("INFO")) and f"policy.digest={here.old}" not in told:
-                    assert time.monotonic() < end, told
+                end = time.monotonic() + CONFIRM_S + PATIENCE
+                while (info := await node.operator("INFO")) and f"policy.digest={here.old}" not in info:
+                    assert time.monotonic() < end, info
                     await asyncio.sleep(0.05)
                 caller = await node.caller()
-                seen[name] = (await caller.call("stock", f"{name:>016}")).code
+                codes[name] = (await caller.call("stock", f"{name:>016}")).code
                 caller.writer.close()
-            assert set(seen.values()) == {200}
+            assert set(codes.values()) == {200}
             for member in (0, 1):
                 await here.at.order("up", member=member)
-            over = await here.until(lambda told: told["state"] in ("back", "stopped"))
-            assert over["state"] == "back" and "by themselves" in over["verdict"], over
-            await here.versions(here.all_old)
+            ended = await here.until(lambda status: status["state"] in ("back", "stopped"))
+            assert ended["state"] == "back" and "by themselves" in ended["verdict"], ended
+            await here.wait_for_versions(here.all_old)
 
     run(test())
 
 
-def test_a_stop_ends_the_stage_that_is_open(tmp_path: Path) -> None:
-    """One that does not vote keeps it open, so that it is for certain."""
+def test_a_stop_cancels_the_open_change_of_a_stage(tmp_path: Path) -> None:
+    """A stopped process that does not vote makes sure that the change is still open."""
 
     async def test() -> None:
-        async with rolled(tmp_path, ttl=30) as here:
+        async with rollout_site(tmp_path, ttl=30) as here:
             holder = (await here.at.duties(lambda now: bool(now.get("rollout", ("",))[0])))["rollout"][0]
-            still = next(node for name, node in here.nodes.items() if name != holder)
+            silent = next(node for name, node in here.nodes.items() if name != holder)
             plan = here.plan("new", routes("new"), stages=["2", "100%"])
-            still.process.send_signal(signal.SIGSTOP)
+            silent.process.send_signal(signal.SIGSTOP)
             assert (await here.rollout("start", plan))[0] == 0
             await here.status(lambda found: found["change"] is not None)
-            code, told = await here.rollout("stop")
-            assert (code, told["state"]) == (0, "stopped")
+            code, status = await here.rollout("stop")
+            assert (code, status["state"]) == (0, "stopped")
             assert (await here.tool("status"))[1]["change"] is None
-            still.process.send_signal(signal.SIGCONT)
-            await here.versions(here.all_old)
+            silent.process.send_signal(signal.SIGCONT)
+            await here.wait_for_versions(here.all_old)
             assert (await here.tool("status"))[1]["epoch"] == 1
 
     run(test())
 
 
-def test_one_that_comes_back_gets_what_its_place_says_and_an_operator_is_heard(tmp_path: Path) -> None:
+def test_restarted_members_get_the_bundle_of_their_stage_and_operators_control_the_rollout(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
-        async with rolled(tmp_path) as here:
+        async with rollout_site(tmp_path) as here:
             plan = here.plan("new", routes("new"), stages=["2", "100%"], bake_s=60, most_s=60)
             assert (await here.rollout("start", plan))[0] == 0
-            code, told = await here.rollout("start", plan)
-            assert code == 1 and "under way" in told["refused"]
-            found = await here.until(lambda told: told["phase"] == "baking")
+            code, status = await here.rollout("start", plan)
+            assert code == 1 and "under way" in status["refused"]
+            found = await here.until(lambda status: status["phase"] == "baking")
             assert (await here.rollout("pause"))[1]["state"] == "paused"
-            code, told = await here.propose("other", routes("other"))
-            assert code == 1 and "is under way" in told["reason"]
+            code, status = await here.propose("other", routes("other"))
+            assert code == 1 and "is under way" in status["reason"]
             inside, outside = found["named"][0], next(n for n in here.nodes if n not in found["named"])
             for name in (inside, outside):
                 here.nodes[name].process.kill()
                 await here.nodes[name].code()
             for name in (inside, outside):
-                await here.again(name)
-            now = await here.versions(lambda now: len(now) == PROXIES and all(now.values()))
+                await here.restart(name)
+            now = await here.wait_for_versions(lambda now: len(now) == PROXIES and all(now.values()))
             assert now[inside] == found["new"] and now[outside] == here.old, now
             assert (await here.rollout("resume"))[1]["state"] == "running"
-            code, told = await here.rollout("stop")
-            assert code == 0 and told["state"] == "stopped"
-            await here.versions(here.all_old)  # by themselves: nobody conducts it
-            code, told = await here.rollout("back")
-            assert code == 0 and told["state"] == "back"
-            code, told = await here.propose("other", routes("other"))
-            assert code == 0, told
+            code, status = await here.rollout("stop")
+            assert code == 0 and status["state"] == "stopped"
+            await here.wait_for_versions(here.all_old)  # they revert without heartbeats
+            code, status = await here.rollout("back")
+            assert code == 0 and status["state"] == "back"
+            code, status = await here.propose("other", routes("other"))
+            assert code == 0, status
 
     run(test())
 
@@ -324,7 +336,7 @@
 def test_a_bad_plan_is_one_line(text: str, why: str, tmp_path: Path) -> None:
     plan = tmp_path / "plan.hcl"
     plan.write_text(text, encoding="utf-8")
-    told = subprocess.run(
+    result = subprocess.run(
         (sys.executable, "-m", "gladegw", "rollout", "check", str(plan)),
         cwd=ROOT,
         capture_output=True,
@@ -332,4 +344,4 @@
         timeout=60,
         check=False,
     )
-    assert told.returncode == 2 and why in told.stderr and told.stderr.count("\n") == 1, told.stderr
+    assert result.returncode == 2 and why in result.stderr and result.stderr.count("\n") == 1, result.stderr
