--- a/gladegw/coordination/supervision.py
+++ b/gladegw/coordination/supervision.py
@@ -153,7 +153,7 @@
             state = replace(state, current=state.wanted)
         return _enter_phase(state, Phase.STARTING, now, begun=True), ((ActionKind.START, Slot.CURRENT),)
     if not current.alive:
-        return _restart_after_exit(state, current.exit_reason or "it ended at its start", now)
+        return _restart_after_exit(state, current.exit_reason or "the process exited at its start", now)
     if current.ready:
         return _enter_phase(state, Phase.STEADY, now), ()
     if now > state.since + timeouts.ready and not state.killed:
@@ -218,7 +218,7 @@
     state: Supervision, current: ProcessStatus, other: ProcessStatus, now: float, timeouts: Timeouts
 ) -> tuple[Supervision, Actions]:
     if not other.alive:
-        why = other.exit_reason or "it ended before it was ready"
+        why = other.exit_reason or "the process exited before it was ready"
         if not current.alive:
             return _restart_after_exit(replace(state, coming=""), why, now)
         return _enter_phase(_reject_version(state, why), Phase.STEADY, now, coming=""), ()
@@ -241,7 +241,7 @@
     if state.wanted != state.coming and state.wanted not in state.refused:
         return _stop_replacement(state, "", now)
     if other.failure or not other.ready:
-        return _stop_replacement(state, other.failure or "ready no more", now)
+        return _stop_replacement(state, other.failure or "no longer ready", now)
     if now >= state.since + timeouts.verify * (VERIFY_EXTENSION if other.insufficient_traffic else 1.0):
         if state.keep and state.coming != state.current:
             return _enter_phase(state, Phase.RETAINING_PREVIOUS, now), ((ActionKind.DRAIN, Slot.CURRENT),)
@@ -261,7 +261,7 @@
         return _promote(state, now, other.ready)
     if not other.alive:
         after = _enter_phase(
-            _reject_version(state, other.exit_reason or "it ended"), Phase.STEADY, now, coming=""
+            _reject_version(state, other.exit_reason or "the process exited"), Phase.STEADY, now, coming=""
         )
         return after, ((ActionKind.REJOIN, Slot.CURRENT),)
     why = other.failure
@@ -283,7 +283,9 @@
             return _restart_after_exit(replace(state, coming=""), other.exit_reason, now)
         return _promote(state, now, True)
     if not other.alive:  # the previous process is terminating too, so its version is started anew
-        failed = _reject_version(state, f"{other.exit_reason or 'it ended'} while the one before left")
+        failed = _reject_version(
+            state, f"{other.exit_reason or 'the process exited'} while the previous process was stopping"
+        )
         after = _enter_phase(failed, Phase.STARTING_REPLACEMENT, now, coming=state.current)
         return after, ((ActionKind.START, Slot.OTHER),)
     if now > state.since + timeouts.drain and not state.killed:
--- a/gladegw/net/capture.py
+++ b/gladegw/net/capture.py
@@ -186,9 +186,8 @@
         # Of the current list: its version, as given by discovery, and its serial number in this capture
         self.list_version = self.list_serial = 0
         self.lists: dict[int, bytes] = {}  # by serial: the latest, and those used by a record or open request
-        self.list_uses: dict[
-            int, int
-        ] = {}  # number of records and open requests that use each list, by serial
+        # Number of records and open requests that use each list, by serial
+        self.list_uses: dict[int, int] = {}
         self.route_tables: dict[int, bytes] = {}  # by generation: the latest, and those still needed
         self.generation = 0  # of the latest route table
         self.generations_in_use: set[int] = set()  # of the route tables that can still route requests
--- a/tests/coordination/test_supervision.py
+++ b/tests/coordination/test_supervision.py
@@ -172,11 +172,11 @@
 @pytest.mark.parametrize(
     ("version", "reason"),
     [
-        ("dies", "ended"),
+        ("dies", "the process exited before it was ready"),
         ("never", "not ready in 5 s"),
         ("late", "not ready"),
         ("bad", "serves errors"),
-        ("flaps", "ready no more"),
+        ("flaps", "no longer ready"),
     ],
 )
 def test_failing_version_is_refused(version: str, reason: str) -> None:
